--- a/src/main/java/firstair/Main.java
+++ b/src/main/java/firstair/Main.java
@@ -10,7 +10,7 @@
  * class of the command line; everything else is {@link Cli}'s.
  */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /** Runs a command and ends with its status. */
     public static void main(String[] args) throws IOException, InterruptedException {
--- a/src/main/java/firstair/Serve.java
+++ b/src/main/java/firstair/Serve.java
@@ -12,7 +12,7 @@
 
 /** Runs one relay in this process until it is told to end. */
 public final class Serve {
-    private Serve() { }
+    private Serve() {}
 
     /**
      * Serves by the configuration that an environment names ({@code ROUTER_CONFIG}, {@code ROUTER_STATE}).
@@ -24,7 +24,10 @@
         Hangups hangups = new Hangups();
         // Before anything else: a relay that is still starting must not end by it, nor miss a change of its files.
         if (!Signals.onHangup(hangups::signal)) {
-            hangups.watch(Stream.of("ROUTER_CONFIG", Own.FILE).filter(env::containsKey).map(env::get).map(Path::of)
+            hangups.watch(Stream.of("ROUTER_CONFIG", Own.FILE)
+                    .filter(env::containsKey)
+                    .map(env::get)
+                    .map(Path::of)
                     .toList());
         }
         Relay relay;
@@ -37,10 +40,13 @@
             return failed(e);
         }
         hangups.serving(() -> relay.reload(() -> Config.read(env), () -> Own.read(env)));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            relay.stop();
-            Logs.drain();
-        }, "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            relay.stop();
+                            Logs.drain();
+                        },
+                        "stop"));
         try {
             relay.run();
             return 0;
--- a/src/main/java/firstair/Signals.java
+++ b/src/main/java/firstair/Signals.java
@@ -7,7 +7,7 @@
 final class Signals {
     private static final Logger LOG = Logger.getLogger(Signals.class.getName());
 
-    private Signals() { }
+    private Signals() {}
 
     /**
      * Runs a task at each SIGHUP, on a thread of its own, in place of the end that the virtual machine has for it.
@@ -20,8 +20,8 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object run = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, args) -> {
+            Object run = Proxy.newProxyInstance(
+                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
                         if (!method.getName().equals("handle")) {
                             return method.invoke(task, args);
                         }
--- a/src/main/java/firstair/cli/Cli.java
+++ b/src/main/java/firstair/cli/Cli.java
@@ -11,15 +11,24 @@
 import picocli.CommandLine.Spec;
 
 /** The program's commands and what they share: help, version, completion, exit statuses. */
-@Command(name = "firstair", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
+@Command(
+        name = "firstair",
+        mixinStandardHelpOptions = true,
+        versionProvider = Cli.Version.class,
         description = "An outbound gateway: relays that deliver messages to many partners' systems.",
         subcommands = {HelpCommand.class, AutoComplete.GenerateCompletion.class},
         synopsisSubcommandLabel = "COMMAND",
         exitCodeListHeading = "%nExit status:%n",
-        exitCodeList = {"0:done, or ended in order", "1:failed, with one line on standard error",
-            "2:a flag, a file or a variable cannot be used"},
-        footer = {"", "Flags go before the environment, the environment before the file.",
-            "firstair COMMAND --help tells more of a command."})
+        exitCodeList = {
+            "0:done, or ended in order",
+            "1:failed, with one line on standard error",
+            "2:a flag, a file or a variable cannot be used"
+        },
+        footer = {
+            "",
+            "Flags go before the environment, the environment before the file.",
+            "firstair COMMAND --help tells more of a command."
+        })
 public final class Cli implements Runnable {
     private static final int FAILED = 1;
     private static final int UNUSABLE = 2;
@@ -27,15 +36,16 @@
     @Spec
     private CommandSpec spec;
 
-    private Cli() { }
+    private Cli() {}
 
     /** Tells the version that the build has written into the program. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
             String built = Cli.class.getPackage().getImplementationVersion();
-            return new String[] {"firstair " + (built == null ? "(not from a jar)" : built)
-                    + ", Java " + Runtime.version()};
+            return new String[] {
+                "firstair " + (built == null ? "(not from a jar)" : built) + ", Java " + Runtime.version()
+            };
         }
     }
 
--- a/src/main/java/firstair/cli/ConfigCommand.java
+++ b/src/main/java/firstair/cli/ConfigCommand.java
@@ -16,8 +16,12 @@
 import picocli.CommandLine.Spec;
 
 /** Looks at a configuration without serving by it. */
-@Command(name = "config", mixinStandardHelpOptions = true, description = "Checks or shows a relay's configuration.",
-        synopsisSubcommandLabel = "COMMAND", subcommands = MigrateCommand.class)
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        description = "Checks or shows a relay's configuration.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = MigrateCommand.class)
 public final class ConfigCommand implements Part {
     @Spec
     private CommandSpec spec;
@@ -28,16 +32,22 @@
         return 2;
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, description = {
-        "Reads the configuration as serve would.", "Status 0 if a relay could start with it; else status 2 and one line"
-            + " that names the field."})
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Reads the configuration as serve would.",
+                "Status 0 if a relay could start with it; else status 2 and one line" + " that names the field."
+            })
     int check(@Mixin Files files) {
         Config c = read(files);
         spec.commandLine().getOut().println("relay " + c.name() + ": the configuration can be used");
         return 0;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
             description = "Prints what a relay would serve by, a value a line, and where the files were named.")
     int show(@Mixin Files files) throws ReflectiveOperationException {
         Config c = read(files);
@@ -48,21 +58,33 @@
         out.println("listen = " + HostPort.of(c.listen()));
         out.println("discovery = " + HostPort.of(c.discovery()));
         out.println("state = " + c.state());
-        out.println("known = " + (c.known() == null ? "none" : c.known().entries().size() + " endpoints, version "
-                + c.known().version()));
+        out.println("known = "
+                + (c.known() == null
+                        ? "none"
+                        : c.known().entries().size() + " endpoints, version "
+                                + c.known().version()));
         for (Item i : Own.schema().items()) {
             Values.Value v = c.own().value(i.path());
-            out.println(i.path() + " = " + (v == null ? i.write(i.usually()) + "  # usual" : i.write(v) + "  # "
-                    + v.origin() + (v.overrode().isEmpty() ? "" : ", not " + v.overrode())));
+            out.println(i.path() + " = "
+                    + (v == null
+                            ? i.write(i.usually()) + "  # usual"
+                            : i.write(v) + "  # " + v.origin()
+                                    + (v.overrode().isEmpty() ? "" : ", not " + v.overrode())));
         }
         print(out, "limits.", c.limits().tuned(c.own()), Limits.class);
-        print(out, "settings.limits.", c.settings().limits(), c.settings().limits().getClass());
+        print(
+                out,
+                "settings.limits.",
+                c.settings().limits(),
+                c.settings().limits().getClass());
         print(out, "settings.rules.", c.settings().rules(), c.settings().rules().getClass());
         c.settings().classes().forEach(k -> out.println("settings.classes." + k.name() + " = " + k));
         return 0;
     }
 
-    @Command(name = "reference", mixinStandardHelpOptions = true,
+    @Command(
+            name = "reference",
+            mixinStandardHelpOptions = true,
             description = "Prints the reference of the settings that are ours, in Markdown.")
     int reference() {
         spec.commandLine().getOut().print(page());
@@ -72,7 +94,9 @@
 
     /** The reference page, {@code docs/configuration.md}. */
     static String page() {
-        return Own.schema().reference("""
+        return Own.schema()
+                .reference(
+                        """
                 # Settings of ours
 
                 This page is made by `bin/firstair config reference > docs/configuration.md`; a test compares the two.
--- a/src/main/java/firstair/cli/MigrateCommand.java
+++ b/src/main/java/firstair/cli/MigrateCommand.java
@@ -19,9 +19,13 @@
 import picocli.CommandLine.Spec;
 
 /** Writes the counterpart of an old configuration for a deployment of another shape. */
-@Command(name = "migrate", mixinStandardHelpOptions = true, description = {
-    "Reads a configuration of the old shape and writes its counterpart for the new one.",
-    "Lists what it wrote and what it could not carry over. docs/migration.md has the steps of a move."})
+@Command(
+        name = "migrate",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Reads a configuration of the old shape and writes its counterpart for the new one.",
+            "Lists what it wrote and what it could not carry over. docs/migration.md has the steps of a move."
+        })
 final class MigrateCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -38,14 +42,18 @@
     @Option(names = "--dry-run", description = "write nothing; print what would be written, and the list")
     private boolean dryRun;
 
-    @Option(names = "--reports", paramLabel = "HOW",
+    @Option(
+            names = "--reports",
+            paramLabel = "HOW",
             description = "how endpoints report load there: answers, probe, none")
     private String reports;
 
     @Option(names = "--weights", paramLabel = "KIND", description = "what weights hold there: none, rough, nominal")
     private String weights;
 
-    @Option(names = "--drain-grace", paramLabel = "MS",
+    @Option(
+            names = "--drain-grace",
+            paramLabel = "MS",
             description = "time for the last new call to an endpoint that drains")
     private Double drainGrace;
 
@@ -57,16 +65,21 @@
         if (drainGrace != null && !(drainGrace >= 0 && drainGrace < Double.POSITIVE_INFINITY)) {
             throw new ConfigException("--drain-grace", "not a time from 0 on: " + drainGrace);
         }
-        Map<String, String> env = new HashMap<>(Map.of("ROUTER_STATE", ".", "ROUTER_LISTEN", "127.0.0.1:0",
-                "ROUTER_DISCOVERY", "127.0.0.1:1"));
+        Map<String, String> env = new HashMap<>(
+                Map.of("ROUTER_STATE", ".", "ROUTER_LISTEN", "127.0.0.1:0", "ROUTER_DISCOVERY", "127.0.0.1:1"));
         env.putAll(System.getenv());
         env.put("ROUTER_CONFIG", old.toString());
         String text = Config.text(env);
         Config.parse(text, env); // a file that no relay could use is told as serve would
-        Migration m = new Migration(JsonParser.parseString(text).getAsJsonObject(),
-                new Migration.Shape(reports, weights, drainGrace));
-        String migrated = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().serializeNulls().create()
-                .toJson(m.migrated()) + "\n";
+        Migration m = new Migration(
+                JsonParser.parseString(text).getAsJsonObject(), new Migration.Shape(reports, weights, drainGrace));
+        String migrated = new GsonBuilder()
+                        .setPrettyPrinting()
+                        .disableHtmlEscaping()
+                        .serializeNulls()
+                        .create()
+                        .toJson(m.migrated())
+                + "\n";
         Config.parse(migrated, env);
         PrintWriter tell = spec.commandLine().getOut();
         if (dryRun) {
--- a/src/main/java/firstair/cli/Migration.java
+++ b/src/main/java/firstair/cli/Migration.java
@@ -17,18 +17,40 @@
     private static final String[][] NOT_HELD = {
         {"accounts", "shares and quotas of accounts are the operator's to add; a relay needs none to serve"},
         {"overShareWorth", "goes with the accounts"},
-        {"familyInfo.refusedPrice", "the platform sets it; a relay does not read it"}};
+        {"familyInfo.refusedPrice", "the platform sets it; a relay does not read it"}
+    };
+
     private static final Set<String> TOP = Set.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
-    private static final Set<String> SETTINGS = Set.of("groupSize", "classes", "clients", "discovery", "kindOfService",
-            "familyInfo", "scoringMix", "shapes", "limits", "slotNo", "overShareWorth", "prices", "loadReport",
-            "safety", "accounts", "quantum", "tier", "tiers", "weightKind", "worthBy", "az", "azs");
+    private static final Set<String> SETTINGS = Set.of(
+            "groupSize",
+            "classes",
+            "clients",
+            "discovery",
+            "kindOfService",
+            "familyInfo",
+            "scoringMix",
+            "shapes",
+            "limits",
+            "slotNo",
+            "overShareWorth",
+            "prices",
+            "loadReport",
+            "safety",
+            "accounts",
+            "quantum",
+            "tier",
+            "tiers",
+            "weightKind",
+            "worthBy",
+            "az",
+            "azs");
 
     private final JsonObject root;
     private final List<String> changes = new ArrayList<>();
     private final List<String> open = new ArrayList<>();
 
     /** What the operator says of the new deployment; null leaves the file's own, or today's usual, value. */
-    record Shape(String reports, String weights, Double drainGraceMs) { }
+    record Shape(String reports, String weights, Double drainGraceMs) {}
 
     /** Reads an old configuration; it is not changed itself. */
     Migration(JsonObject old, Shape shape) {
@@ -47,9 +69,17 @@
         }
         put(settings, "settings.", "weightKind", shape.weights(), "none");
         JsonElement classes = settings.get("classes");
-        for (int i = 0; classes != null && classes.isJsonArray() && i < classes.getAsJsonArray().size(); i++) {
-            put(object("classes." + i, classes.getAsJsonArray().get(i)), "settings.classes." + i + ".", "semantics",
-                    null, "retryable");
+        for (int i = 0;
+                classes != null
+                        && classes.isJsonArray()
+                        && i < classes.getAsJsonArray().size();
+                i++) {
+            put(
+                    object("classes." + i, classes.getAsJsonArray().get(i)),
+                    "settings.classes." + i + ".",
+                    "semantics",
+                    null,
+                    "retryable");
         }
         if (shape.drainGraceMs() != null) {
             JsonObject safety = child(settings, "safety");
@@ -59,7 +89,8 @@
                 changes.add("settings.safety.drainGrace = " + shape.drainGraceMs());
             }
         }
-        if (report.get("how").getAsString().equals("none") && settings.get("weightKind").getAsString().equals("none")) {
+        if (report.get("how").getAsString().equals("none")
+                && settings.get("weightKind").getAsString().equals("none")) {
             open.add("settings.weightKind: neither reports nor weights tell a limit; refusals alone will");
         }
         for (String[] one : NOT_HELD) {
@@ -72,13 +103,19 @@
     }
 
     /** The configuration for the new shape. */
-    JsonObject migrated() { return root; }
+    JsonObject migrated() {
+        return root;
+    }
 
     /** What was written that the old file left out or had otherwise, a line each. */
-    List<String> changes() { return changes; }
+    List<String> changes() {
+        return changes;
+    }
 
     /** What could not be carried over or is not known, a line each. */
-    List<String> open() { return open; }
+    List<String> open() {
+        return open;
+    }
 
     private void put(JsonObject at, String path, String name, String told, String usual) {
         JsonElement before = at.get(name);
@@ -105,12 +142,15 @@
 
     private static boolean has(JsonObject at, String path) {
         int dot = path.indexOf('.');
-        return dot < 0 ? at.has(path) : at.has(path.substring(0, dot))
-                && at.getAsJsonObject(path.substring(0, dot)).has(path.substring(dot + 1));
+        return dot < 0
+                ? at.has(path)
+                : at.has(path.substring(0, dot))
+                        && at.getAsJsonObject(path.substring(0, dot)).has(path.substring(dot + 1));
     }
 
     private void unknown(JsonObject at, String path, Set<String> known) {
-        at.keySet().stream().filter(k -> !known.contains(k))
+        at.keySet().stream()
+                .filter(k -> !known.contains(k))
                 .forEach(k -> open.add(path + k + ": not known here; kept as it is"));
     }
 }
--- a/src/main/java/firstair/cli/SimhostCommand.java
+++ b/src/main/java/firstair/cli/SimhostCommand.java
@@ -5,7 +5,9 @@
 import picocli.CommandLine.Command;
 
 /** Hosts the decisions on the simulator's wire. */
-@Command(name = "simhost", mixinStandardHelpOptions = true,
+@Command(
+        name = "simhost",
+        mixinStandardHelpOptions = true,
         description = "Hosts the decisions on the simulator's wire, over the standard streams.")
 public final class SimhostCommand implements Part {
     @Override
--- a/src/main/java/firstair/config/Fault.java
+++ b/src/main/java/firstair/config/Fault.java
@@ -13,8 +13,9 @@
     /** Cuts what is long and makes one line of it: a file must not forge lines of our log. */
     public Fault {
         StringBuilder clean = new StringBuilder();
-        what.codePoints().limit(LONGEST).forEach(c -> clean.appendCodePoint(Character.isISOControl(c)
-                || c == 0x2028 || c == 0x2029 ? ' ' : c));
+        what.codePoints()
+                .limit(LONGEST)
+                .forEach(c -> clean.appendCodePoint(Character.isISOControl(c) || c == 0x2028 || c == 0x2029 ? ' ' : c));
         what = clean.toString();
     }
 
--- a/src/main/java/firstair/config/Item.java
+++ b/src/main/java/firstair/config/Item.java
@@ -42,7 +42,8 @@
 
     /** A value as people write it: in its unit, or as a text in quotes. */
     public String write(Values.Value value) {
-        return kind.isText() ? '"' + value.text().replace("\\", "\\\\").replace("\"", "\\\"") + '"'
+        return kind.isText()
+                ? '"' + value.text().replace("\\", "\\\\").replace("\"", "\\\"") + '"'
                 : kind.write(value.value());
     }
 }
--- a/src/main/java/firstair/config/Kind.java
+++ b/src/main/java/firstair/config/Kind.java
@@ -9,10 +9,15 @@
 /** What a value is, how it is written, and the unit that the program counts it in. */
 public enum Kind {
     /** Milliseconds; written with a unit. */
-    DURATION("a duration such as \"250ms\", \"1.5s\", \"2m\" or \"1h\"", "(\\d{1,9}(?:\\.\\d{1,6})?)\\s?(ms|s|m|h)",
-            new String[] {"ms", "s", "m", "h"}, new double[] {1, 1000, 60_000, 3_600_000}),
+    DURATION(
+            "a duration such as \"250ms\", \"1.5s\", \"2m\" or \"1h\"",
+            "(\\d{1,9}(?:\\.\\d{1,6})?)\\s?(ms|s|m|h)",
+            new String[] {"ms", "s", "m", "h"},
+            new double[] {1, 1000, 60_000, 3_600_000}),
     /** Bytes; written with a unit. */
-    SIZE("a size such as \"64KiB\", \"4MiB\" or \"3MB\"", "(\\d{1,12})\\s?(B|KiB|MiB|GiB|KB|MB|GB)",
+    SIZE(
+            "a size such as \"64KiB\", \"4MiB\" or \"3MB\"",
+            "(\\d{1,12})\\s?(B|KiB|MiB|GiB|KB|MB|GB)",
             new String[] {"B", "KiB", "MiB", "GiB", "KB", "MB", "GB"},
             new double[] {1, 1024, 1 << 20, 1 << 30, 1e3, 1e6, 1e9}),
     /** A whole number. */
@@ -50,7 +55,9 @@
 
     /** The texts of a {@link #NAMES} value; one of them is empty if nothing stands beside a comma. */
     public static List<String> names(String text) {
-        return text.isBlank() ? List.of() : Arrays.stream(text.split(",", -1)).map(String::strip).toList();
+        return text.isBlank()
+                ? List.of()
+                : Arrays.stream(text.split(",", -1)).map(String::strip).toList();
     }
 
     /**
@@ -93,8 +100,9 @@
             }
         }
         double n = value / factors[best];
-        String number = n == Math.rint(n) ? String.valueOf((long) n) : String.format(Locale.ROOT, "%.6f", n)
-                .replaceAll("\\.?0+$", "");
+        String number = n == Math.rint(n)
+                ? String.valueOf((long) n)
+                : String.format(Locale.ROOT, "%.6f", n).replaceAll("\\.?0+$", "");
         return number + units[best];
     }
 }
--- a/src/main/java/firstair/config/Read.java
+++ b/src/main/java/firstair/config/Read.java
@@ -42,8 +42,8 @@
         try {
             TomlParseResult parsed = Toml.parse(text);
             for (TomlParseError e : parsed.errors()) {
-                faults.add(new Fault(source, e.position().line(), e.position().column(),
-                        String.valueOf(e.getMessage())));
+                faults.add(
+                        new Fault(source, e.position().line(), e.position().column(), String.valueOf(e.getMessage())));
             }
             if (!parsed.hasErrors()) {
                 walk(source, parsed, "", schema, set, faults);
@@ -57,8 +57,12 @@
     private static String decoded(String source, byte[] bytes, List<Fault> faults) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            String text = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)
-                    .onUnmappableCharacter(CodingErrorAction.REPORT).decode(in).toString();
+            String text = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .onMalformedInput(CodingErrorAction.REPORT)
+                    .onUnmappableCharacter(CodingErrorAction.REPORT)
+                    .decode(in)
+                    .toString();
             return text.startsWith("\uFEFF") ? text.substring(1) : text;
         } catch (CharacterCodingException e) {
             int line = 1;
@@ -85,8 +89,13 @@
         return false;
     }
 
-    private static void walk(String source, TomlTable table, String before, Schema schema,
-            Map<String, Values.Value> set, List<Fault> faults) {
+    private static void walk(
+            String source,
+            TomlTable table,
+            String before,
+            Schema schema,
+            Map<String, Values.Value> set,
+            List<Fault> faults) {
         for (String key : table.keySet()) {
             List<String> one = List.of(key);
             String path = before + key;
@@ -99,8 +108,15 @@
             if (found instanceof TomlTable && known) {
                 walk(source, (TomlTable) found, path + ".", schema, set, faults);
             } else {
-                check(source + (line > 0 ? ":" + line : ""), new Fault(source, line, column, shown(found)), path, item,
-                        written(found, item), schema, set, faults);
+                check(
+                        source + (line > 0 ? ":" + line : ""),
+                        new Fault(source, line, column, shown(found)),
+                        path,
+                        item,
+                        written(found, item),
+                        schema,
+                        set,
+                        faults);
             }
         }
     }
@@ -117,8 +133,8 @@
         if (item.kind() == Kind.NAMES && found instanceof TomlArray) {
             List<Object> each = ((TomlArray) found).toList();
             // A comma within a text would make two of it.
-            if (each.stream().allMatch(e -> e instanceof String && !((String) e).contains(",")
-                    && !((String) e).isBlank())) {
+            if (each.stream()
+                    .allMatch(e -> e instanceof String && !((String) e).contains(",") && !((String) e).isBlank())) {
                 return each.stream().map(String::valueOf).collect(Collectors.joining(","));
             }
         }
@@ -133,8 +149,15 @@
     public static Read texts(Map<String, String> texts, Map<String, String> origins, Schema schema) {
         List<Fault> faults = new ArrayList<>();
         Map<String, Values.Value> set = new LinkedHashMap<>();
-        texts.forEach((path, text) -> check(origins.get(path), new Fault(origins.get(path), 0, 0, text), path,
-                schema.item(path), text, schema, set, faults));
+        texts.forEach((path, text) -> check(
+                origins.get(path),
+                new Fault(origins.get(path), 0, 0, text),
+                path,
+                schema.item(path),
+                text,
+                schema,
+                set,
+                faults));
         return new Read(Values.of(set), faults);
     }
 
@@ -144,8 +167,15 @@
     }
 
     /** Takes a text for an item, or tells what is wrong with it; {@code found} holds what stood there and where. */
-    private static void check(String origin, Fault found, String path, Item item, String text, Schema schema,
-            Map<String, Values.Value> set, List<Fault> faults) {
+    private static void check(
+            String origin,
+            Fault found,
+            String path,
+            Item item,
+            String text,
+            Schema schema,
+            Map<String, Values.Value> set,
+            List<Fault> faults) {
         String what;
         if (item == null) {
             String nearest = schema.nearest(path);
--- a/src/main/java/firstair/config/Schema.java
+++ b/src/main/java/firstair/config/Schema.java
@@ -19,8 +19,8 @@
     }
 
     /** Adds an item to the table added last. */
-    public Schema item(String name, Kind kind, String usual, double least, double most, boolean atReload,
-            String meaning) {
+    public Schema item(
+            String name, Kind kind, String usual, double least, double most, boolean atReload, String meaning) {
         List<String> all = new ArrayList<>(tables.keySet());
         String path = all.get(all.size() - 1) + "." + name;
         items.put(path, new Item(path, kind, usual, least, most, atReload, meaning));
@@ -81,14 +81,25 @@
     public String reference(String head) {
         StringBuilder page = new StringBuilder(head);
         tables.forEach((table, about) -> {
-            page.append("\n## [").append(table).append("]\n\n").append(about).append(".\n\n")
+            page.append("\n## [")
+                    .append(table)
+                    .append("]\n\n")
+                    .append(about)
+                    .append(".\n\n")
                     .append("| name | usual | allowed | at SIGHUP | meaning |\n| --- | --- | --- | --- | --- |\n");
-            items.values().stream().filter(i -> i.path().startsWith(table + ".")).forEach(i ->
-                    page.append("| `").append(i.path().substring(table.length() + 1)).append("` | ")
-                            .append(i.usual().isEmpty() ? "empty" : '`' + i.usual() + '`').append(" | ")
-                            .append(i.allowed()).append(" | ")
-                            .append(i.atReload() ? "taken over" : "waits for the next start").append(" | ")
-                            .append(i.meaning()).append(" |\n"));
+            items.values().stream()
+                    .filter(i -> i.path().startsWith(table + "."))
+                    .forEach(i -> page.append("| `")
+                            .append(i.path().substring(table.length() + 1))
+                            .append("` | ")
+                            .append(i.usual().isEmpty() ? "empty" : '`' + i.usual() + '`')
+                            .append(" | ")
+                            .append(i.allowed())
+                            .append(" | ")
+                            .append(i.atReload() ? "taken over" : "waits for the next start")
+                            .append(" | ")
+                            .append(i.meaning())
+                            .append(" |\n"));
         });
         return page.toString();
     }
--- a/src/main/java/firstair/config/Values.java
+++ b/src/main/java/firstair/config/Values.java
@@ -17,7 +17,7 @@
      * @param origin   where it was set
      * @param overrode where it was set as well and did not count, empty if nowhere
      */
-    public record Value(double value, String text, String origin, String overrode) { }
+    public record Value(double value, String text, String origin, String overrode) {}
 
     private final Map<String, Value> set;
 
--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -11,23 +11,46 @@
 public interface Controller {
 
     /** Whether a message may be sent more than once. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The endpoints among which a destination drops repeats of a key. */
-    enum Scope { ALL, ZONE }
+    enum Scope {
+        ALL,
+        ZONE
+    }
 
     /** How the worth of a message falls after its aim. */
-    enum LateCurve { LINEAR, HALVING }
+    enum LateCurve {
+        LINEAR,
+        HALVING
+    }
 
     /** What the weight of an endpoint holds: nothing, calls a second, or a rough figure of them. */
-    enum Weight { NONE, NOMINAL, ROUGH }
+    enum Weight {
+        NONE,
+        NOMINAL,
+        ROUGH
+    }
 
     /**
      * How an attempt ended. {@code CROWDED}: the endpoint answered, but took no further connection; nothing ran.
      * {@code WITHHELD}: nothing of it was written, by {@link #mayGo}; it counts as none, and its number is free again.
      */
     enum Result {
-        OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, CROWDED, RESET, CANCELLED, NOT_SENT, WITHHELD;
+        OK,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        CONNECT_FAILED,
+        CROWDED,
+        RESET,
+        CANCELLED,
+        NOT_SENT,
+        WITHHELD;
 
         /** Whether the message may have run: it has not where the call was turned away or never got there. */
         public boolean maybeRan() {
@@ -36,47 +59,101 @@
     }
 
     /** State of an endpoint on the list; it tells nothing of its health. */
-    enum Listing { ACTIVE, LEAVING, LEFT }
+    enum Listing {
+        ACTIVE,
+        LEAVING,
+        LEFT
+    }
 
     /** What a piece of news of the list brings. */
-    enum News { CHANGES, COMPLETE, STORED, FAILED }
+    enum News {
+        CHANGES,
+        COMPLETE,
+        STORED,
+        FAILED
+    }
 
     /** A class of message. */
-    record MessageClass(String name, Effect effect, Scope scope, boolean inOrder, boolean streaming, double aimMs,
-            double aimStretch, double deadlineMs, double windowMs, double worth, double lateWorth) { }
+    record MessageClass(
+            String name,
+            Effect effect,
+            Scope scope,
+            boolean inOrder,
+            boolean streaming,
+            double aimMs,
+            double aimStretch,
+            double deadlineMs,
+            double windowMs,
+            double worth,
+            double lateWorth) {}
 
     /** A kind of destination: whether its endpoints are routes apart, and how many messages a call carries. */
-    record Kind(boolean routesApart, int bundleMax) { }
+    record Kind(boolean routesApart, int bundleMax) {}
 
     /** What the site permits. */
-    record Limits(int slots, int maxOpen, int maxAttempts, boolean cancel, boolean probes, boolean peers,
-            boolean retryAfter, double maxRetryAfterMs, boolean secondCopies, int callsPerConnection,
-            double connectTimeoutMs, double connectionIdleMs) { }
+    record Limits(
+            int slots,
+            int maxOpen,
+            int maxAttempts,
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean retryAfter,
+            double maxRetryAfterMs,
+            boolean secondCopies,
+            int callsPerConnection,
+            double connectTimeoutMs,
+            double connectionIdleMs) {}
 
     /** Figures of the rules. */
-    record Rules(double answerSlackMs, double askEveryMs, double drainGraceMs, double startCapacity,
-            double warmAfterMs, double fallMultiple, double overloadForMs, double settleAfterDoubtMs) { }
+    record Rules(
+            double answerSlackMs,
+            double askEveryMs,
+            double drainGraceMs,
+            double startCapacity,
+            double warmAfterMs,
+            double fallMultiple,
+            double overloadForMs,
+            double settleAfterDoubtMs) {}
 
     /**
      * Settings of one relay; {@code group} is the number of relays that share the destinations, and with
      * {@code limitsTold} answers report the limit of a destination, 0 where it has none.
      */
-    record Settings(int group, int index, int zone, boolean askForList, Weight weight, boolean limitsTold,
-            LateCurve late, List<MessageClass> classes, List<Kind> kinds, Limits limits, Rules rules) { }
+    record Settings(
+            int group,
+            int index,
+            int zone,
+            boolean askForList,
+            Weight weight,
+            boolean limitsTold,
+            LateCurve late,
+            List<MessageClass> classes,
+            List<Kind> kinds,
+            Limits limits,
+            Rules rules) {}
 
     /** A line of the list of endpoints. */
-    record Entry(String endpoint, int destination, int kind, int zone, double weight, Listing listing) { }
+    record Entry(String endpoint, int destination, int kind, int zone, double weight, Listing listing) {}
 
     /** A call that was made before a restart; {@code maybeRan} unless it is known that it never ran. */
-    record Try(String endpoint, double sentAt, boolean maybeRan) { }
+    record Try(String endpoint, double sentAt, boolean maybeRan) {}
 
     /**
      * A message handed to this relay, or taken up again after a restart with what was {@code tried} for it in
      * that order. {@code again} and {@code fromDeadRelay} tell that it may have a history
      * that this relay never saw; {@code workMs} is a guess of its work, 0 if none is given.
      */
-    record Message(long id, int messageClass, int destination, String key, double deadlineAt, double workMs,
-            boolean again, boolean fromDeadRelay, List<Try> tried) { }
+    record Message(
+            long id,
+            int messageClass,
+            int destination,
+            String key,
+            double deadlineAt,
+            double workMs,
+            boolean again,
+            boolean fromDeadRelay,
+            List<Try> tried) {}
 
     /** What a destination reported of its limit; NaN where it told nothing. */
     record Load(double allowanceLeft, double limitPerS) {
@@ -90,8 +167,8 @@
      */
     record Share(double part, double until, double sure, int repeats) {
         /** Nothing imposed. */
-        public static final Share ALL = new Share(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0,
-                Integer.MAX_VALUE);
+        public static final Share ALL =
+                new Share(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, Integer.MAX_VALUE);
 
         /** The part at a moment. */
         public double at(double now) {
@@ -114,8 +191,15 @@
     }
 
     /** The end of an attempt; {@code over} if the message ended with it, {@code waitMs} 0 if no wait was told. */
-    record Outcome(long id, int attempt, String endpoint, Result result, double tookMs, boolean over,
-            double waitMs, Load load) { }
+    record Outcome(
+            long id,
+            int attempt,
+            String endpoint,
+            Result result,
+            double tookMs,
+            boolean over,
+            double waitMs,
+            Load load) {}
 
     /** What a relay may ask of its host. */
     interface Actions {
@@ -169,10 +253,10 @@
      * A wait was read at {@code now} in an answer to an attempt, before its end; the attempt may be over by now. The
      * wait of its outcome is the same one.
      */
-    default void waits(double now, String endpoint, long id, int attempt, double waitMs) { }
+    default void waits(double now, String endpoint, long id, int attempt, double waitMs) {}
 
     /** The answer to an attempt of a streamed class has begun. */
-    default void begun(double now, long id, int attempt) { }
+    default void begun(double now, long id, int attempt) {}
 
     /** Nobody wants the message any more; its attempts run on. */
     void withdrawn(double now, long id);
@@ -184,10 +268,10 @@
      * What others of the fleet leave to this relay of a destination, or with -1 of all of which nothing is told. Where
      * that was never told either, the relay judges by itself alone.
      */
-    default void share(double now, int destination, Share share) { }
+    default void share(double now, int destination, Share share) {}
 
     /** Others were told to wait with an endpoint, which binds here as well, or hold it to be sick. */
-    default void warned(double now, String endpoint, double waitUntil, double avoidUntil) { }
+    default void warned(double now, String endpoint, double waitUntil, double avoidUntil) {}
 
     /**
      * What binds a message beyond its class, from now on; none of it until told.
@@ -195,7 +279,7 @@
      * @param zones zones in which it may be sent, or null for all
      * @param lane  what was booked for it, or null
      */
-    default void terms(double now, long id, Set<Integer> zones, Lane lane) { }
+    default void terms(double now, long id, Set<Integer> zones, Lane lane) {}
 
     /** All events of this round were handed in: act. */
     void decide(double now);
--- a/src/main/java/firstair/fleet/AgreedBookings.java
+++ b/src/main/java/firstair/fleet/AgreedBookings.java
@@ -20,8 +20,12 @@
     /** An operation for the ledger. */
     static byte[] operation(long atMs, Operation operation) {
         byte[] text = Operations.write(operation);
-        return Agreements.operation(Agreements.BOOKINGS,
-                ByteBuffer.allocate(Long.BYTES + text.length).putLong(atMs).put(text).array());
+        return Agreements.operation(
+                Agreements.BOOKINGS,
+                ByteBuffer.allocate(Long.BYTES + text.length)
+                        .putLong(atMs)
+                        .put(text)
+                        .array());
     }
 
     /** @throws Fault as the rules of bookings have it; what time alone brings has happened all the same */
--- a/src/main/java/firstair/fleet/ContractTexts.java
+++ b/src/main/java/firstair/fleet/ContractTexts.java
@@ -18,7 +18,7 @@
 
 /** Contracts as the ledger keeps them: one JSON object each, the same for the same content. */
 final class ContractTexts {
-    private ContractTexts() { }
+    private ContractTexts() {}
 
     static List<String> write(Map<String, Contract> contracts) {
         List<String> all = new ArrayList<>();
@@ -51,11 +51,19 @@
                 JsonObject o = JsonParser.parseString(text).getAsJsonObject();
                 Map<String, Set<String>> classes = new LinkedHashMap<>();
                 o.getAsJsonObject("classes").entrySet().forEach(e -> classes.put(e.getKey(), zones(e.getValue())));
-                Contract c = new Contract(o.get("tenant").getAsString(), zones(o.get("zones")), classes,
-                        zones(o.get("always")), o.get("calls_per_s").getAsDouble(), o.get("from").getAsLong());
+                Contract c = new Contract(
+                        o.get("tenant").getAsString(),
+                        zones(o.get("zones")),
+                        classes,
+                        zones(o.get("always")),
+                        o.get("calls_per_s").getAsDouble(),
+                        o.get("from").getAsLong());
                 all.put(c.tenant(), c);
-            } catch (JsonParseException | IllegalStateException | UnsupportedOperationException
-                    | NullPointerException | NumberFormatException e) {
+            } catch (JsonParseException
+                    | IllegalStateException
+                    | UnsupportedOperationException
+                    | NullPointerException
+                    | NumberFormatException e) {
                 throw new Fault.Unreadable("a contract in the ledger: " + e.getMessage());
             }
         }
--- a/src/main/java/firstair/fleet/Fleet.java
+++ b/src/main/java/firstair/fleet/Fleet.java
@@ -48,22 +48,22 @@
  * contracts and bookings alone. The same events and seed give the same actions.
  */
 public final class Fleet {
-    private static final double ROUND_MS = 250;      // how often what follows from others is looked at again
-    private static final double FRESH_MS = 1000;     // a share that rests on the wall clock has to be told again
-    private static final double DEMAND_MS = 4000;    // over which demand is averaged
-    private static final double HEADROOM = 1.25;     // so many times the demand is asked for
+    private static final double ROUND_MS = 250; // how often what follows from others is looked at again
+    private static final double FRESH_MS = 1000; // a share that rests on the wall clock has to be told again
+    private static final double DEMAND_MS = 4000; // over which demand is averaged
+    private static final double HEADROOM = 1.25; // so many times the demand is asked for
     private static final double LONGEST_WAIT_MS = 60_000;
-    private static final double FAILS_MS = 5000;     // failures seen count for so long
+    private static final double FAILS_MS = 5000; // failures seen count for so long
     private static final double ANSWERS_MS = 5000;
-    private static final int FAILS = 3;              // in a row at an endpoint that are worth telling
-    private static final int SIGNS = 8;              // told with one hello
-    private static final int SECONDS = 2;            // of counts told with one hello
+    private static final int FAILS = 3; // in a row at an endpoint that are worth telling
+    private static final int SIGNS = 8; // told with one hello
+    private static final int SECONDS = 2; // of counts told with one hello
     private static final double QUOTA_BURST_MS = 1000;
     private static final double ASK_MS = 1000;
     private static final double PATIENCE_MS = 700;
-    private static final double TICKS_IN_SEAL = 8;   // of the ledger's clock, so that relays know their sealed span
+    private static final double TICKS_IN_SEAL = 8; // of the ledger's clock, so that relays know their sealed span
     private static final double TICK_PAUSE_MS = 2000;
-    private static final double FORGET_MS = 60_000;  // zones that nobody asked for
+    private static final double FORGET_MS = 60_000; // zones that nobody asked for
     private static final int MOST_PAIRS = 4096;
     private static final byte[] NOTHING = new byte[0];
 
@@ -107,7 +107,7 @@
     /** One destination, and what was told of it. */
     private static final class Dest {
         final Flow flow = new Flow();
-        double limit;             // calls a second, 0 while none is known
+        double limit; // calls a second, 0 while none is known
         Share told;
     }
 
@@ -128,7 +128,7 @@
         boolean avoidTold;
     }
 
-    private record Pair(String tenant, String messageClass) { }
+    private record Pair(String tenant, String messageClass) {}
 
     private static final class Asked {
         Set<String> zones;
@@ -159,11 +159,11 @@
     private final Contracts contracts;
     private final Residency residency;
     private final Booked booked;
-    private final Ledger ledger;     // where we are a voter and something is agreed on
+    private final Ledger ledger; // where we are a voter and something is agreed on
     private final Follower follower; // elsewhere
     private final Proposer proposer;
     private final AgreedBookings own = new AgreedBookings(); // of the ledger
-    private Bookings bookings;       // as last agreed, null before
+    private Bookings bookings; // as last agreed, null before
     private final Map<Integer, Dest> dests = new TreeMap<>();
     private final Map<String, Seen> endpoints = new LinkedHashMap<>();
     private final Map<Pair, Asked> pairs = new LinkedHashMap<>();
@@ -171,17 +171,17 @@
     private final Map<String, Way> ways = new LinkedHashMap<>(); // by destination and booking
     private final Map<String, List<Note>> outgoing = new LinkedHashMap<>();
     private double now;
-    private double wallAtZero;       // epoch ms at zero of our clock
+    private double wallAtZero; // epoch ms at zero of our clock
     private double roundAt = Double.NEGATIVE_INFINITY;
     private double wakeAt = Double.POSITIVE_INFINITY;
     private double tickAt = Double.NEGATIVE_INFINITY;
     private double contractsAt = Double.NEGATIVE_INFINITY;
-    private long contractsHeld;      // newest version agreed
+    private long contractsHeld; // newest version agreed
     private List<Map<String, Contract>> versions = List.of(); // that are kept of those agreed
     private long agreedVersion;
     private byte[] agreedState = NOTHING;
     private byte[] bookingsHeld = NOTHING;
-    private boolean over;            // stepped back, or left
+    private boolean over; // stepped back, or left
 
     /**
      * A process that starts.
@@ -192,8 +192,16 @@
      * @param at          now
      * @param epochMs     the wall clock now
      */
-    public Fleet(Setup setup, Sharing sharing, long incarnation, long seed, LedgerMemory memory, Keeper keeper,
-            double at, double epochMs, Actions actions) {
+    public Fleet(
+            Setup setup,
+            Sharing sharing,
+            long incarnation,
+            long seed,
+            LedgerMemory memory,
+            Keeper keeper,
+            double at,
+            double epochMs,
+            Actions actions) {
         this.setup = setup;
         this.sharing = sharing;
         this.incarnation = incarnation;
@@ -206,10 +214,10 @@
         members = new Membership(setup, incarnation, new Random(random.nextLong()), post);
         budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), post, at, sharing.repeatsEach());
         counts = new Counts(setup, incarnation);
-        signs = new Judgements(setup, incarnation, LONGEST_WAIT_MS,
-                s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
-        contracts = new Contracts(setup, at, epochMs, sharing.contractTermMs(), sharing.contracts(),
-                sharing.tenants(), post);
+        signs = new Judgements(
+                setup, incarnation, LONGEST_WAIT_MS, s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
+        contracts = new Contracts(
+                setup, at, epochMs, sharing.contractTermMs(), sharing.contracts(), sharing.tenants(), post);
         residency = new Residency(setup, contracts, at, QUOTA_BURST_MS);
         booked = new Booked(sharing.skewMs());
         Random ledgers = new Random(random.nextLong());
@@ -217,8 +225,8 @@
             TreeMap<Integer, Agreement> machines = new TreeMap<>();
             machines.put(Agreements.CONTRACTS, new AgreedContracts(2 * sharing.contractTermMs()));
             machines.put(Agreements.BOOKINGS, own);
-            ledger = new Ledger(setup, incarnation, memory, keeper, new Agreements(machines), post, ledgers,
-                    this::agreed);
+            ledger = new Ledger(
+                    setup, incarnation, memory, keeper, new Agreements(machines), post, ledgers, this::agreed);
         } else {
             ledger = null;
         }
@@ -285,13 +293,20 @@
             signs.heard(now, from, n);
         } else if (note instanceof Note.Counts n) {
             counts.heard(now, n);
-        } else if (note instanceof Note.StandingAsk || note instanceof Note.StandingAnswer
-                || note instanceof Note.StandingBack || note instanceof Note.LoanAsk || note instanceof Note.Loan
-                || note instanceof Note.LoanBack || note instanceof Note.Gift) {
+        } else if (note instanceof Note.StandingAsk
+                || note instanceof Note.StandingAnswer
+                || note instanceof Note.StandingBack
+                || note instanceof Note.LoanAsk
+                || note instanceof Note.Loan
+                || note instanceof Note.LoanBack
+                || note instanceof Note.Gift) {
             budgets.heard(now, from, sender, note);
         } else if (ledger != null) {
-            if (note instanceof Note.Engine || note instanceof Note.Propose || note instanceof Note.Proposed
-                    || note instanceof Note.AgreedAsk || note instanceof Note.Agreed) {
+            if (note instanceof Note.Engine
+                    || note instanceof Note.Propose
+                    || note instanceof Note.Proposed
+                    || note instanceof Note.AgreedAsk
+                    || note instanceof Note.Agreed) {
                 ledger.heard(now, from, note);
             }
         } else if (note instanceof Note.Agreed n && follower != null) {
@@ -336,8 +351,11 @@
 
     /** When the first share that was told ends: what holds from then on is told at once. */
     private double toldUntil() {
-        return dests.values().stream().filter(d -> d.told != null && d.told.until() > now)
-                .mapToDouble(d -> d.told.until()).min().orElse(Double.POSITIVE_INFINITY);
+        return dests.values().stream()
+                .filter(d -> d.told != null && d.told.until() > now)
+                .mapToDouble(d -> d.told.until())
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
     }
 
     private void wake(double at) {
@@ -383,8 +401,7 @@
     /** @param whole calls a second that the whole budget is worth, 0 if unknown */
     private void need(String budget, Flow flow, double whole) {
         if (whole > 0) {
-            budgets.need(now, budget,
-                    (int) Math.min(Setup.WHOLE, HEADROOM * flow.perS(now) / whole * Setup.WHOLE));
+            budgets.need(now, budget, (int) Math.min(Setup.WHOLE, HEADROOM * flow.perS(now) / whole * Setup.WHOLE));
         }
     }
 
@@ -430,7 +447,13 @@
      * @param waitMs   the wait that was told, 0 if none
      * @param limit    the limit that was reported, calls a second; NaN if none
      */
-    public void ended(double at, int destination, String endpoint, boolean answered, boolean failed, double waitMs,
+    public void ended(
+            double at,
+            int destination,
+            String endpoint,
+            boolean answered,
+            boolean failed,
+            double waitMs,
             double limit) {
         now = Math.max(now, at);
         Dest d = dests.get(destination);
@@ -490,10 +513,12 @@
             return new Share(parts, p.until(), sure, left);
         }
         double kept = 1 - sharing.bookable();
-        double ordinary = d.limit > 0
-                ? booked.ordinary(wall(), number, d.limit, sharing.bookable()) / d.limit : kept;
-        double borrowed = d.limit > 0 ? booked.borrowed(now, wall(), number,
-                id -> budgets.part(now, budget(id)).parts()) / d.limit : 0;
+        double ordinary = d.limit > 0 ? booked.ordinary(wall(), number, d.limit, sharing.bookable()) / d.limit : kept;
+        double borrowed = d.limit > 0
+                ? booked.borrowed(now, wall(), number, id -> budgets.part(now, budget(id))
+                                .parts())
+                        / d.limit
+                : 0;
         return new Share(parts * ordinary + borrowed, Math.min(p.until(), now + FRESH_MS), sure * kept, left);
     }
 
@@ -546,7 +571,9 @@
     private void confine() {
         boolean changed = false;
         for (Map.Entry<Pair, Asked> e : pairs.entrySet()) {
-            Set<String> zones = residency.zones(now, e.getKey().tenant(), e.getKey().messageClass()).orElse(null);
+            Set<String> zones = residency
+                    .zones(now, e.getKey().tenant(), e.getKey().messageClass())
+                    .orElse(null);
             changed |= !e.getValue().zones.equals(zones);
         }
         pairs.values().removeIf(a -> now - a.at > FORGET_MS);
@@ -612,13 +639,16 @@
         double due = b.time() + b.rules().sealBeforeMs() / TICKS_IN_SEAL;
         if (b.time() == 0 || wall() >= Math.min(b.nextMs(), due)) {
             tickAt = now + TICK_PAUSE_MS;
-            ledger.propose(now, AgreedBookings.operation(wall(), new Operation.Tick()), o -> { });
+            ledger.propose(now, AgreedBookings.operation(wall(), new Operation.Tick()), o -> {});
         }
     }
 
     /** Contracts of the settings file that follow the agreed ones are proposed by the leader. */
     private void propose() {
-        if (ledger == null || !ledger.leads() || now < contractsAt || !sharing.tenants()
+        if (ledger == null
+                || !ledger.leads()
+                || now < contractsAt
+                || !sharing.tenants()
                 || sharing.contractVersion() != contractsHeld + 1) {
             return;
         }
@@ -630,7 +660,9 @@
             act.report(fault.line());
             return;
         }
-        ledger.propose(now, AgreedContracts.put(contractsHeld, wall(), ContractTexts.write(sharing.contracts())),
+        ledger.propose(
+                now,
+                AgreedContracts.put(contractsHeld, wall(), ContractTexts.write(sharing.contracts())),
                 o -> act.report("contracts, version " + sharing.contractVersion() + ": " + ContractTexts.told(o)));
     }
 
@@ -771,8 +803,8 @@
         tell(); // parts that a note lends or gives back are used no more before it goes out
         Map<String, List<Note>> all = new LinkedHashMap<>(outgoing);
         outgoing.clear();
-        all.forEach((to, notes) -> act.send(new Envelope(setup.fleet(), Envelope.VERSION, setup.self(), incarnation,
-                to, gate.seen(to), List.copyOf(notes))));
+        all.forEach((to, notes) -> act.send(new Envelope(
+                setup.fleet(), Envelope.VERSION, setup.self(), incarnation, to, gate.seen(to), List.copyOf(notes))));
     }
 
     /** How many members are held to be there, ourselves with them. */
--- a/src/main/java/firstair/fleet/Setup.java
+++ b/src/main/java/firstair/fleet/Setup.java
@@ -16,8 +16,17 @@
  * @param drift   clocks run faster or slower by this share at most
  * @param cut     share of its even part that a relay uses where it hears nobody
  */
-public record Setup(String fleet, String self, String zone, List<String> members, List<String> voters, double helloMs,
-        double quietMs, double delayMs, double drift, double cut) {
+public record Setup(
+        String fleet,
+        String self,
+        String zone,
+        List<String> members,
+        List<String> voters,
+        double helloMs,
+        double quietMs,
+        double delayMs,
+        double drift,
+        double cut) {
     /** A whole budget in parts; parts are whole numbers, so that sums are exact. */
     public static final int WHOLE = 1_000_000;
 
--- a/src/main/java/firstair/fleet/Sharing.java
+++ b/src/main/java/firstair/fleet/Sharing.java
@@ -15,8 +15,15 @@
  * @param bookable        share of a destination's limit that can be booked
  * @param skewMs          wall clocks are off by so much at most
  */
-public record Sharing(double repeatsEach, Map<String, Contract> contracts, long contractVersion, boolean tenants,
-        double contractTermMs, boolean bookings, double bookable, double skewMs) {
+public record Sharing(
+        double repeatsEach,
+        Map<String, Contract> contracts,
+        long contractVersion,
+        boolean tenants,
+        double contractTermMs,
+        boolean bookings,
+        double bookable,
+        double skewMs) {
     /** Limits only. */
     public static final Sharing LIMITS = new Sharing(0, Map.of(), 0, false, 10_000, false, 0, 0);
 
--- a/src/main/java/firstair/fleet/Terms.java
+++ b/src/main/java/firstair/fleet/Terms.java
@@ -9,4 +9,4 @@
  * @param zones names of the zones in which it may be sent, or null for all
  * @param lane  what was booked for it, or null
  */
-public record Terms(Set<String> zones, Lane lane) { }
+public record Terms(Set<String> zones, Lane lane) {}
--- a/src/main/java/firstair/fleet/booking/Booked.java
+++ b/src/main/java/firstair/fleet/booking/Booked.java
@@ -20,8 +20,8 @@
  */
 public final class Booked {
     private static final int MOST_DESTINATIONS = 10_000;
-    private static final int SECONDS = 5;        // a booking's use is remembered for so long
-    private static final double HEADROOM = 2;    // so many times its use is not borrowed
+    private static final int SECONDS = 5; // a booking's use is remembered for so long
+    private static final double HEADROOM = 2; // so many times its use is not borrowed
     private static final double SECOND_MS = 1000;
 
     /** Calls that wanted to go on one booking to one destination, in each of the last seconds. */
@@ -59,7 +59,7 @@
     private Sealed sealed; // null until told
     private final Map<String, Sealed.Entry> entries = new LinkedHashMap<>();
     private final Map<Integer, List<Sealed.Entry>> at = new TreeMap<>();
-    private final Map<Integer, Double> bookable = new TreeMap<>();             // calls a second, by limits told
+    private final Map<Integer, Double> bookable = new TreeMap<>(); // calls a second, by limits told
     private final Map<String, Map<Integer, Use>> uses = new LinkedHashMap<>(); // of those in the set
 
     /**
@@ -174,7 +174,8 @@
     public void used(double nowMs, String bookingId, int destination, double calls) {
         Sealed.Entry e = entries.get(bookingId);
         if (e != null && e.leave().containsKey(destination) && calls > 0) {
-            uses.computeIfAbsent(bookingId, k -> new TreeMap<>()).computeIfAbsent(destination, k -> new Use())
+            uses.computeIfAbsent(bookingId, k -> new TreeMap<>())
+                    .computeIfAbsent(destination, k -> new Use())
                     .add(nowMs, calls);
         }
     }
@@ -194,7 +195,8 @@
         double fitting = fitting(wallMs, destination);
         for (Sealed.Entry e : at.getOrDefault(destination, List.of())) {
             if (surely(e, wallMs)) {
-                long rate = wallMs + skewMs <= e.leaveToMs() ? e.leave().get(destination)
+                long rate = wallMs + skewMs <= e.leaveToMs()
+                        ? e.leave().get(destination)
                         : e.rates().getOrDefault(destination, 0L);
                 Use use = uses.getOrDefault(e.id(), Map.of()).get(destination);
                 double kept = use == null ? 0 : HEADROOM * use.most(nowMs);
@@ -217,7 +219,9 @@
         for (Sealed.Entry e : at.getOrDefault(destination, List.of())) {
             if (wallMs >= e.startMs() - skewMs && wallMs <= e.endMs() + skewMs) {
                 long rate = e.rates().getOrDefault(destination, 0L);
-                sum += wallMs <= e.leaveToMs() + skewMs ? Math.max(rate, e.leave().get(destination)) : rate;
+                sum += wallMs <= e.leaveToMs() + skewMs
+                        ? Math.max(rate, e.leave().get(destination))
+                        : rate;
             }
         }
         return calls(sum);
--- a/src/main/java/firstair/fleet/booking/Booking.java
+++ b/src/main/java/firstair/fleet/booking/Booking.java
@@ -21,14 +21,39 @@
  * @param shown      whether its run has begun
  * @param charged    thousandths of a call counted against its team's quota, by month (year x 12 + month - 1)
  */
-public record Booking(Operation.Put request, long number, SortedMap<Integer, Long> rates, long startMs, long endMs,
-        long bookedToMs, SortedMap<Integer, Long> before, long beforeToMs, State state, long sinceMs, String cause,
-        long holdToMs, boolean shown, SortedMap<Integer, Long> charged) {
+public record Booking(
+        Operation.Put request,
+        long number,
+        SortedMap<Integer, Long> rates,
+        long startMs,
+        long endMs,
+        long bookedToMs,
+        SortedMap<Integer, Long> before,
+        long beforeToMs,
+        State state,
+        long sinceMs,
+        String cause,
+        long holdToMs,
+        boolean shown,
+        SortedMap<Integer, Long> charged) {
 
     /** As it was put, at once. */
     static Booking of(Operation.Put put, long number, long atMs) {
-        return new Booking(put, number, put.rates(), put.startMs(), put.endMs(), put.endMs(), Rates.copy(Map.of()), 0,
-                State.REQUESTED, atMs, "requested", 0, false, Rates.copy(Map.of()));
+        return new Booking(
+                put,
+                number,
+                put.rates(),
+                put.startMs(),
+                put.endMs(),
+                put.endMs(),
+                Rates.copy(Map.of()),
+                0,
+                State.REQUESTED,
+                atMs,
+                "requested",
+                0,
+                false,
+                Rates.copy(Map.of()));
     }
 
     /** Its name. */
@@ -51,32 +76,110 @@
     }
 
     Booking become(State to, long atMs, String why) {
-        return new Booking(request, number, rates, startMs, endMs, bookedToMs, before, beforeToMs, to, atMs, why,
-                holdToMs, shown, charged);
+        return new Booking(
+                request,
+                number,
+                rates,
+                startMs,
+                endMs,
+                bookedToMs,
+                before,
+                beforeToMs,
+                to,
+                atMs,
+                why,
+                holdToMs,
+                shown,
+                charged);
     }
 
     Booking spanning(long fromMs, long toMs, long bookedTo) {
-        return new Booking(request, number, rates, fromMs, toMs, bookedTo, before, beforeToMs, state, sinceMs, cause,
-                holdToMs, shown, charged);
+        return new Booking(
+                request,
+                number,
+                rates,
+                fromMs,
+                toMs,
+                bookedTo,
+                before,
+                beforeToMs,
+                state,
+                sinceMs,
+                cause,
+                holdToMs,
+                shown,
+                charged);
     }
 
     Booking cut(SortedMap<Integer, Long> to, SortedMap<Integer, Long> left, long leftToMs) {
-        return new Booking(request, number, to, startMs, endMs, bookedToMs, left, leftToMs, state, sinceMs, cause,
-                holdToMs, shown, charged);
+        return new Booking(
+                request,
+                number,
+                to,
+                startMs,
+                endMs,
+                bookedToMs,
+                left,
+                leftToMs,
+                state,
+                sinceMs,
+                cause,
+                holdToMs,
+                shown,
+                charged);
     }
 
     Booking heldTo(long ms) {
-        return new Booking(request, number, rates, startMs, endMs, bookedToMs, before, beforeToMs, state, sinceMs,
-                cause, ms, shown, charged);
+        return new Booking(
+                request,
+                number,
+                rates,
+                startMs,
+                endMs,
+                bookedToMs,
+                before,
+                beforeToMs,
+                state,
+                sinceMs,
+                cause,
+                ms,
+                shown,
+                charged);
     }
 
     Booking begun() {
-        return new Booking(request, number, rates, startMs, endMs, bookedToMs, before, beforeToMs, state, sinceMs,
-                cause, holdToMs, true, charged);
+        return new Booking(
+                request,
+                number,
+                rates,
+                startMs,
+                endMs,
+                bookedToMs,
+                before,
+                beforeToMs,
+                state,
+                sinceMs,
+                cause,
+                holdToMs,
+                true,
+                charged);
     }
 
     Booking charging(SortedMap<Integer, Long> months) {
-        return new Booking(request, number, rates, startMs, endMs, bookedToMs, before, beforeToMs, state, sinceMs,
-                cause, holdToMs, shown, months);
+        return new Booking(
+                request,
+                number,
+                rates,
+                startMs,
+                endMs,
+                bookedToMs,
+                before,
+                beforeToMs,
+                state,
+                sinceMs,
+                cause,
+                holdToMs,
+                shown,
+                months);
     }
 }
--- a/src/main/java/firstair/fleet/booking/Bookings.java
+++ b/src/main/java/firstair/fleet/booking/Bookings.java
@@ -24,33 +24,34 @@
 public class Bookings {
     /** Requests of one team that wait at a time. */
     static final int MOST_WAITING = 200;
+
     private static final int MOST_TEAMS = 1000;
     private static final int MOST_DESTINATIONS = 10_000;
     private static final int MOST_REFUSED = 1000; // kept to be asked for; the oldest go
-    private static final int MONTHS_KEPT = 2;     // longest span and a bit
+    private static final int MONTHS_KEPT = 2; // longest span and a bit
 
-    private static final Comparator<Booking> NEXT_IN_LINE = Comparator
-            .comparingInt((Booking b) -> b.request().rank()).thenComparingLong(Booking::number);
+    private static final Comparator<Booking> NEXT_IN_LINE =
+            Comparator.comparingInt((Booking b) -> b.request().rank()).thenComparingLong(Booking::number);
 
     /** A span in which there may be room again. */
-    private record Freed(int destination, long fromMs, long toMs) { }
+    private record Freed(int destination, long fromMs, long toMs) {}
 
     private final Supplier<Steps> steps;
     private final SortedMap<String, Team> teams = new TreeMap<>();
     private final SortedMap<Integer, Destination> destinations = new TreeMap<>();
     private final SortedMap<String, Booking> bookings = new TreeMap<>();
     private final TreeMap<Long, SortedSet<String>> timers = new TreeMap<>(); // when something becomes of whom by itself
-    private final TreeMap<Long, String> refused = new TreeMap<>();           // by number
-    private final SortedSet<String> told = new TreeSet<>();                  // whom relays are told of
+    private final TreeMap<Long, String> refused = new TreeMap<>(); // by number
+    private final SortedSet<String> told = new TreeSet<>(); // whom relays are told of
     private Rules rules;
     private long time;
     private long horizon; // the furthest that relays were told of; never goes back
     private long version;
     private long nextNumber;
 
-    private final List<Change> changes = new ArrayList<>();    // of the operation under way
-    private final List<Freed> freed = new ArrayList<>();       // by it
-    private final SortedSet<String> eased = new TreeSet<>();   // teams that got quota back by it
+    private final List<Change> changes = new ArrayList<>(); // of the operation under way
+    private final List<Freed> freed = new ArrayList<>(); // by it
+    private final SortedSet<String> eased = new TreeSet<>(); // teams that got quota back by it
 
     /** None yet. */
     public Bookings(Rules rules) {
@@ -116,9 +117,14 @@
             Booking b = bookings.get(id);
             if (b.bookedToMs() > from) {
                 boolean over = b.state().over();
-                entries.add(new Sealed.Entry(id, b.team(), over ? Rates.copy(Map.of()) : b.rates(),
+                entries.add(new Sealed.Entry(
+                        id,
+                        b.team(),
+                        over ? Rates.copy(Map.of()) : b.rates(),
                         over || b.beforeToMs() > time ? most(b.before(), b.rates()) : b.rates(),
-                        over ? b.bookedToMs() : b.beforeToMs(), b.startMs(), b.bookedToMs()));
+                        over ? b.bookedToMs() : b.beforeToMs(),
+                        b.startMs(),
+                        b.bookedToMs()));
             }
         }
         return new Sealed(version, from, horizon, entries);
@@ -241,8 +247,10 @@
 
     /** Room can only come if the whole capacity is enough. */
     private boolean mayWait(Booking b) {
-        return teams.get(b.team()).waiting.size() < MOST_WAITING && b.rates().entrySet().stream()
-                .allMatch(e -> e.getValue() <= destinations.get(e.getKey()).capacity());
+        return teams.get(b.team()).waiting.size() < MOST_WAITING
+                && b.rates().entrySet().stream()
+                        .allMatch(e ->
+                                e.getValue() <= destinations.get(e.getKey()).capacity());
     }
 
     private boolean forgetRefused() {
@@ -276,7 +284,7 @@
         switch (b.state()) {
             case SEALED -> throw new Fault.Sealed(b.id());
             case RUNNING -> close(b, State.ENDED, "ended early by its team: " + o.reason());
-            case ENDED, RELEASED -> { } // the same once more
+            case ENDED, RELEASED -> {} // the same once more
             default -> close(b, State.RELEASED, "given up by its team: " + o.reason());
         }
     }
@@ -405,8 +413,13 @@
             if (!b.state().over()) {
                 changes.add(new Change(id, b.state(), b.state(), time, why));
             }
-            set(known ? b.cut(Rates.copy(rates), most(b.beforeToMs() > time ? b.before() : Map.of(), b.rates()),
-                    horizon) : b.cut(Rates.copy(rates), b.before(), b.beforeToMs()));
+            set(
+                    known
+                            ? b.cut(
+                                    Rates.copy(rates),
+                                    most(b.beforeToMs() > time ? b.before() : Map.of(), b.rates()),
+                                    horizon)
+                            : b.cut(Rates.copy(rates), b.before(), b.beforeToMs()));
         });
         freed.add(new Freed(d.number, time, Long.MAX_VALUE));
     }
@@ -491,8 +504,8 @@
             case HELD -> Math.min(b.holdToMs(), b.startMs() - rules.sealBeforeMs());
             case SEALED -> b.startMs();
             case RUNNING -> b.shown() ? b.endMs() : Math.min(b.endMs(), b.startMs() + rules.showUpMs());
-            case ENDED, RELEASED, LAPSED, REFUSED -> Math.max(b.sinceMs() + rules.forgetMs(),
-                    b.holds() ? b.bookedToMs() : 0);
+            case ENDED, RELEASED, LAPSED, REFUSED ->
+                Math.max(b.sinceMs() + rules.forgetMs(), b.holds() ? b.bookedToMs() : 0);
         };
     }
 
@@ -552,8 +565,8 @@
 
     private Booking charged(Booking b) {
         Team team = teams.get(b.team());
-        SortedMap<Integer, Long> cost = b.holds() ? team.cost(b.rates(), b.startMs(), b.bookedToMs()) : Rates.copy(
-                Map.of());
+        SortedMap<Integer, Long> cost =
+                b.holds() ? team.cost(b.rates(), b.startMs(), b.bookedToMs()) : Rates.copy(Map.of());
         team.charge(b.charged(), -1);
         team.charge(cost, 1);
         return b.charging(Rates.copy(cost));
@@ -565,11 +578,14 @@
         if (old != null) {
             detach(old);
         }
-        boolean same = old != null && old.holds() && b.holds() && old.startMs() == b.startMs()
-                && old.bookedToMs() == b.bookedToMs() && old.rates().equals(b.rates());
+        boolean same = old != null
+                && old.holds()
+                && b.holds()
+                && old.startMs() == b.startMs()
+                && old.bookedToMs() == b.bookedToMs()
+                && old.rates().equals(b.rates());
         if (!same && old != null && old.holds()) {
-            old.rates().keySet().forEach(
-                    d -> freed.add(new Freed(d, Math.max(old.startMs(), time), old.bookedToMs())));
+            old.rates().keySet().forEach(d -> freed.add(new Freed(d, Math.max(old.startMs(), time), old.bookedToMs())));
             eased.add(old.team());
         }
         attach(same ? b : charged(b));
--- a/src/main/java/firstair/fleet/booking/Calendar.java
+++ b/src/main/java/firstair/fleet/booking/Calendar.java
@@ -44,8 +44,8 @@
     private static final int AHEAD_YEARS = 2;
     private static final int MOST_RULE = 500;
     private static final int MOST_INTERVAL = 1000;
-    private static final int MOST_STEPS = 2000;  // days that a rule may come on before and within the two years
-    private static final int SEARCH_DAYS = 366;  // for the next working day
+    private static final int MOST_STEPS = 2000; // days that a rule may come on before and within the two years
+    private static final int SEARCH_DAYS = 366; // for the next working day
     private static final int YEARS_KEPT = 8;
     private static final int MOST_CLOSED = 2000;
     private static final int FIRST_YEAR = 2000;
@@ -64,8 +64,15 @@
      * @param closes    first closed moment again; midnight is the day's end; the same as {@code opens} is all day
      * @param cutOff    what comes after it counts as come on the next working day
      */
-    public record Terms(String name, String zone, List<String> countries, Set<DayOfWeek> weekend,
-            Set<LocalDate> closed, LocalTime opens, LocalTime closes, LocalTime cutOff) { }
+    public record Terms(
+            String name,
+            String zone,
+            List<String> countries,
+            Set<DayOfWeek> weekend,
+            Set<LocalDate> closed,
+            LocalTime opens,
+            LocalTime closes,
+            LocalTime cutOff) {}
 
     /** Where a time goes that falls on a day on which nobody works. */
     public enum Shift {
@@ -88,11 +95,11 @@
      * @param workday if not 0, the so-many-th working day of the rule's month instead of the rule's day; -1 is the last
      * @param most    at most so many times
      */
-    public record Repeat(String rule, LocalDate first, LocalTime from, LocalTime to, Shift shift, int workday,
-            int most) { }
+    public record Repeat(
+            String rule, LocalDate first, LocalTime from, LocalTime to, Shift shift, int workday, int most) {}
 
     /** One time: its day, and from when to when, epoch ms. */
-    public record Span(LocalDate day, long startMs, long endMs) { }
+    public record Span(LocalDate day, long startMs, long endMs) {}
 
     private final Terms terms;
     private final ZoneId zone;
@@ -128,8 +135,9 @@
                 throw bad("no holidays of country " + country);
             }
             HolidayManager manager = HolidayManager.getInstance(ManagerParameters.create(parts[0]));
-            if (parts.length > 1 && (parts.length > 2
-                    || !manager.getCalendarHierarchy().getChildren().containsKey(parts[1]))) {
+            if (parts.length > 1
+                    && (parts.length > 2
+                            || !manager.getCalendarHierarchy().getChildren().containsKey(parts[1]))) {
                 throw bad("no part " + country + " of its country");
             }
             countries.merge(manager, parts.length > 1 ? new String[] {parts[1]} : new String[0], (a, b) -> {
@@ -145,7 +153,9 @@
 
     /** Whether it is a working day. */
     public boolean works(LocalDate day) {
-        return !weekend.contains(day.getDayOfWeek()) && !closed.contains(day) && !holidays(day.getYear()).contains(day);
+        return !weekend.contains(day.getDayOfWeek())
+                && !closed.contains(day)
+                && !holidays(day.getYear()).contains(day);
     }
 
     private Set<LocalDate> holidays(int year) {
@@ -241,11 +251,18 @@
             LocalDate day = moved(repeat, ruled);
             if (day != null && day.isAfter(after) && !day.isAfter(last)) {
                 LocalDate endDay = repeat.to.isAfter(repeat.from) ? day : day.plusDays(1);
-                spans.put(day, new Span(day, Zones.start(day.atTime(repeat.from), zone),
-                        Zones.end(endDay.atTime(repeat.to), zone)));
+                spans.put(
+                        day,
+                        new Span(
+                                day,
+                                Zones.start(day.atTime(repeat.from), zone),
+                                Zones.end(endDay.atTime(repeat.to), zone)));
             }
         }
-        return spans.values().stream().filter(s -> s.endMs > s.startMs).limit(repeat.most).toList();
+        return spans.values().stream()
+                .filter(s -> s.endMs > s.startMs)
+                .limit(repeat.most)
+                .toList();
     }
 
     private LocalDate moved(Repeat repeat, LocalDate day) {
@@ -269,8 +286,10 @@
         if (r.first.getYear() < FIRST_YEAR || r.first.getYear() > LAST_YEAR) {
             throw bad("the rule begins too far away");
         }
-        if (!allDay() && (minute(r.from, false) < minute(terms.opens(), false)
-                || minute(r.to, true) > minute(terms.closes(), true) || minute(r.to, true) <= minute(r.from, false))) {
+        if (!allDay()
+                && (minute(r.from, false) < minute(terms.opens(), false)
+                        || minute(r.to, true) > minute(terms.closes(), true)
+                        || minute(r.to, true) <= minute(r.from, false))) {
             throw bad("it is not open from " + r.from + " to " + r.to);
         }
     }
@@ -280,8 +299,8 @@
         try {
             RecurrenceRule rule = parsed(repeat.rule);
             LocalDate first = repeat.first;
-            RecurrenceRuleIterator all = rule.iterator(
-                    new DateTime(first.getYear(), first.getMonthValue() - 1, first.getDayOfMonth()));
+            RecurrenceRuleIterator all =
+                    rule.iterator(new DateTime(first.getYear(), first.getMonthValue() - 1, first.getDayOfMonth()));
             for (int i = 0; i < MOST_STEPS && all.hasNext(); i++) {
                 DateTime at = all.nextDateTime();
                 LocalDate day = LocalDate.of(at.getYear(), at.getMonth() + 1, at.getDayOfMonth());
@@ -290,8 +309,12 @@
                 }
                 days.add(day);
             }
-        } catch (InvalidRecurrenceRuleException | IllegalArgumentException | IllegalStateException
-                | ArithmeticException | DateTimeException | IndexOutOfBoundsException e) {
+        } catch (InvalidRecurrenceRuleException
+                | IllegalArgumentException
+                | IllegalStateException
+                | ArithmeticException
+                | DateTimeException
+                | IndexOutOfBoundsException e) {
             throw bad("rule " + repeat.rule.substring(0, Math.min(repeat.rule.length(), MOST_RULE))
                     + " cannot be used: " + e.getMessage());
         }
@@ -304,9 +327,12 @@
         }
         RecurrenceRule rule = new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
         Set<Freq> coarse = EnumSet.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
-        if (!coarse.contains(rule.getFreq()) || rule.getInterval() > MOST_INTERVAL
-                || rule.hasPart(RecurrenceRule.Part.RSCALE) || rule.hasPart(RecurrenceRule.Part.BYHOUR)
-                || rule.hasPart(RecurrenceRule.Part.BYMINUTE) || rule.hasPart(RecurrenceRule.Part.BYSECOND)) {
+        if (!coarse.contains(rule.getFreq())
+                || rule.getInterval() > MOST_INTERVAL
+                || rule.hasPart(RecurrenceRule.Part.RSCALE)
+                || rule.hasPart(RecurrenceRule.Part.BYHOUR)
+                || rule.hasPart(RecurrenceRule.Part.BYMINUTE)
+                || rule.hasPart(RecurrenceRule.Part.BYSECOND)) {
             throw bad("a rule has to say days: " + text);
         }
         if (rule.getUntil() != null && !rule.getUntil().isAllDay()) {
--- a/src/main/java/firstair/fleet/booking/Change.java
+++ b/src/main/java/firstair/fleet/booking/Change.java
@@ -8,4 +8,4 @@
  * @param atMs  the ledger's time, epoch ms
  * @param cause for people
  */
-public record Change(String id, State from, State to, long atMs, String cause) { }
+public record Change(String id, State from, State to, long atMs, String cause) {}
--- a/src/main/java/firstair/fleet/booking/Closed.java
+++ b/src/main/java/firstair/fleet/booking/Closed.java
@@ -40,7 +40,9 @@
         LocalDate last = Instant.ofEpochMilli(endMs - 1).atZone(in).toLocalDate();
         long first = Long.MAX_VALUE;
         // hours that began the day before may reach into the first day
-        for (LocalDate d = Instant.ofEpochMilli(startMs).atZone(in).toLocalDate().minusDays(1); !d.isAfter(last);
+        for (LocalDate d =
+                        Instant.ofEpochMilli(startMs).atZone(in).toLocalDate().minusDays(1);
+                !d.isAfter(last);
                 d = d.plusDays(1)) {
             for (long[] span : on(d, in)) {
                 long from = Math.max(span[0], startMs);
@@ -59,7 +61,9 @@
             spans.add(new long[] {Zones.start(d.atTime(from), in), Zones.end(until.atTime(to), in)});
         }
         if (Collections.binarySearch(dates, d) >= 0) {
-            spans.add(new long[] {Zones.start(d.atStartOfDay(), in), Zones.end(d.plusDays(1).atStartOfDay(), in)});
+            spans.add(new long[] {
+                Zones.start(d.atStartOfDay(), in), Zones.end(d.plusDays(1).atStartOfDay(), in)
+            });
         }
         return spans;
     }
--- a/src/main/java/firstair/fleet/booking/Destination.java
+++ b/src/main/java/firstair/fleet/booking/Destination.java
@@ -12,8 +12,8 @@
 final class Destination {
     final int number;
     final Steps steps;
-    long limit;         // thousandths of a call a second
-    int bookable;       // millionths of it
+    long limit; // thousandths of a call a second
+    int bookable; // millionths of it
     List<Closed> closed;
     final Set<String> holding = new TreeSet<>(); // bookings that count in the steps
     private final NavigableMap<Long, Set<String>> waiting = new TreeMap<>(); // by start
--- a/src/main/java/firstair/fleet/booking/Fields.java
+++ b/src/main/java/firstair/fleet/booking/Fields.java
@@ -21,7 +21,8 @@
 
 /** Reads the fields of a JSON object strictly; raises {@link Fault.BadRequest} that names the field by its path. */
 final class Fields {
-    private static final Gson STRICT = new GsonBuilder().setStrictness(Strictness.STRICT).create();
+    private static final Gson STRICT =
+            new GsonBuilder().setStrictness(Strictness.STRICT).create();
     private static final int MOST_LIST = 200_000;
     private static final int MOST_DIGITS = 30;
     private static final int SHARE_DIGITS = 6;
@@ -100,8 +101,9 @@
 
     /** A time with its offset, such as 2026-12-31T18:00:00Z, as epoch ms. */
     long time(String name) {
-        return parsed(name, "a time such as 2026-12-31T18:00:00Z",
-                t -> OffsetDateTime.parse(t).toInstant().toEpochMilli());
+        return parsed(name, "a time such as 2026-12-31T18:00:00Z", t -> OffsetDateTime.parse(t)
+                .toInstant()
+                .toEpochMilli());
     }
 
     /** Yes or no; no if it is not there. */
@@ -207,7 +209,9 @@
 
     private static BigDecimal decimal(String field, JsonElement e) {
         try {
-            if (e.isJsonPrimitive() && e.getAsJsonPrimitive().isNumber() && e.getAsString().length() <= MOST_DIGITS) {
+            if (e.isJsonPrimitive()
+                    && e.getAsJsonPrimitive().isNumber()
+                    && e.getAsString().length() <= MOST_DIGITS) {
                 BigDecimal value = e.getAsBigDecimal();
                 if (Math.abs((long) value.scale()) <= MOST_DIGITS) { // no text of a million digits
                     return value;
@@ -231,8 +235,11 @@
         try {
             return decimal(field, e).movePointRight(digits).longValueExact();
         } catch (ArithmeticException x) {
-            throw new Fault.BadRequest(field, digits == 0 ? "has to be a whole number"
-                    : "has to be a number with " + digits + " decimals at most");
+            throw new Fault.BadRequest(
+                    field,
+                    digits == 0
+                            ? "has to be a whole number"
+                            : "has to be a number with " + digits + " decimals at most");
         }
     }
 
--- a/src/main/java/firstair/fleet/booking/Json.java
+++ b/src/main/java/firstair/fleet/booking/Json.java
@@ -8,7 +8,7 @@
 
 /** Parts of what is written. */
 final class Json {
-    private Json() { }
+    private Json() {}
 
     /** Whole numbers by number. */
     static JsonObject numbers(Map<Integer, Long> map) {
--- a/src/main/java/firstair/fleet/booking/Operation.java
+++ b/src/main/java/firstair/fleet/booking/Operation.java
@@ -29,8 +29,9 @@
      * @param rates at each destination
      * @param waits whether it waits where there is no room, else it is refused
      */
-    record Put(String id, String team, int rank, SortedMap<Integer, Long> rates, long startMs, long endMs,
-            boolean waits) implements Operation {
+    record Put(
+            String id, String team, int rank, SortedMap<Integer, Long> rates, long startMs, long endMs, boolean waits)
+            implements Operation {
         /** Checks it. */
         public Put {
             name("id", id);
@@ -41,8 +42,8 @@
         }
 
         /** One with rates in any order. */
-        public static Put of(String id, String team, int rank, Map<Integer, Long> rates, long startMs, long endMs,
-                boolean waits) {
+        public static Put of(
+                String id, String team, int rank, Map<Integer, Long> rates, long startMs, long endMs, boolean waits) {
             return new Put(id, team, rank, Rates.checked(rates), startMs, endMs, waits);
         }
     }
@@ -114,7 +115,7 @@
     }
 
     /** Time has passed. */
-    record Tick() implements Operation { }
+    record Tick() implements Operation {}
 
     /**
      * Sets a team.
@@ -151,10 +152,12 @@
     }
 
     /** Other rules hold from now on; what is sealed stays as it is. */
-    record SetRules(Rules rules) implements Operation { }
+    record SetRules(Rules rules) implements Operation {}
 
     private static void name(String field, String name) {
-        if (name == null || name.isEmpty() || name.length() > MOST_NAME
+        if (name == null
+                || name.isEmpty()
+                || name.length() > MOST_NAME
                 || !name.chars().allMatch(Operation::plain)) {
             throw new Fault.BadRequest(field, "1 to " + MOST_NAME + " letters, digits or . _ : - are needed");
         }
@@ -165,7 +168,9 @@
     }
 
     private static void reasoned(String reason) {
-        if (reason == null || reason.isBlank() || reason.length() > MOST_REASON
+        if (reason == null
+                || reason.isBlank()
+                || reason.length() > MOST_REASON
                 || reason.chars().anyMatch(c -> Character.isISOControl(c) || Character.isSurrogate((char) c))) {
             throw new Fault.BadRequest("reason", "1 to " + MOST_REASON + " characters are needed");
         }
--- a/src/main/java/firstair/fleet/booking/Operations.java
+++ b/src/main/java/firstair/fleet/booking/Operations.java
@@ -24,7 +24,7 @@
     private static final int DIGITS = 6;
     private static final String LOCAL = "a local time such as 2026-12-31T18:00";
 
-    private Operations() { }
+    private Operations() {}
 
     /**
      * Reads one operation. Raises {@link Fault.BadRequest} that names the field, {@link Fault.UnknownEntry} for a kind
@@ -59,13 +59,14 @@
         if (calendar == null) {
             throw new Fault.BadCalendar(r.text("calendar"), "is not among the settings");
         }
-        Calendar.Repeat repeat = new Calendar.Repeat(r.text("rule"),
+        Calendar.Repeat repeat = new Calendar.Repeat(
+                r.text("rule"),
                 r.parsed("first", "a date such as 2026-12-31", LocalDate::parse),
                 r.parsed("from", "a time such as 18:00", LocalTime::parse),
                 r.parsed("to", "a time such as 20:00", LocalTime::parse),
-                r.parsed("shift", "before, after or skip",
-                        t -> Calendar.Shift.valueOf(t.toUpperCase(Locale.ROOT))),
-                r.has("workday") ? r.number("workday") : 0, r.number("most"));
+                r.parsed("shift", "before, after or skip", t -> Calendar.Shift.valueOf(t.toUpperCase(Locale.ROOT))),
+                r.has("workday") ? r.number("workday") : 0,
+                r.number("most"));
         r.done();
         String id = f.text("id");
         String team = f.text("team");
@@ -89,23 +90,26 @@
 
     static Operation operation(Fields f) {
         String kind = f.text("kind");
-        Operation read = switch (kind) {
-            case "put" -> put(f);
-            case "confirm" -> new Operation.Confirm(f.text("id"), f.text("team"));
-            case "show-up" -> new Operation.ShowUp(f.text("id"), f.text("team"));
-            case "end" -> new Operation.End(f.text("id"), f.text("team"), f.text("reason"));
-            case "extend" -> new Operation.Extend(f.text("id"), f.text("team"), f.time("end"));
-            case "move" -> new Operation.Move(f.text("id"), f.time("start"), f.time("end"), f.text("reason"));
-            case "drop" -> new Operation.Drop(f.text("id"), f.text("reason"));
-            case "limit" -> new Operation.Limit(f.number("destination"), f.calls("limit"));
-            case "tick" -> new Operation.Tick();
-            case "set-team" -> new Operation.SetTeam(f.text("team"), f.calls("quota"), f.text("zone"));
-            case "set-destination" -> new Operation.SetDestination(f.number("destination"), f.calls("limit"),
-                    millionths(f), closed(f));
-            case "set-rules" -> new Operation.SetRules(rules(f));
-            default -> throw new Fault.UnknownEntry(
-                    kind.length() > Operation.MOST_NAME ? kind.substring(0, Operation.MOST_NAME) : kind);
-        };
+        Operation read =
+                switch (kind) {
+                    case "put" -> put(f);
+                    case "confirm" -> new Operation.Confirm(f.text("id"), f.text("team"));
+                    case "show-up" -> new Operation.ShowUp(f.text("id"), f.text("team"));
+                    case "end" -> new Operation.End(f.text("id"), f.text("team"), f.text("reason"));
+                    case "extend" -> new Operation.Extend(f.text("id"), f.text("team"), f.time("end"));
+                    case "move" -> new Operation.Move(f.text("id"), f.time("start"), f.time("end"), f.text("reason"));
+                    case "drop" -> new Operation.Drop(f.text("id"), f.text("reason"));
+                    case "limit" -> new Operation.Limit(f.number("destination"), f.calls("limit"));
+                    case "tick" -> new Operation.Tick();
+                    case "set-team" -> new Operation.SetTeam(f.text("team"), f.calls("quota"), f.text("zone"));
+                    case "set-destination" ->
+                        new Operation.SetDestination(
+                                f.number("destination"), f.calls("limit"), millionths(f), closed(f));
+                    case "set-rules" -> new Operation.SetRules(rules(f));
+                    default ->
+                        throw new Fault.UnknownEntry(
+                                kind.length() > Operation.MOST_NAME ? kind.substring(0, Operation.MOST_NAME) : kind);
+                };
         f.done();
         return read;
     }
@@ -122,8 +126,8 @@
             start = f.time("start");
             end = f.time("end");
         }
-        return Operation.Put.of(f.text("id"), f.text("team"), f.number("rank"), f.callsEach("calls"), start, end,
-                f.flag("wait"));
+        return Operation.Put.of(
+                f.text("id"), f.text("team"), f.number("rank"), f.callsEach("calls"), start, end, f.flag("wait"));
     }
 
     private static int millionths(Fields f) {
@@ -137,9 +141,12 @@
     private static List<Closed> closed(Fields f) {
         List<Closed> all = new ArrayList<>();
         for (Fields c : f.has("closed") ? f.list("closed") : List.<Fields>of()) {
-            Set<DayOfWeek> days = new HashSet<>(c.parsedList("days", "days such as monday",
-                    t -> DayOfWeek.valueOf(t.toUpperCase(Locale.ROOT))));
-            all.add(new Closed(c.text("zone"), days, c.parsed("from", "a time such as 18:00", LocalTime::parse),
+            Set<DayOfWeek> days = new HashSet<>(
+                    c.parsedList("days", "days such as monday", t -> DayOfWeek.valueOf(t.toUpperCase(Locale.ROOT))));
+            all.add(new Closed(
+                    c.text("zone"),
+                    days,
+                    c.parsed("from", "a time such as 18:00", LocalTime::parse),
                     c.parsed("to", "a time such as 20:00", LocalTime::parse),
                     c.has("dates") ? c.parsedList("dates", "dates such as 2026-12-31", LocalDate::parse) : List.of()));
             c.done();
@@ -149,8 +156,15 @@
 
     private static Rules rules(Fields f) {
         try {
-            return new Rules(f.whole("sealBeforeMs"), f.whole("leadMs"), f.whole("longestMs"), f.whole("aheadMs"),
-                    f.whole("holdMs"), f.whole("showUpMs"), f.whole("forgetMs"), f.number("most"));
+            return new Rules(
+                    f.whole("sealBeforeMs"),
+                    f.whole("leadMs"),
+                    f.whole("longestMs"),
+                    f.whole("aheadMs"),
+                    f.whole("holdMs"),
+                    f.whole("showUpMs"),
+                    f.whole("forgetMs"),
+                    f.number("most"));
         } catch (Fault.BadSetup e) {
             throw new Fault.BadRequest("rules", e.getMessage());
         }
@@ -222,10 +236,16 @@
         for (Closed c : d.closed()) {
             JsonObject hours = new JsonObject();
             hours.addProperty("zone", c.zone());
-            hours.add("days", Json.texts(c.days().stream().map(v -> v.name().toLowerCase(Locale.ROOT)).toList()));
+            hours.add(
+                    "days",
+                    Json.texts(c.days().stream()
+                            .map(v -> v.name().toLowerCase(Locale.ROOT))
+                            .toList()));
             hours.addProperty("from", c.from().toString());
             hours.addProperty("to", c.to().toString());
-            hours.add("dates", Json.texts(c.dates().stream().map(LocalDate::toString).toList()));
+            hours.add(
+                    "dates",
+                    Json.texts(c.dates().stream().map(LocalDate::toString).toList()));
             closed.add(hours);
         }
         o.add("closed", closed);
--- a/src/main/java/firstair/fleet/booking/Rates.java
+++ b/src/main/java/firstair/fleet/booking/Rates.java
@@ -18,7 +18,7 @@
     /** Decimals of a rate. */
     static final int DIGITS = 3;
 
-    private Rates() { }
+    private Rates() {}
 
     /** A copy that nobody changes, in the order of destinations. */
     static SortedMap<Integer, Long> copy(Map<Integer, Long> rates) {
--- a/src/main/java/firstair/fleet/booking/Rules.java
+++ b/src/main/java/firstair/fleet/booking/Rules.java
@@ -14,12 +14,20 @@
  * @param forgetMs     so long a booking that is over can still be asked for
  * @param most         bookings kept at a time
  */
-public record Rules(long sealBeforeMs, long leadMs, long longestMs, long aheadMs, long holdMs, long showUpMs,
-        long forgetMs, int most) {
+public record Rules(
+        long sealBeforeMs,
+        long leadMs,
+        long longestMs,
+        long aheadMs,
+        long holdMs,
+        long showUpMs,
+        long forgetMs,
+        int most) {
     /** Longest span that the rules may allow: 31 days. */
     static final long MOST_SPAN_MS = 31L * 86_400_000;
     /** Furthest that the rules may allow to book ahead: two years. */
     static final long MOST_AHEAD_MS = 731L * 86_400_000;
+
     private static final long MOST_FORGET_MS = 100L * 86_400_000;
     private static final int MOST_BOOKINGS = 100_000;
 
--- a/src/main/java/firstair/fleet/booking/Sealed.java
+++ b/src/main/java/firstair/fleet/booking/Sealed.java
@@ -26,8 +26,14 @@
      * @param startMs    epoch ms
      * @param endMs      until when, epoch ms
      */
-    public record Entry(String id, String team, SortedMap<Integer, Long> rates, SortedMap<Integer, Long> leave,
-            long leaveToMs, long startMs, long endMs) { }
+    public record Entry(
+            String id,
+            String team,
+            SortedMap<Integer, Long> rates,
+            SortedMap<Integer, Long> leave,
+            long leaveToMs,
+            long startMs,
+            long endMs) {}
 
     /** Copies the entries. */
     public Sealed {
@@ -62,8 +68,14 @@
             Fields f = Fields.of(new String(bytes, StandardCharsets.UTF_8));
             List<Entry> entries = new ArrayList<>();
             for (Fields e : f.list("entries")) {
-                entries.add(new Entry(e.text("id"), e.text("team"), rates(e, "rates"), rates(e, "leave"),
-                        e.whole("leaveTo"), e.whole("start"), e.whole("end")));
+                entries.add(new Entry(
+                        e.text("id"),
+                        e.text("team"),
+                        rates(e, "rates"),
+                        rates(e, "leave"),
+                        e.whole("leaveTo"),
+                        e.whole("start"),
+                        e.whole("end")));
             }
             return new Sealed(f.whole("version"), f.whole("from"), f.whole("through"), entries);
         } catch (Fault.BadRequest e) {
--- a/src/main/java/firstair/fleet/booking/Snapshot.java
+++ b/src/main/java/firstair/fleet/booking/Snapshot.java
@@ -9,8 +9,15 @@
 import java.util.TreeMap;
 
 /** All bookings as bytes: JSON, so that people can read it, with everything in a fixed order. */
-record Snapshot(Rules rules, long time, long horizon, long version, long nextNumber, SortedMap<String, Team> teams,
-        SortedMap<Integer, Destination> destinations, SortedMap<String, Booking> bookings) {
+record Snapshot(
+        Rules rules,
+        long time,
+        long horizon,
+        long version,
+        long nextNumber,
+        SortedMap<String, Team> teams,
+        SortedMap<Integer, Destination> destinations,
+        SortedMap<String, Booking> bookings) {
     private static final String FORM = "bookings-1";
 
     byte[] bytes() {
@@ -30,8 +37,8 @@
         });
         all.add("teams", list);
         JsonArray places = new JsonArray();
-        destinations.forEach((n, d) -> places.add(json(new Operation.SetDestination(n, d.limit, d.bookable,
-                d.closed))));
+        destinations.forEach(
+                (n, d) -> places.add(json(new Operation.SetDestination(n, d.limit, d.bookable, d.closed))));
         all.add("destinations", places);
         JsonArray each = new JsonArray();
         bookings.values().forEach(b -> each.add(json(b)));
@@ -84,14 +91,23 @@
             SortedMap<String, Booking> bookings = new TreeMap<>();
             for (Fields b : f.list("bookings")) {
                 Booking booking = booking(b);
-                if (!teams.containsKey(booking.team()) || !destinations.keySet().containsAll(booking.rates().keySet())
-                        || !booking.rates().keySet().equals(booking.request().rates().keySet())) {
+                if (!teams.containsKey(booking.team())
+                        || !destinations.keySet().containsAll(booking.rates().keySet())
+                        || !booking.rates()
+                                .keySet()
+                                .equals(booking.request().rates().keySet())) {
                     throw torn();
                 }
                 bookings.put(booking.id(), booking);
             }
-            return new Snapshot(((Operation.SetRules) Operations.operation(f.inner("rules"))).rules(),
-                    f.whole("time"), f.whole("horizon"), f.whole("version"), f.whole("next"), teams, destinations,
+            return new Snapshot(
+                    ((Operation.SetRules) Operations.operation(f.inner("rules"))).rules(),
+                    f.whole("time"),
+                    f.whole("horizon"),
+                    f.whole("version"),
+                    f.whole("next"),
+                    teams,
+                    destinations,
                     bookings);
         } catch (Fault.BadRequest | ClassCastException e) {
             throw torn();
@@ -99,10 +115,21 @@
     }
 
     private static Booking booking(Fields f) {
-        return new Booking((Operation.Put) Operations.operation(f.inner("put")), f.whole("number"), f.numbers("rates"),
-                f.whole("start"), f.whole("end"), f.whole("bookedTo"), f.numbers("before"), f.whole("beforeTo"),
-                f.parsed("state", "a state", State::valueOf), f.whole("since"), f.text("cause"), f.whole("holdTo"),
-                f.flag("shown"), f.numbers("charged"));
+        return new Booking(
+                (Operation.Put) Operations.operation(f.inner("put")),
+                f.whole("number"),
+                f.numbers("rates"),
+                f.whole("start"),
+                f.whole("end"),
+                f.whole("bookedTo"),
+                f.numbers("before"),
+                f.whole("beforeTo"),
+                f.parsed("state", "a state", State::valueOf),
+                f.whole("since"),
+                f.text("cause"),
+                f.whole("holdTo"),
+                f.flag("shown"),
+                f.numbers("charged"));
     }
 
     private static Fault torn() {
--- a/src/main/java/firstair/fleet/booking/Team.java
+++ b/src/main/java/firstair/fleet/booking/Team.java
@@ -12,7 +12,7 @@
 final class Team {
     private static final int YEAR_MONTHS = 12;
 
-    long quota;      // thousandths of a call in a month
+    long quota; // thousandths of a call in a month
     ZoneId zone;
     final SortedMap<Integer, Long> used = new TreeMap<>(); // by month
     final Set<String> waiting = new TreeSet<>();
--- a/src/main/java/firstair/fleet/booking/Zones.java
+++ b/src/main/java/firstair/fleet/booking/Zones.java
@@ -13,7 +13,7 @@
  * its first coming where something starts, and its last where something ends: a span holds all that it can mean.
  */
 final class Zones {
-    private Zones() { }
+    private Zones() {}
 
     /** A zone by name; raises {@link Fault.BadRequest} for a field. */
     static ZoneId named(String name, String field) {
--- a/src/main/java/firstair/fleet/budget/Budgets.java
+++ b/src/main/java/firstair/fleet/budget/Budgets.java
@@ -26,16 +26,16 @@
  */
 public final class Budgets {
     private static final double ROUNDS_IN_TERM = 10;
-    private static final double FORGOTTEN_MS = 60_000;  // a need that is not told again
+    private static final double FORGOTTEN_MS = 60_000; // a need that is not told again
     private static final double LATE_AGAIN_MS = 60_000; // between two reports of late loans
     private static final int MOST_NEEDS = 4096;
-    private static final int MOST_ASKS = 64;            // for loans, in a round
+    private static final int MOST_ASKS = 64; // for loans, in a round
     private static final int MOST_RECLAIMED = 8;
     private static final int LONGEST_NAME = 200;
-    private static final double RESERVE = 0.05;         // of its need that a lender keeps beyond it
-    private static final double SHORT = 0.25;           // of a standing: a lack beyond it calls for a reclaim
-    private static final double SHORT_TERM = 0.5;       // share of a term for which the lack has lasted then
-    private static final double EASE = 1.25;            // of a standing: with so much to spare one is given back
+    private static final double RESERVE = 0.05; // of its need that a lender keeps beyond it
+    private static final double SHORT = 0.25; // of a standing: a lack beyond it calls for a reclaim
+    private static final double SHORT_TERM = 0.5; // share of a term for which the lack has lasted then
+    private static final double EASE = 1.25; // of a standing: with so much to spare one is given back
 
     private static final class Need {
         int parts;
@@ -50,8 +50,8 @@
     private final Standing standing;
     private final Loans loans;
     private final Repeats repeats;
-    private final Map<String, Long> newest = new LinkedHashMap<>();   // incarnations, by member
-    private final Map<String, Need> needs = new LinkedHashMap<>();    // by budget
+    private final Map<String, Long> newest = new LinkedHashMap<>(); // incarnations, by member
+    private final Map<String, Need> needs = new LinkedHashMap<>(); // by budget
     private final Map<String, Double> notBefore = new LinkedHashMap<>(); // by member: its next reclaim
     private Set<String> alive; // null until it is told
     private double roundAt = Double.NEGATIVE_INFINITY;
@@ -121,7 +121,8 @@
      * @param parts millionths of the whole
      */
     public void need(double now, String budget, int parts) {
-        if (!isName(budget) || budget.startsWith(Repeats.PREFIX)
+        if (!isName(budget)
+                || budget.startsWith(Repeats.PREFIX)
                 || needs.size() >= MOST_NEEDS && !needs.containsKey(budget)) {
             return;
         }
@@ -162,7 +163,9 @@
 
     /** A note of another process has come; notes that are not about budgets are none of ours. */
     public void heard(double now, String from, long incarnation, Note note) {
-        if (!isName(from) || from.equals(setup.self()) || !setup.members().contains(from)
+        if (!isName(from)
+                || from.equals(setup.self())
+                || !setup.members().contains(from)
                 || incarnation < newest.getOrDefault(from, Long.MIN_VALUE)) {
             dropped++;
             return;
@@ -197,7 +200,10 @@
     }
 
     private boolean asked(double now, String from, long incarnation, Note.StandingAsk ask) {
-        if (voter == null || steppedBack || !isName(ask.of()) || !setup.members().contains(ask.of())) {
+        if (voter == null
+                || steppedBack
+                || !isName(ask.of())
+                || !setup.members().contains(ask.of())) {
             return false;
         }
         boolean granted = voter.ask(now, from, incarnation, ask.nonce(), ask.of());
@@ -320,17 +326,23 @@
         easySince = lack < -EASE * rules.standing() ? Math.min(easySince, now) : Double.POSITIVE_INFINITY;
         List<String> reclaimed = standing.reclaimed();
         boolean stands = standing.stands(now); // without our own nothing else is used either
-        reclaimed.stream().filter(of -> !stands || alive == null || alive.contains(of)).forEach(standing::end);
+        reclaimed.stream()
+                .filter(of -> !stands || alive == null || alive.contains(of))
+                .forEach(standing::end);
         if (!reclaimed.isEmpty() && now - easySince >= setup.quietMs()) {
             standing.end(reclaimed.get(reclaimed.size() - 1));
             easySince = now; // one at a time
         }
-        if (alive == null || !stands || reclaimed.size() >= MOST_RECLAIMED
+        if (alive == null
+                || !stands
+                || reclaimed.size() >= MOST_RECLAIMED
                 || now - shortSince < SHORT_TERM * setup.quietMs()) {
             return;
         }
         List<String> silent = new ArrayList<>(setup.members());
-        silent.removeIf(m -> m.equals(setup.self()) || alive.contains(m) || reclaimed.contains(m)
+        silent.removeIf(m -> m.equals(setup.self())
+                || alive.contains(m)
+                || reclaimed.contains(m)
                 || now < notBefore.getOrDefault(m, Double.NEGATIVE_INFINITY));
         if (!silent.isEmpty()) {
             String of = silent.get(random.nextInt(silent.size()));
--- a/src/main/java/firstair/fleet/budget/Loans.java
+++ b/src/main/java/firstair/fleet/budget/Loans.java
@@ -17,25 +17,25 @@
  * lender counts only the larger of the two.
  */
 final class Loans {
-    private static final int MOST_LENT = 4096;  // loans not over, to all
-    private static final int MOST_OF_ONE = 8;   // to one process out of one budget
+    private static final int MOST_LENT = 4096; // loans not over, to all
+    private static final int MOST_OF_ONE = 8; // to one process out of one budget
     private static final int MOST_ASKS = 1024;
-    private static final int FEWEST = 3;        // new lenders asked in a round
-    private static final int MOST = 32;         // in a round, after rounds that brought something
+    private static final int FEWEST = 3; // new lenders asked in a round
+    private static final int MOST = 32; // in a round, after rounds that brought something
     private static final double LEAST_TERM = 0.25; // of a whole term; shorter loans would be asked for without end
-    private static final double RENEW = 0.5;    // asked for again when less than this share of a term is left
+    private static final double RENEW = 0.5; // asked for again when less than this share of a term is left
     private static final double PATIENCE = 0.2; // share of a term after which an ask counts as not answered
-    private static final double AGAIN = 0.5;    // share of a term before one who gave nothing is asked again
-    private static final double CRUMB = 0.02;   // of the need: a lack below it is none
-    private static final double HOARD = 0.25;   // of the need: a surplus above it is given back early
+    private static final double AGAIN = 0.5; // share of a term before one who gave nothing is asked again
+    private static final double CRUMB = 0.02; // of the need: a lack below it is none
+    private static final double HOARD = 0.25; // of the need: a surplus above it is given back early
 
-    private record Borrower(String name, long incarnation) { }
+    private record Borrower(String name, long incarnation) {}
 
-    private record Lent(long number, LoanAsk ask, String of, int parts, double termMs, double until) { }
+    private record Lent(long number, LoanAsk ask, String of, int parts, double termMs, double until) {}
 
-    private record Ask(String lender, String budget, int parts, double sentAt) { }
+    private record Ask(String lender, String budget, int parts, double sentAt) {}
 
-    private record Borrowed(String lender, long number, int parts, double until) { }
+    private record Borrowed(String lender, long number, int parts, double until) {}
 
     /** What is borrowed of one budget, and who was asked. */
     private static final class Hand {
@@ -43,7 +43,7 @@
         final Map<String, Double> askedAt = new LinkedHashMap<>();
         final Map<String, Double> gaveAt = new LinkedHashMap<>();
         int fan = FEWEST;
-        boolean brought;                                // something new, since the last round
+        boolean brought; // something new, since the last round
         double surplusSince = Double.POSITIVE_INFINITY;
     }
 
@@ -126,7 +126,8 @@
         double termMs = sources.get(best) - now;
         Lent l = new Lent(numbers.next(), ask, best, parts, termMs, now + rules.lentMs(termMs));
         lent.computeIfAbsent(ask.budget(), b -> new LinkedHashMap<>())
-                .computeIfAbsent(borrower, b -> new ArrayList<>()).add(l);
+                .computeIfAbsent(borrower, b -> new ArrayList<>())
+                .add(l);
         lentCount++;
         out.send(from, new Loan(ask.nonce(), l.number, ask.budget(), parts, termMs));
     }
@@ -168,15 +169,24 @@
     /** Parts borrowed of a budget. */
     int borrowed(double now, String budget) {
         Hand hand = hands.get(budget);
-        return hand == null ? 0
-                : hand.loans.values().stream().filter(b -> now < b.until).mapToInt(b -> b.parts).sum();
+        return hand == null
+                ? 0
+                : hand.loans.values().stream()
+                        .filter(b -> now < b.until)
+                        .mapToInt(b -> b.parts)
+                        .sum();
     }
 
     /** When the first of the loans of a budget ends; infinite if there are none. */
     double borrowedUntil(double now, String budget) {
         Hand hand = hands.get(budget);
-        return hand == null ? Double.POSITIVE_INFINITY : hand.loans.values().stream().mapToDouble(b -> b.until)
-                .filter(until -> now < until).min().orElse(Double.POSITIVE_INFINITY);
+        return hand == null
+                ? Double.POSITIVE_INFINITY
+                : hand.loans.values().stream()
+                        .mapToDouble(b -> b.until)
+                        .filter(until -> now < until)
+                        .min()
+                        .orElse(Double.POSITIVE_INFINITY);
     }
 
     /** A loan has come. False if it is not used: it was not asked for, came a second time, or is over. */
@@ -187,8 +197,7 @@
         double until = open ? ask.sentAt + rules.borrowedMs(loan.termMs()) : Double.NEGATIVE_INFINITY;
         if (!open || now >= until) {
             // It is never used from now on. One that is used has come a second time, and stays.
-            boolean used = hand != null && hand.loans.containsKey(from)
-                    && hand.loans.get(from).number == loan.number();
+            boolean used = hand != null && hand.loans.containsKey(from) && hand.loans.get(from).number == loan.number();
             if (!used) {
                 if (open) {
                     asks.remove(loan.nonce());
@@ -200,8 +209,8 @@
         if (rules.onceOnly()) {
             asks.remove(loan.nonce());
         }
-        Borrowed old = hand.loans.put(from,
-                new Borrowed(from, loan.number(), Math.min(loan.parts(), ask.parts), until));
+        Borrowed old =
+                hand.loans.put(from, new Borrowed(from, loan.number(), Math.min(loan.parts(), ask.parts), until));
         if (old == null) {
             hand.brought = true;
         } else if (old.number != loan.number()) {
@@ -229,8 +238,8 @@
                 continue;
             }
             lack += b.parts; // as if it were gone
-            boolean waits = now - hand.askedAt.getOrDefault(b.lender, Double.NEGATIVE_INFINITY)
-                    < PATIENCE * rules.useMs();
+            boolean waits =
+                    now - hand.askedAt.getOrDefault(b.lender, Double.NEGATIVE_INFINITY) < PATIENCE * rules.useMs();
             if (waits || lack > 0 && sent < room) {
                 int parts = Math.min(lack, Math.max(b.parts, rules.standing()));
                 lack -= waits ? b.parts : parts;
@@ -252,8 +261,7 @@
         hand.brought = false;
         List<String> lenders = new ArrayList<>();
         for (String lender : from) {
-            boolean again = now - hand.askedAt.getOrDefault(lender, Double.NEGATIVE_INFINITY)
-                    >= AGAIN * rules.useMs();
+            boolean again = now - hand.askedAt.getOrDefault(lender, Double.NEGATIVE_INFINITY) >= AGAIN * rules.useMs();
             if (again && !hand.loans.containsKey(lender)) {
                 lenders.add(lender);
             }
--- a/src/main/java/firstair/fleet/budget/Part.java
+++ b/src/main/java/firstair/fleet/budget/Part.java
@@ -7,4 +7,4 @@
  * @param until moment on the relay's own clock, ms; infinite where nothing ends
  * @param sure  millionths that may be used from then on, whatever is heard
  */
-public record Part(int parts, double until, int sure) { }
+public record Part(int parts, double until, int sure) {}
--- a/src/main/java/firstair/fleet/budget/Repeats.java
+++ b/src/main/java/firstair/fleet/budget/Repeats.java
@@ -18,16 +18,17 @@
 final class Repeats {
     /** Budgets that begin so are repeats of the destination that follows. */
     static final String PREFIX = "r:";
-    private static final long ONE = 1_000_000;       // a repeat, in the unit in which first tries earn
+
+    private static final long ONE = 1_000_000; // a repeat, in the unit in which first tries earn
     private static final int MOST_DESTINATIONS = 4096;
     private static final int MOST_ASKS = 256;
     private static final int MOST_WANTED = 64;
-    private static final int SEVERAL = 2;            // members asked in a round
-    private static final int WANTED = 4;             // repeats asked for at once
-    private static final int CAP = 100;              // repeats of a destination that are kept
-    private static final long KEPT = ONE;            // not given away
+    private static final int SEVERAL = 2; // members asked in a round
+    private static final int WANTED = 4; // repeats asked for at once
+    private static final int CAP = 100; // repeats of a destination that are kept
+    private static final long KEPT = ONE; // not given away
 
-    private record Asker(long incarnation, long nonce) { }
+    private record Asker(long incarnation, long nonce) {}
 
     private final long earned;
     private final Numbers numbers;
@@ -41,7 +42,7 @@
         }
     };
     private final Set<String> wanted = new LinkedHashSet<>();
-    private final Map<Long, String> asks = new LinkedHashMap<>();   // destination by nonce
+    private final Map<Long, String> asks = new LinkedHashMap<>(); // destination by nonce
     private final Map<String, Asker> askers = new LinkedHashMap<>(); // by member: the newest ask that was answered
 
     Repeats(double ratio, Numbers numbers, Outbox out) {
--- a/src/main/java/firstair/fleet/budget/Standing.java
+++ b/src/main/java/firstair/fleet/budget/Standing.java
@@ -20,18 +20,18 @@
  * {@link Rules}.
  */
 final class Standing {
-    private static final int MOST_ASKS = 64;       // remembered; older ones would hardly count any more
+    private static final int MOST_ASKS = 64; // remembered; older ones would hardly count any more
     private static final double ASKS_IN_TERM = 5;
     private static final double JITTER = 0.1;
-    private static final double TERMS_TO_TRY = 2;  // after which a reclaim without success is given up
+    private static final double TERMS_TO_TRY = 2; // after which a reclaim without success is given up
 
-    private record Ask(String of, double sentAt) { }
+    private record Ask(String of, double sentAt) {}
 
     private static final class Holding {
         final String of;
         final double giveUpAt;
         final Map<String, Double> grants = new LinkedHashMap<>(); // by voter: from when its newest grant counts
-        final Set<String> refusedBy = new LinkedHashSet<>();      // of the newest ask
+        final Set<String> refusedBy = new LinkedHashSet<>(); // of the newest ask
         long newestAsk;
         double askAt = Double.NEGATIVE_INFINITY;
         double until = Double.NEGATIVE_INFINITY;
@@ -100,7 +100,10 @@
 
     /** Which standings are to be given back as soon as nothing of them is lent. */
     List<String> returning() {
-        return holdings.values().stream().filter(h -> h.returning).map(h -> h.of).toList();
+        return holdings.values().stream()
+                .filter(h -> h.returning)
+                .map(h -> h.of)
+                .toList();
     }
 
     /** Tells the voters that it is used no more. Answers that are still under way are not counted. */
@@ -151,8 +154,7 @@
             if (!v.equals(setup.self())) {
                 out.send(v, new StandingAsk(nonce, h.of));
             } else if (voter != null) {
-                answer(now, v, new StandingAnswer(nonce, h.of,
-                        voter.ask(now, v, incarnation, nonce, h.of)));
+                answer(now, v, new StandingAnswer(nonce, h.of, voter.ask(now, v, incarnation, nonce, h.of)));
             }
         }
     }
--- a/src/main/java/firstair/fleet/budget/Standings.java
+++ b/src/main/java/firstair/fleet/budget/Standings.java
@@ -17,7 +17,7 @@
     private final Rules rules;
     private final double grantsFrom;
     private final Map<String, Promise> promises = new LinkedHashMap<>(); // by member
-    private final Map<String, Double> owners = new LinkedHashMap<>();     // when a member last asked for its own
+    private final Map<String, Double> owners = new LinkedHashMap<>(); // when a member last asked for its own
 
     Standings(Rules rules, double now) {
         this.rules = rules;
--- a/src/main/java/firstair/fleet/count/Counts.java
+++ b/src/main/java/firstair/fleet/count/Counts.java
@@ -21,9 +21,9 @@
     public static final double KEPT_MS = 60_000;
 
     private static final double SECOND_MS = 1000;
-    private static final int MOST_SECONDS = 130;    // of one process: a clock that is a little fast, and some to spare
-    private static final int MOST_PROCESSES = 4;    // of one member: the newest ones
-    private static final int MOST_NAMES = 4096;     // in one second of one process
+    private static final int MOST_SECONDS = 130; // of one process: a clock that is a little fast, and some to spare
+    private static final int MOST_PROCESSES = 4; // of one member: the newest ones
+    private static final int MOST_NAMES = 4096; // in one second of one process
     private static final int MOST_RECORDS = 1 << 16; // of one member: 1,024 names in each second that is kept
     private static final int LONGEST_NAME = 200;
     private static final long HIGHEST = 1_000_000_000_000L; // far above what a second can hold; sums stay exact
@@ -31,13 +31,13 @@
     /** What one process has counted in one second of its own. */
     private static final class Second {
         final Map<String, Long> totals = new LinkedHashMap<>();
-        double startedAt = Double.POSITIVE_INFINITY;  // on our clock, the earliest that can be inferred
+        double startedAt = Double.POSITIVE_INFINITY; // on our clock, the earliest that can be inferred
     }
 
     private static final class Process {
         final TreeMap<Long, Second> seconds = new TreeMap<>();
-        long forgotten = Long.MIN_VALUE;              // seconds up to this one never come back
-        int records;                                  // names in all its seconds
+        long forgotten = Long.MIN_VALUE; // seconds up to this one never come back
+        int records; // names in all its seconds
     }
 
     private final Setup setup;
@@ -72,8 +72,10 @@
         Process own = members.getOrDefault(setup.self(), new TreeMap<>()).get(incarnation);
         if (own != null) {
             long from = (long) Math.floor(now / SECOND_MS) - seconds + 1;
-            own.seconds.tailMap(from).forEach((second, s) -> s.totals.forEach((what, total) -> told.add(
-                    new Note.Count(setup.self(), incarnation, what, second, total, now - s.startedAt))));
+            own.seconds
+                    .tailMap(from)
+                    .forEach((second, s) -> s.totals.forEach((what, total) -> told.add(
+                            new Note.Count(setup.self(), incarnation, what, second, total, now - s.startedAt))));
         }
         return new Note.Counts(told);
     }
@@ -83,8 +85,13 @@
         forget(now);
         for (Note.Count c : note.counts()) {
             boolean ours = setup.self().equals(c.member()) && c.incarnation() >= incarnation;
-            boolean sound = isName(c.member()) && setup.members().contains(c.member()) && isName(c.what())
-                    && c.total() >= 0 && c.total() <= HIGHEST && c.ageMs() >= 0 && c.ageMs() < KEPT_MS;
+            boolean sound = isName(c.member())
+                    && setup.members().contains(c.member())
+                    && isName(c.what())
+                    && c.total() >= 0
+                    && c.total() <= HIGHEST
+                    && c.ageMs() >= 0
+                    && c.ageMs() < KEPT_MS;
             Second s = ours || !sound ? null : second(c.member(), c.incarnation(), c.second(), c.what());
             if (s == null) {
                 dropped++;
--- a/src/main/java/firstair/fleet/count/Total.java
+++ b/src/main/java/firstair/fleet/count/Total.java
@@ -8,4 +8,4 @@
  * @param ofRelays how many there are
  * @param oldestMs how old the newest news of the relay is that has told least lately; 0 if there is none
  */
-public record Total(long sum, int relays, int ofRelays, double oldestMs) { }
+public record Total(long sum, int relays, int ofRelays, double oldestMs) {}
--- a/src/main/java/firstair/fleet/fault/Fault.java
+++ b/src/main/java/firstair/fleet/fault/Fault.java
@@ -39,7 +39,9 @@
 
         /** @param name the fleet that it names */
         public OtherFleet(String name) {
-            super("F101", "a message of fleet " + name + " came here",
+            super(
+                    "F101",
+                    "a message of fleet " + name + " came here",
                     "check fleet.name and fleet.peers at its sender");
         }
     }
@@ -60,7 +62,9 @@
 
         /** @param version the version that it names */
         public OtherVersion(int version) {
-            super("F103", "a message of version " + version + " came here",
+            super(
+                    "F103",
+                    "a message of version " + version + " came here",
                     "finish the release: versions are too far apart");
         }
     }
@@ -71,7 +75,9 @@
 
         /** @param name its relay */
         public OldIncarnation(String name, long incarnation) {
-            super("F104", "a message of an earlier process of relay " + name + " (" + incarnation + ") came here",
+            super(
+                    "F104",
+                    "a message of an earlier process of relay " + name + " (" + incarnation + ") came here",
                     "nothing, unless it goes on: then two processes have this name");
         }
     }
@@ -82,7 +88,9 @@
 
         /** @param name our name */
         public NameTaken(String name) {
-            super("F105", "a later process runs as relay " + name + ", this one steps back to what it may do alone",
+            super(
+                    "F105",
+                    "a later process runs as relay " + name + ", this one steps back to what it may do alone",
                     "end one of the two, or give it a name of its own");
         }
     }
@@ -93,8 +101,7 @@
 
         /** @param name who it says it is */
         public Stranger(String name) {
-            super("F106", "a message of " + name + " came here, which is no peer",
-                    "add it to fleet.peers, or end it");
+            super("F106", "a message of " + name + " came here, which is no peer", "add it to fleet.peers, or end it");
         }
     }
 
@@ -104,7 +111,9 @@
 
         /** @param bytes its size */
         public TooLarge(int bytes, int most) {
-            super("F107", "a message of " + bytes + " bytes, " + most + " at most",
+            super(
+                    "F107",
+                    "a message of " + bytes + " bytes, " + most + " at most",
                     "report it: a message grew too long");
         }
     }
@@ -115,7 +124,9 @@
 
         /** @param to whom it was meant for, and which process of it (0: any) */
         public NotForUs(String to, long incarnation) {
-            super("F108", "a message for relay " + to + " (process " + incarnation + ") came here",
+            super(
+                    "F108",
+                    "a message for relay " + to + " (process " + incarnation + ") came here",
                     "nothing after a restart; else check the address of " + to + " in fleet.peers");
         }
     }
@@ -126,7 +137,9 @@
 
         /** @param name our name */
         public Echo(String name) {
-            super("F109", "a message of our own (" + name + ") came back",
+            super(
+                    "F109",
+                    "a message of our own (" + name + ") came back",
                     "check fleet.peers: the address of another relay leads here");
         }
     }
@@ -139,7 +152,9 @@
 
         /** @param ms for so long */
         public Alone(long ms) {
-            super("F201", "no majority of the voters heard for " + ms + " ms, sending at the cut part",
+            super(
+                    "F201",
+                    "no majority of the voters heard for " + ms + " ms, sending at the cut part",
                     "mend the links to the voters; nothing is lost meanwhile");
         }
     }
@@ -150,7 +165,9 @@
 
         /** @param lender who lent */
         public LoanOver(String lender, long number) {
-            super("F202", "loan " + number + " of " + lender + " came when it was over",
+            super(
+                    "F202",
+                    "loan " + number + " of " + lender + " came when it was over",
                     "nothing; many mean slow links");
         }
     }
@@ -173,8 +190,7 @@
 
         /** @param tenant as it was named */
         public UnknownTenant(String tenant) {
-            super("F301", "no contract of tenant " + tenant,
-                    "add its contract, or correct X-Addressing at the client");
+            super("F301", "no contract of tenant " + tenant, "add its contract, or correct X-Addressing at the client");
         }
     }
 
@@ -204,7 +220,9 @@
 
         /** @param zones where they may be handed in */
         public OutsideContract(String tenant, String zone, String zones) {
-            super("F304", "messages of " + tenant + " may not be kept in zone " + zone,
+            super(
+                    "F304",
+                    "messages of " + tenant + " may not be kept in zone " + zone,
                     "hand them in at a relay in " + zones);
         }
     }
@@ -216,7 +234,9 @@
 
         /** @param afterMs when there is room again */
         public TenantQuota(String tenant, double afterMs) {
-            super("F305", "tenant " + tenant + " is over its quota",
+            super(
+                    "F305",
+                    "tenant " + tenant + " is over its quota",
                     "come again after the told wait, or raise the quota");
             this.afterMs = afterMs;
         }
@@ -233,7 +253,8 @@
 
         /** @param version held */
         public ContractsOld(long version) {
-            super("F306",
+            super(
+                    "F306",
                     "contracts (version " + version + ") not confirmed for their term, acting by the strictest known",
                     "mend the links to the voters");
         }
@@ -245,7 +266,9 @@
 
         /** @param tenant whose message */
         public NoZoneLeft(String tenant) {
-            super("F307", "a message of " + tenant + " is in doubt in a zone that its contract has left, given up",
+            super(
+                    "F307",
+                    "a message of " + tenant + " is in doubt in a zone that its contract has left, given up",
                     "ask the partner whether it ran");
         }
     }
@@ -288,7 +311,9 @@
 
         /** @param destination the first that has none */
         public NoRoom(String id, int destination, String left) {
-            super("F404", "booking " + id + ": destination " + destination + " has " + left + " left",
+            super(
+                    "F404",
+                    "booking " + id + ": destination " + destination + " has " + left + " left",
                     "book less, another time, or wait in the list");
         }
     }
@@ -299,7 +324,9 @@
 
         /** @param month such as 2026-12 */
         public TeamQuota(String team, String month, String left) {
-            super("F405", "team " + team + " has " + left + " calls left in " + month,
+            super(
+                    "F405",
+                    "team " + team + " has " + left + " calls left in " + month,
                     "book less, or ask for more quota");
         }
     }
@@ -330,7 +357,9 @@
 
         /** @param when the first closed moment in it */
         public ClosedHours(String id, int destination, String when) {
-            super("F408", "booking " + id + ": destination " + destination + " is closed at " + when,
+            super(
+                    "F408",
+                    "booking " + id + ": destination " + destination + " is closed at " + when,
                     "choose hours in which it is open");
         }
     }
@@ -362,7 +391,9 @@
 
         /** @param afterMs when to come again */
         public NotNow(double afterMs) {
-            super("F411", "no majority of the voters can be heard here",
+            super(
+                    "F411",
+                    "no majority of the voters can be heard here",
                     "come again after the told wait, or elsewhere");
             this.afterMs = afterMs;
         }
@@ -391,7 +422,9 @@
 
         /** @param at first byte that cannot be read */
         public TornLedger(String file, long at) {
-            super("F501", "ledger " + file + " is damaged at byte " + at,
+            super(
+                    "F501",
+                    "ledger " + file + " is damaged at byte " + at,
                     "bring an undamaged copy back; without it this voter stays out, the others agree as a majority");
         }
     }
@@ -412,7 +445,9 @@
 
         /** @param kind as it stands there */
         public UnknownEntry(String kind) {
-            super("F503", "an entry of kind " + kind + " is in the ledger, which this version does not know",
+            super(
+                    "F503",
+                    "an entry of kind " + kind + " is in the ledger, which this version does not know",
                     "finish the release; until then nothing new is granted here");
         }
     }
@@ -423,7 +458,9 @@
 
         /** @param folder where it was looked for */
         public LedgerLost(String folder) {
-            super("F504", "no ledger in " + folder + ", and this is not said to be the first start of this voter",
+            super(
+                    "F504",
+                    "no ledger in " + folder + ", and this is not said to be the first start of this voter",
                     "bring the folder back; without it this voter must not vote, the others agree as a majority");
         }
     }
--- a/src/main/java/firstair/fleet/ledger/AgreedContracts.java
+++ b/src/main/java/firstair/fleet/ledger/AgreedContracts.java
@@ -26,7 +26,7 @@
      *                  before
      * @param contracts one text each, in the order in which they were proposed
      */
-    public record Version(long number, long atMs, List<String> contracts) { }
+    public record Version(long number, long atMs, List<String> contracts) {}
 
     /**
      * What came of a {@link #put}.
@@ -34,7 +34,7 @@
      * @param taken   whether it is in force
      * @param version the number in force: its own, or that of the version that it did not name
      */
-    public record Put(boolean taken, long version) { }
+    public record Put(boolean taken, long version) {}
 
     private final double keepMs;
     private List<Version> versions = List.of();
@@ -46,8 +46,13 @@
 
     /** The operation that puts contracts in force if the version before is the one named; 0 if there is none yet. */
     public static byte[] put(long follows, long atMs, List<String> contracts) {
-        return Agreements.operation(Agreements.CONTRACTS,
-                new Packed.Writer().number(follows).number(atMs).texts(contracts).done());
+        return Agreements.operation(
+                Agreements.CONTRACTS,
+                new Packed.Writer()
+                        .number(follows)
+                        .number(atMs)
+                        .texts(contracts)
+                        .done());
     }
 
     /**
@@ -73,7 +78,9 @@
         if (follows != newest) {
             return new Packed.Writer().flag(false).number(newest).done();
         }
-        long at = versions.isEmpty() ? atMs : Math.max(atMs, versions.get(versions.size() - 1).atMs());
+        long at = versions.isEmpty()
+                ? atMs
+                : Math.max(atMs, versions.get(versions.size() - 1).atMs());
         List<Version> next = new ArrayList<>(versions);
         next.add(new Version(newest + 1, at, List.copyOf(contracts)));
         // A version is over when its follower comes: its follower's age counts, not its own.
--- a/src/main/java/firstair/fleet/ledger/Agreements.java
+++ b/src/main/java/firstair/fleet/ledger/Agreements.java
@@ -26,7 +26,7 @@
     private static final class Proposer {
         private long incarnation;
         private long forgotten; // proposals up to this number are refused
-        private long usedAt;    // index of the last one that counted
+        private long usedAt; // index of the last one that counted
         private final TreeMap<Long, byte[]> answers = new TreeMap<>();
     }
 
@@ -144,7 +144,11 @@
     byte[] snapshot() {
         Packed.Writer out = new Packed.Writer().number(version).bytes(state()).number(proposers.size());
         proposers.forEach((by, p) -> {
-            out.text(by).number(p.incarnation).number(p.forgotten).number(p.usedAt).number(p.answers.size());
+            out.text(by)
+                    .number(p.incarnation)
+                    .number(p.forgotten)
+                    .number(p.usedAt)
+                    .number(p.answers.size());
             p.answers.forEach((number, answer) -> out.number(number).bytes(answer));
         });
         return out.done();
--- a/src/main/java/firstair/fleet/ledger/EngineForm.java
+++ b/src/main/java/firstair/fleet/ledger/EngineForm.java
@@ -29,28 +29,49 @@
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     private enum Type {
-        APPEND, APPENDED, NOT_APPENDED, INSTALL, INSTALLED, PRE_VOTE, PRE_VOTED, VOTE, VOTED, TAKE_THE_LEAD
+        APPEND,
+        APPENDED,
+        NOT_APPENDED,
+        INSTALL,
+        INSTALLED,
+        PRE_VOTE,
+        PRE_VOTED,
+        VOTE,
+        VOTED,
+        TAKE_THE_LEAD
     }
 
-    private EngineForm() { }
+    private EngineForm() {}
 
     static byte[] bytes(RaftMessage message) {
         Packed.Writer out = new Packed.Writer();
         if (message instanceof AppendEntriesRequest m) {
-            head(out, Type.APPEND, m).number(m.getPreviousLogTerm()).number(m.getPreviousLogIndex())
-                    .number(m.getCommitIndex()).number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber()).number(m.getLogEntries().size());
+            head(out, Type.APPEND, m)
+                    .number(m.getPreviousLogTerm())
+                    .number(m.getPreviousLogIndex())
+                    .number(m.getCommitIndex())
+                    .number(m.getQuerySequenceNumber())
+                    .number(m.getFlowControlSequenceNumber())
+                    .number(m.getLogEntries().size());
             m.getLogEntries().forEach(e -> entry(out, e));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            head(out, Type.APPENDED, m).number(m.getLastLogIndex()).number(m.getQuerySequenceNumber())
+            head(out, Type.APPENDED, m)
+                    .number(m.getLastLogIndex())
+                    .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            head(out, Type.NOT_APPENDED, m).number(m.getExpectedNextIndex()).number(m.getQuerySequenceNumber())
+            head(out, Type.NOT_APPENDED, m)
+                    .number(m.getExpectedNextIndex())
+                    .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest m) {
-            head(out, Type.INSTALL, m).flag(m.isSenderLeader()).number(m.getSnapshotTerm())
-                    .number(m.getSnapshotIndex()).number(m.getTotalSnapshotChunkCount())
-                    .texts(names(m.getSnapshottedMembers())).number(m.getQuerySequenceNumber())
+            head(out, Type.INSTALL, m)
+                    .flag(m.isSenderLeader())
+                    .number(m.getSnapshotTerm())
+                    .number(m.getSnapshotIndex())
+                    .number(m.getTotalSnapshotChunkCount())
+                    .texts(names(m.getSnapshottedMembers()))
+                    .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
             out.flag(m.getGroupMembersView() != null);
             if (m.getGroupMembersView() != null) {
@@ -61,14 +82,20 @@
                 chunk(out, m.getSnapshotChunk());
             }
         } else if (message instanceof InstallSnapshotResponse m) {
-            head(out, Type.INSTALLED, m).number(m.getSnapshotIndex()).number(m.getRequestedSnapshotChunkIndex())
-                    .number(m.getQuerySequenceNumber()).number(m.getFlowControlSequenceNumber());
+            head(out, Type.INSTALLED, m)
+                    .number(m.getSnapshotIndex())
+                    .number(m.getRequestedSnapshotChunkIndex())
+                    .number(m.getQuerySequenceNumber())
+                    .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest m) {
             head(out, Type.PRE_VOTE, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
         } else if (message instanceof PreVoteResponse m) {
             head(out, Type.PRE_VOTED, m).flag(m.isGranted());
         } else if (message instanceof VoteRequest m) {
-            head(out, Type.VOTE, m).number(m.getLastLogTerm()).number(m.getLastLogIndex()).flag(m.isSticky());
+            head(out, Type.VOTE, m)
+                    .number(m.getLastLogTerm())
+                    .number(m.getLastLogIndex())
+                    .flag(m.isSticky());
         } else if (message instanceof VoteResponse m) {
             head(out, Type.VOTED, m).flag(m.isGranted());
         } else if (message instanceof TriggerLeaderElectionRequest m) {
@@ -80,7 +107,9 @@
     }
 
     private static Packed.Writer head(Packed.Writer out, Type type, RaftMessage message) {
-        return out.number(type.ordinal()).text((String) message.getGroupId()).text(Voter.nameOf(message.getSender()))
+        return out.number(type.ordinal())
+                .text((String) message.getGroupId())
+                .text(Voter.nameOf(message.getSender()))
                 .number(message.getTerm());
     }
 
@@ -103,39 +132,99 @@
     private static RaftMessage message(Packed.Reader in, Type type, String group, Voter sender, int term) {
         return switch (type) {
             case APPEND -> {
-                var m = MODEL.createAppendEntriesRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                        .setPreviousLogTerm(in.whole()).setPreviousLogIndex(in.count());
-                m.setCommitIndex(in.count()).setQuerySequenceNumber(in.count())
+                var m = MODEL.createAppendEntriesRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setPreviousLogTerm(in.whole())
+                        .setPreviousLogIndex(in.count());
+                m.setCommitIndex(in.count())
+                        .setQuerySequenceNumber(in.count())
                         .setFlowControlSequenceNumber(in.count());
                 yield m.setLogEntries(entries(in)).build();
             }
-            case APPENDED -> MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setLastLogIndex(in.count()).setQuerySequenceNumber(in.count())
-                    .setFlowControlSequenceNumber(in.count()).build();
-            case NOT_APPENDED -> MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setExpectedNextIndex(in.count()).setQuerySequenceNumber(in.count())
-                    .setFlowControlSequenceNumber(in.count()).build();
+            case APPENDED ->
+                MODEL.createAppendEntriesSuccessResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setLastLogIndex(in.count())
+                        .setQuerySequenceNumber(in.count())
+                        .setFlowControlSequenceNumber(in.count())
+                        .build();
+            case NOT_APPENDED ->
+                MODEL.createAppendEntriesFailureResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setExpectedNextIndex(in.count())
+                        .setQuerySequenceNumber(in.count())
+                        .setFlowControlSequenceNumber(in.count())
+                        .build();
             case INSTALL -> {
-                var m = MODEL.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                        .setSenderLeader(in.flag()).setSnapshotTerm(in.whole()).setSnapshotIndex(in.count());
-                m.setTotalSnapshotChunkCount(in.whole()).setSnapshottedMembers(voters(in.texts()))
-                        .setQuerySequenceNumber(in.count()).setFlowControlSequenceNumber(in.count());
+                var m = MODEL.createInstallSnapshotRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setSenderLeader(in.flag())
+                        .setSnapshotTerm(in.whole())
+                        .setSnapshotIndex(in.count());
+                m.setTotalSnapshotChunkCount(in.whole())
+                        .setSnapshottedMembers(voters(in.texts()))
+                        .setQuerySequenceNumber(in.count())
+                        .setFlowControlSequenceNumber(in.count());
                 m.setGroupMembersView(in.flag() ? members(in) : null);
                 yield m.setSnapshotChunk(in.flag() ? chunk(in) : null).build();
             }
-            case INSTALLED -> MODEL.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setSnapshotIndex(in.count()).setRequestedSnapshotChunkIndex(in.whole())
-                    .setQuerySequenceNumber(in.count()).setFlowControlSequenceNumber(in.count()).build();
-            case PRE_VOTE -> MODEL.createPreVoteRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.whole()).setLastLogIndex(in.count()).build();
-            case PRE_VOTED -> MODEL.createPreVoteResponseBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setGranted(in.flag()).build();
-            case VOTE -> MODEL.createVoteRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setLastLogTerm(in.whole()).setLastLogIndex(in.count()).setSticky(in.flag()).build();
-            case VOTED -> MODEL.createVoteResponseBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setGranted(in.flag()).build();
-            case TAKE_THE_LEAD -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group)
-                    .setSender(sender).setTerm(term).setLastLogTerm(in.whole()).setLastLogIndex(in.count()).build();
+            case INSTALLED ->
+                MODEL.createInstallSnapshotResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setSnapshotIndex(in.count())
+                        .setRequestedSnapshotChunkIndex(in.whole())
+                        .setQuerySequenceNumber(in.count())
+                        .setFlowControlSequenceNumber(in.count())
+                        .build();
+            case PRE_VOTE ->
+                MODEL.createPreVoteRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setLastLogTerm(in.whole())
+                        .setLastLogIndex(in.count())
+                        .build();
+            case PRE_VOTED ->
+                MODEL.createPreVoteResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setGranted(in.flag())
+                        .build();
+            case VOTE ->
+                MODEL.createVoteRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setLastLogTerm(in.whole())
+                        .setLastLogIndex(in.count())
+                        .setSticky(in.flag())
+                        .build();
+            case VOTED ->
+                MODEL.createVoteResponseBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setGranted(in.flag())
+                        .build();
+            case TAKE_THE_LEAD ->
+                MODEL.createTriggerLeaderElectionRequestBuilder()
+                        .setGroupId(group)
+                        .setSender(sender)
+                        .setTerm(term)
+                        .setLastLogTerm(in.whole())
+                        .setLastLogIndex(in.count())
+                        .build();
         };
     }
 
@@ -143,7 +232,8 @@
         List<LogEntry> entries = new ArrayList<>();
         for (int n = in.size(); n > 0; n--) {
             LogEntry entry = entry(in);
-            if (!entries.isEmpty() && entry.getIndex() != entries.get(entries.size() - 1).getIndex() + 1) {
+            if (!entries.isEmpty()
+                    && entry.getIndex() != entries.get(entries.size() - 1).getIndex() + 1) {
                 throw new Fault.Unreadable("entries with a gap");
             }
             entries.add(entry);
@@ -156,19 +246,31 @@
     }
 
     static LogEntry entry(Packed.Reader in) {
-        return MODEL.createLogEntryBuilder().setIndex(in.count()).setTerm(in.whole()).setOperation(in.bytes()).build();
+        return MODEL.createLogEntryBuilder()
+                .setIndex(in.count())
+                .setTerm(in.whole())
+                .setOperation(in.bytes())
+                .build();
     }
 
     static Packed.Writer chunk(Packed.Writer out, SnapshotChunk chunk) {
-        out.number(chunk.getIndex()).number(chunk.getTerm()).number(chunk.getSnapshotChunkIndex())
-                .number(chunk.getSnapshotChunkCount()).bytes((byte[]) chunk.getOperation());
+        out.number(chunk.getIndex())
+                .number(chunk.getTerm())
+                .number(chunk.getSnapshotChunkIndex())
+                .number(chunk.getSnapshotChunkCount())
+                .bytes((byte[]) chunk.getOperation());
         return members(out, chunk.getGroupMembersView());
     }
 
     static SnapshotChunk chunk(Packed.Reader in) {
-        SnapshotChunk chunk = MODEL.createSnapshotChunkBuilder().setIndex(in.count()).setTerm(in.whole())
-                .setSnapshotChunkIndex(in.whole()).setSnapshotChunkCount(in.whole()).setOperation(in.bytes())
-                .setGroupMembersView(members(in)).build();
+        SnapshotChunk chunk = MODEL.createSnapshotChunkBuilder()
+                .setIndex(in.count())
+                .setTerm(in.whole())
+                .setSnapshotChunkIndex(in.whole())
+                .setSnapshotChunkCount(in.whole())
+                .setOperation(in.bytes())
+                .setGroupMembersView(members(in))
+                .build();
         if (chunk.getSnapshotChunkIndex() >= chunk.getSnapshotChunkCount()) {
             throw new Fault.Unreadable("a piece behind the last of its snapshot");
         }
@@ -184,8 +286,11 @@
     }
 
     static RaftGroupMembersView members(long index, List<String> members, List<String> voting) {
-        return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(index).setMembers(voters(members))
-                .setVotingMembers(voters(voting)).build();
+        return MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(index)
+                .setMembers(voters(members))
+                .setVotingMembers(voters(voting))
+                .build();
     }
 
     private static Set<RaftEndpoint> voters(List<String> names) {
--- a/src/main/java/firstair/fleet/ledger/Follower.java
+++ b/src/main/java/firstair/fleet/ledger/Follower.java
@@ -20,7 +20,7 @@
 public final class Follower {
     private static final int MOST_PIECES = 4096;
     private static final int MOST_BYTES = 64 << 20;
-    private static final int ASKS = 8;     // asks that an answer may still come to
+    private static final int ASKS = 8; // asks that an answer may still come to
     private static final int PARTIALS = 2; // versions that are put together at a time
 
     /** Is told what is held. */
@@ -37,7 +37,7 @@
         void agreed(long version, byte[] state, boolean sure, double askedAt);
     }
 
-    private record Ask(double at, String of) { }
+    private record Ask(double at, String of) {}
 
     /** Pieces of one version as one voter tells it. */
     private static final class Partial {
@@ -77,9 +77,9 @@
     private byte[] state = new byte[0];
     private double sureAt = Double.NEGATIVE_INFINITY;
     private int voter;
-    private int moves;             // to another voter since the last answer that was sure
-    private boolean told;          // the newest ask has had a sure answer
-    private double nextAt;         // of the next ask
+    private int moves; // to another voter since the last answer that was sure
+    private boolean told; // the newest ask has had a sure answer
+    private double nextAt; // of the next ask
     private double silentAt = Double.POSITIVE_INFINITY;
     private long dropped;
 
@@ -89,8 +89,8 @@
      * @param everyMs    pause between asks while all is well
      * @param patienceMs so long an answer may take before another voter is asked
      */
-    public Follower(Setup setup, Outbox outbox, RandomGenerator random, Listener listener, double everyMs,
-            double patienceMs) {
+    public Follower(
+            Setup setup, Outbox outbox, RandomGenerator random, Listener listener, double everyMs, double patienceMs) {
         this.setup = setup;
         this.outbox = outbox;
         this.random = random;
@@ -173,7 +173,8 @@
             if (note.version() <= version) {
                 silentAt = Double.POSITIVE_INFINITY; // all of it is here; else the patience goes on for the rest
             }
-        } else if (from.equals(setup.voters().get(voter)) && note.piece() == 0
+        } else if (from.equals(setup.voters().get(voter))
+                && note.piece() == 0
                 && moves + 1 < setup.voters().size()) {
             next();
             ask(now);
@@ -181,8 +182,11 @@
     }
 
     private static boolean fits(Note.Agreed note) {
-        return note.pieces() == 0 ? note.bytes().length == 0
-                : note.pieces() > 0 && note.pieces() <= MOST_PIECES && note.piece() >= 0
+        return note.pieces() == 0
+                ? note.bytes().length == 0
+                : note.pieces() > 0
+                        && note.pieces() <= MOST_PIECES
+                        && note.piece() >= 0
                         && note.piece() < note.pieces();
     }
 
--- a/src/main/java/firstair/fleet/ledger/Ledger.java
+++ b/src/main/java/firstair/fleet/ledger/Ledger.java
@@ -10,6 +10,7 @@
 import io.microraft.RaftNode;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
 import io.microraft.model.message.AppendEntriesFailureResponse;
 import io.microraft.model.message.AppendEntriesSuccessResponse;
@@ -19,7 +20,6 @@
 import io.microraft.model.message.VoteResponse;
 import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
-import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.persistence.RaftStore;
 import io.microraft.report.RaftNodeReport;
 import io.microraft.statemachine.StateMachine;
@@ -68,20 +68,20 @@
  * is given here.
  */
 public final class Ledger {
-    private static final int SPEED = 4;                     // the engine's clock runs so many times faster
-    private static final int HEARTBEAT_S = 1;               // of the engine's
-    private static final double LEAST_TIMEOUT_MS = 2000;    // without a leader, then there is an election
-    private static final double TIMEOUT_DELAYS = 10;        // but never sooner than after so many longest delays
+    private static final int SPEED = 4; // the engine's clock runs so many times faster
+    private static final int HEARTBEAT_S = 1; // of the engine's
+    private static final double LEAST_TIMEOUT_MS = 2000; // without a leader, then there is an election
+    private static final double TIMEOUT_DELAYS = 10; // but never sooner than after so many longest delays
     private static final double LEAST_ELECTION_MS = 500;
     private static final double ELECTION_DELAYS = 4;
-    private static final double JITTER = 0.25;              // pauses are longer by this share at most
-    private static final int ENTRIES_EACH = 8;              // of up to 64 KiB: half a MiB in one note at most
+    private static final double JITTER = 0.25; // pauses are longer by this share at most
+    private static final int ENTRIES_EACH = 8; // of up to 64 KiB: half a MiB in one note at most
     private static final int MOST_PENDING = 256;
-    private static final int SNAPSHOT_EVERY = 1000;         // entries
+    private static final int SNAPSHOT_EVERY = 1000; // entries
     private static final int PIECE_BYTES = 16_384;
     private static final double ASK_MS = 1000;
     private static final double ASK_PATIENCE_MS = 700;
-    private static final double AGAIN_MS = 300;             // a proposer may ask the next voter
+    private static final double AGAIN_MS = 300; // a proposer may ask the next voter
     private static final byte[] NO_OPERATION = new byte[0]; // what a new leader begins its term with
     private static final Object QUESTION = new Object();
 
@@ -122,16 +122,24 @@
      * @param listener    is told what is agreed, as {@link Follower} tells it on members that are no voters
      * @throws Fault.BadSetup if the memory is of another voter, fleet or set of voters
      */
-    public Ledger(Setup setup, long incarnation, LedgerMemory memory, Keeper keeper, Agreements machines,
-            Outbox outbox, Random random, Follower.Listener listener) {
+    public Ledger(
+            Setup setup,
+            long incarnation,
+            LedgerMemory memory,
+            Keeper keeper,
+            Agreements machines,
+            Outbox outbox,
+            Random random,
+            Follower.Listener listener) {
         if (!memory.fleet().equals(setup.fleet()) || !memory.self().equals(setup.self())) {
-            throw new Fault.BadSetup("fleet.name", "the ledger here is that of " + memory.self() + " in fleet "
-                    + memory.fleet());
+            throw new Fault.BadSetup(
+                    "fleet.name", "the ledger here is that of " + memory.self() + " in fleet " + memory.fleet());
         }
         if (!List.copyOf(memory.voters()).containsAll(setup.voters())
                 || memory.voters().size() != setup.voters().size()) {
-            throw new Fault.BadSetup("fleet.voters", "the ledger here is of " + memory.voters()
-                    + ", and voters cannot be changed under it");
+            throw new Fault.BadSetup(
+                    "fleet.voters",
+                    "the ledger here is of " + memory.voters() + ", and voters cannot be changed under it");
         }
         this.setup = setup;
         this.machines = machines;
@@ -156,16 +164,27 @@
         this.follower = new Follower(setup, out, random, listener, ASK_MS, ASK_PATIENCE_MS);
         double election = Math.max(LEAST_ELECTION_MS, ELECTION_DELAYS * setup.delayMs());
         double timeout = Math.max(LEAST_TIMEOUT_MS, TIMEOUT_DELAYS * setup.delayMs());
-        RaftConfig config = RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
+        RaftConfig config = RaftConfig.newBuilder()
+                .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
                 .setLeaderHeartbeatTimeoutSecs((long) Math.ceil(timeout * SPEED / 1000))
                 .setLeaderElectionTimeoutMillis((long) (election * SPEED))
                 .setAppendEntriesRequestBatchSize(ENTRIES_EACH)
-                .setMaxPendingLogEntryCount(MOST_PENDING).setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-                .setTransferSnapshotsFromFollowersEnabled(false).build();
-        this.node = RaftNode.newBuilder().setGroupId(setup.fleet()).setRestoredState(memory.restored())
-                .setConfig(config).setExecutor(new Queue()).setTransport(new Wire()).setStateMachine(new Machine())
-                .setStore(new Watched(memory.store(keeper))).setModelFactory(EngineForm.MODEL).setRandom(random)
-                .setClock(new Ticks()).build();
+                .setMaxPendingLogEntryCount(MOST_PENDING)
+                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
+                .setTransferSnapshotsFromFollowersEnabled(false)
+                .build();
+        this.node = RaftNode.newBuilder()
+                .setGroupId(setup.fleet())
+                .setRestoredState(memory.restored())
+                .setConfig(config)
+                .setExecutor(new Queue())
+                .setTransport(new Wire())
+                .setStateMachine(new Machine())
+                .setStore(new Watched(memory.store(keeper)))
+                .setModelFactory(EngineForm.MODEL)
+                .setRandom(random)
+                .setClock(new Ticks())
+                .build();
     }
 
     // ---- what happens to it ----
@@ -206,12 +225,13 @@
 
     /** Does what is due. */
     public void timer(double at) {
-        enter(at, () -> { });
+        enter(at, () -> {});
     }
 
     /** When {@link #timer} has something to do, if nothing is heard until then; infinite if never. */
     public double wakeAt() {
-        double engine = later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().at();
+        double engine =
+                later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().at();
         return Math.min(engine, Math.min(proposer.wakeAt(), follower.wakeAt()));
     }
 
@@ -270,7 +290,9 @@
 
     /** Whether this voter leads as far as it knows. */
     public boolean leads() {
-        return running && fault == null && new Voter(setup.self()).equals(node.getTerm().getLeaderEndpoint());
+        return running
+                && fault == null
+                && new Voter(setup.self()).equals(node.getTerm().getLeaderEndpoint());
     }
 
     /** The newest term that it has seen. */
@@ -343,9 +365,13 @@
 
     private void engine(RaftMessage message) {
         boolean answer = message instanceof AppendEntriesSuccessResponse
-                || message instanceof AppendEntriesFailureResponse || message instanceof InstallSnapshotResponse
-                || message instanceof VoteResponse || message instanceof PreVoteResponse;
-        if (!running || fault != null || answer && message.getTerm() < node.getTerm().getTerm()) {
+                || message instanceof AppendEntriesFailureResponse
+                || message instanceof InstallSnapshotResponse
+                || message instanceof VoteResponse
+                || message instanceof PreVoteResponse;
+        if (!running
+                || fault != null
+                || answer && message.getTerm() < node.getTerm().getTerm()) {
             dropped++;
         } else {
             node.handle(message);
@@ -359,8 +385,13 @@
         } else if (leads()) {
             if (!machines.knows(proposal.kind())) {
                 // Agreed on, it would stop every voter of this version.
-                outbox.send(proposal.by(), new Note.Proposed(note.nonce(), true,
-                        Outcome.refused(new Fault.UnknownEntry(Integer.toString(proposal.kind()))), 0));
+                outbox.send(
+                        proposal.by(),
+                        new Note.Proposed(
+                                note.nonce(),
+                                true,
+                                Outcome.refused(new Fault.UnknownEntry(Integer.toString(proposal.kind()))),
+                                0));
                 return;
             }
             node.<byte[]>replicate(note.operation()).whenComplete((agreed, failure) -> {
--- a/src/main/java/firstair/fleet/ledger/LedgerMemory.java
+++ b/src/main/java/firstair/fleet/ledger/LedgerMemory.java
@@ -22,7 +22,15 @@
  * changes is a memory that this voter has had, so one whose last changes were cut off is whole.
  */
 public final class LedgerMemory {
-    private enum Type { FOUNDED, TERM, ENTRY, CUT_FROM, CUT_UNTIL, CHUNK, CHUNKS_GONE }
+    private enum Type {
+        FOUNDED,
+        TERM,
+        ENTRY,
+        CUT_FROM,
+        CUT_UNTIL,
+        CHUNK,
+        CHUNKS_GONE
+    }
 
     private String fleet;
     private String self;
@@ -32,7 +40,7 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
-    private LedgerMemory() { }
+    private LedgerMemory() {}
 
     /** The memory of a voter that starts for the first time. */
     public static LedgerMemory founded(String fleet, String self, List<String> voters) {
@@ -113,7 +121,8 @@
             case CUT_UNTIL -> entries.headMap(in.count(), true).clear();
             case CHUNK -> {
                 SnapshotChunk chunk = EngineForm.chunk(in);
-                snapshots.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
+                snapshots
+                        .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
                 snapshots.headMap(snapshot(), false).clear(); // those before the newest whole one
             }
@@ -125,7 +134,8 @@
 
     /** Index of the newest snapshot of which all pieces are there, or -1. */
     private long snapshot() {
-        for (Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> s : snapshots.descendingMap().entrySet()) {
+        for (Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> s :
+                snapshots.descendingMap().entrySet()) {
             if (s.getValue().size() == s.getValue().firstEntry().getValue().getSnapshotChunkCount()) {
                 return s.getKey();
             }
@@ -138,9 +148,10 @@
         List<byte[]> all = new ArrayList<>();
         all.add(change(Type.FOUNDED).text(fleet).text(self).texts(voters).done());
         all.add(change(Type.TERM).number(term).text(votedFor).done());
-        snapshots.values().forEach(s -> s.values().forEach(c ->
-                all.add(EngineForm.chunk(change(Type.CHUNK), c).done())));
-        entries.values().forEach(e -> all.add(EngineForm.entry(change(Type.ENTRY), e).done()));
+        snapshots.values().forEach(s -> s.values()
+                .forEach(c -> all.add(EngineForm.chunk(change(Type.CHUNK), c).done())));
+        entries.values()
+                .forEach(e -> all.add(EngineForm.entry(change(Type.ENTRY), e).done()));
         return all;
     }
 
@@ -154,10 +165,16 @@
         SnapshotEntry snapshot = null;
         if (whole >= 0) {
             List<SnapshotChunk> chunks = List.copyOf(snapshots.get(whole).values());
-            snapshot = EngineForm.MODEL.createSnapshotEntryBuilder().setIndex(whole).setTerm(chunks.get(0).getTerm())
-                    .setSnapshotChunks(chunks).setGroupMembersView(chunks.get(0).getGroupMembersView()).build();
+            snapshot = EngineForm.MODEL
+                    .createSnapshotEntryBuilder()
+                    .setIndex(whole)
+                    .setTerm(chunks.get(0).getTerm())
+                    .setSnapshotChunks(chunks)
+                    .setGroupMembersView(chunks.get(0).getGroupMembersView())
+                    .build();
         }
-        List<LogEntry> behind = new ArrayList<>(entries.tailMap(Math.max(0, whole), false).values());
+        List<LogEntry> behind =
+                new ArrayList<>(entries.tailMap(Math.max(0, whole), false).values());
         long next = Math.max(0, whole) + 1;
         for (LogEntry e : behind) {
             if (e.getIndex() != next) {
@@ -165,10 +182,16 @@
             }
             next++;
         }
-        RaftEndpointPersistentState own = EngineForm.MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Voter(self)).setVoting(true).build();
-        RaftTermPersistentState vote = EngineForm.MODEL.createRaftTermPersistentStateBuilder().setTerm(term)
-                .setVotedFor(votedFor == null ? null : new Voter(votedFor)).build();
+        RaftEndpointPersistentState own = EngineForm.MODEL
+                .createRaftEndpointPersistentStateBuilder()
+                .setLocalEndpoint(new Voter(self))
+                .setVoting(true)
+                .build();
+        RaftTermPersistentState vote = EngineForm.MODEL
+                .createRaftTermPersistentStateBuilder()
+                .setTerm(term)
+                .setVotedFor(votedFor == null ? null : new Voter(votedFor))
+                .build();
         return new RestoredRaftState(own, EngineForm.members(0, voters, voters), vote, snapshot, behind);
     }
 
--- a/src/main/java/firstair/fleet/ledger/Outcome.java
+++ b/src/main/java/firstair/fleet/ledger/Outcome.java
@@ -6,16 +6,16 @@
 public sealed interface Outcome {
 
     /** It is agreed, once, and this is the machine's result. */
-    record Agreed(byte[] result) implements Outcome { }
+    record Agreed(byte[] result) implements Outcome {}
 
     /** It is agreed that it changes nothing: the code, the text and the step of the fault that the machine raised. */
-    record Refused(String code, String what, String step) implements Outcome { }
+    record Refused(String code, String what, String step) implements Outcome {}
 
     /**
      * No majority could be heard in time. The proposal may still come to be agreed later, once at most; who proposes
      * the same again should name things so that doing it twice does no harm.
      */
-    record NotNow(Fault.NotNow fault) implements Outcome { }
+    record NotNow(Fault.NotNow fault) implements Outcome {}
 
     /** The bytes in which voters tell what came of a proposal. */
     static byte[] agreed(byte[] result) {
@@ -24,7 +24,12 @@
 
     /** The bytes in which voters tell that a proposal is refused. */
     static byte[] refused(Fault fault) {
-        return new Packed.Writer().flag(false).text(fault.code()).text(fault.getMessage()).text(fault.step()).done();
+        return new Packed.Writer()
+                .flag(false)
+                .text(fault.code())
+                .text(fault.getMessage())
+                .text(fault.step())
+                .done();
     }
 
     /**
--- a/src/main/java/firstair/fleet/ledger/Packed.java
+++ b/src/main/java/firstair/fleet/ledger/Packed.java
@@ -160,5 +160,5 @@
         }
     }
 
-    private Packed() { }
+    private Packed() {}
 }
--- a/src/main/java/firstair/fleet/ledger/Proposal.java
+++ b/src/main/java/firstair/fleet/ledger/Proposal.java
@@ -15,7 +15,12 @@
     static final int MOST_BYTES = 65_536;
 
     byte[] bytes() {
-        return new Packed.Writer().text(by).number(incarnation).number(number).bytes(operation).done();
+        return new Packed.Writer()
+                .text(by)
+                .number(incarnation)
+                .number(number)
+                .bytes(operation)
+                .done();
     }
 
     static Proposal read(byte[] bytes) {
--- a/src/main/java/firstair/fleet/ledger/Proposer.java
+++ b/src/main/java/firstair/fleet/ledger/Proposer.java
@@ -19,9 +19,10 @@
 public final class Proposer {
     /** Open at a time; half of what {@link Agreements} remembers, so that no open one is forgotten there. */
     static final int MOST = Agreements.KEPT / 2;
-    private static final double RETRY_MS = 500;     // an answer takes two round trips and two writes to disk
+
+    private static final double RETRY_MS = 500; // an answer takes two round trips and two writes to disk
     private static final double PATIENCE_MS = 8000; // a leader that died is followed by another one in this time
-    private static final double AGAIN_MS = 2000;    // an election later
+    private static final double AGAIN_MS = 2000; // an election later
 
     private static final class Open {
         private final byte[] bytes;
@@ -73,8 +74,7 @@
             return;
         }
         number++;
-        Open o = new Open(new Proposal(setup.self(), incarnation, number, operation).bytes(), done,
-                now + PATIENCE_MS);
+        Open o = new Open(new Proposal(setup.self(), incarnation, number, operation).bytes(), done, now + PATIENCE_MS);
         open.put(number, o);
         send(now, number, o);
     }
--- a/src/main/java/firstair/fleet/member/Health.java
+++ b/src/main/java/firstair/fleet/member/Health.java
@@ -8,11 +8,11 @@
  * takes itself for the cause: it waits longer and declares nobody gone.
  */
 final class Health {
-    private static final int WINDOW = 8;        // hellos that are looked back on
-    private static final int LEAST = 4;         // before so many nothing is known about ourselves
-    private static final int WORST = 4;         // time-outs grow to 1 + so many times
-    private static final double LEAST_MS = 20;  // a loaded loop answers no faster for sure
-    private static final double SPREAD = 4;     // a time-out is the mean and so many mean deviations
+    private static final int WINDOW = 8; // hellos that are looked back on
+    private static final int LEAST = 4; // before so many nothing is known about ourselves
+    private static final int WORST = 4; // time-outs grow to 1 + so many times
+    private static final double LEAST_MS = 20; // a loaded loop answers no faster for sure
+    private static final double SPREAD = 4; // a time-out is the mean and so many mean deviations
     private static final double WEIGHT = 0.125;
 
     private final int others;
--- a/src/main/java/firstair/fleet/member/Member.java
+++ b/src/main/java/firstair/fleet/member/Member.java
@@ -7,19 +7,19 @@
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final String name;
-    long incarnation;                        // 0 until heard of
+    long incarnation; // 0 until heard of
     int refutation;
-    Note.Status status = Note.Status.GONE;   // nobody is there before it is heard of
-    double heardAt = NEVER;                  // any note of this incarnation
-    double answeredAt = NEVER;               // an answer to something that we asked, so both ways work
-    int toTell;                              // how often its rumour goes out with preference
+    Note.Status status = Note.Status.GONE; // nobody is there before it is heard of
+    double heardAt = NEVER; // any note of this incarnation
+    double answeredAt = NEVER; // an answer to something that we asked, so both ways work
+    int toTell; // how often its rumour goes out with preference
 
     double suspectedAt;
-    double goneAt;                           // end of the suspicion, where nothing refutes it
-    boolean ours;                            // we ourselves found no way to it
-    boolean kept;                            // to ourselves: it began while we had doubts about ourselves
-    boolean lastCall;                        // the second half of the suspicion, with a majority behind us
-    int asks;                                // since then, without an answer
+    double goneAt; // end of the suspicion, where nothing refutes it
+    boolean ours; // we ourselves found no way to it
+    boolean kept; // to ourselves: it began while we had doubts about ourselves
+    boolean lastCall; // the second half of the suspicion, with a majority behind us
+    int asks; // since then, without an answer
     double askedAt = NEVER;
     long askNonce;
 
@@ -29,7 +29,7 @@
     static final class Probe {
         final long nonce;
         final double startedAt;
-        final boolean counts;                // whether its outcome says something about ourselves
+        final boolean counts; // whether its outcome says something about ourselves
         double endsAt;
         int tries = 1;
 
--- a/src/main/java/firstair/fleet/member/Membership.java
+++ b/src/main/java/firstair/fleet/member/Membership.java
@@ -28,27 +28,27 @@
  * <p>No I/O, no clock, no thread: {@code now} is in milliseconds of the relay's own advancing clock.
  */
 public class Membership {
-    private static final int TRIES = 3;            // of one hello; all but the first also through others
-    private static final int HELPERS = 3;          // asked for one who doesn't answer
-    private static final int ASKS = 4;             // further ones without an answer before anybody is gone
-    private static final int GONE_EVERY = 3;       // rounds between hellos to one that is gone
-    private static final int TOLD_FIRST = 10;      // rumours in a message at most
-    private static final int TOLD = 5;             // a message is filled up to so many with what is long known
-    private static final double TELLINGS = 1.5;     // of one rumour by one relay, times the logarithm of the members
-    private static final double SUSPICION = 8;     // hellos until a suspected one is gone, times that logarithm
+    private static final int TRIES = 3; // of one hello; all but the first also through others
+    private static final int HELPERS = 3; // asked for one who doesn't answer
+    private static final int ASKS = 4; // further ones without an answer before anybody is gone
+    private static final int GONE_EVERY = 3; // rounds between hellos to one that is gone
+    private static final int TOLD_FIRST = 10; // rumours in a message at most
+    private static final int TOLD = 5; // a message is filled up to so many with what is long known
+    private static final double TELLINGS = 1.5; // of one rumour by one relay, times the logarithm of the members
+    private static final double SUSPICION = 8; // hellos until a suspected one is gone, times that logarithm
     private static final int MOST_REFUTATION = Integer.MAX_VALUE - 1;
-    private static final int FAREWELLS = 10;       // members that hear of our end from ourselves
-    private static final int ERRANDS = 4;          // hellos on behalf of others that are under way, for each member
+    private static final int FAREWELLS = 10; // members that hear of our end from ourselves
+    private static final int ERRANDS = 4; // hellos on behalf of others that are under way, for each member
 
     /** A hello on behalf of another member. */
-    private record Errand(String asker, long nonce, String about, double endsAt) { }
+    private record Errand(String asker, long nonce, String about, double endsAt) {}
 
     private final Setup setup;
     private final long incarnation;
     private final Random random;
     private final Outbox out;
     private final Map<String, Member> others = new LinkedHashMap<>();
-    private final List<Member> known;              // the same ones, in an order of our own
+    private final List<Member> known; // the same ones, in an order of our own
     private final Map<Long, Errand> errands = new LinkedHashMap<>();
     private final Health health;
     private final double suspicionMs;
@@ -61,7 +61,7 @@
     private int nextInRound;
     private int nextToTell;
     private int nextSuspect;
-    private double helloAt = Double.NaN;           // not started
+    private double helloAt = Double.NaN; // not started
     private double wakeAt = Double.POSITIVE_INFINITY;
     private Fault steppedBack;
     private boolean left;
@@ -204,8 +204,12 @@
 
     /** The other members that are held to be there, in the order of the setup; nobody once we have fallen silent. */
     public List<String> alive() {
-        return silent() ? List.of()
-                : others.values().stream().filter(m -> m.status == Status.ALIVE).map(m -> m.name).toList();
+        return silent()
+                ? List.of()
+                : others.values().stream()
+                        .filter(m -> m.status == Status.ALIVE)
+                        .map(m -> m.name)
+                        .toList();
     }
 
     /** How many other members we have heard ourselves within so many ms. */
@@ -292,7 +296,8 @@
     /** One of those that we suspect by ourselves is tried again, directly and through somebody else. */
     private void askAgain(double now) {
         List<Member> suspects = known.stream()
-                .filter(m -> m.status == Status.SUSPECT && m.ours && !waits(m, now)).toList();
+                .filter(m -> m.status == Status.SUSPECT && m.ours && !waits(m, now))
+                .toList();
         if (suspects.isEmpty()) {
             return;
         }
@@ -311,8 +316,9 @@
     }
 
     private List<Member> helpers(Member about, int most) {
-        List<Member> some = new ArrayList<>(
-                known.stream().filter(m -> m.status == Status.ALIVE && m != about).toList());
+        List<Member> some = new ArrayList<>(known.stream()
+                .filter(m -> m.status == Status.ALIVE && m != about)
+                .toList());
         Collections.shuffle(some, random);
         return some.subList(0, Math.min(most, some.size()));
     }
@@ -426,7 +432,9 @@
         if (r.member().equals(setup.self())) {
             if (r.incarnation() > incarnation) {
                 nameTaken();
-            } else if (r.incarnation() == incarnation && r.status() != Status.ALIVE && r.refutation() >= refutation
+            } else if (r.incarnation() == incarnation
+                    && r.status() != Status.ALIVE
+                    && r.refutation() >= refutation
                     && r.refutation() < MOST_REFUTATION) {
                 refute(r.refutation());
             }
@@ -476,9 +484,11 @@
             all.add(to.rumour());
         }
         boolean doubts = doubts();
-        List<Member> news = known.stream().filter(m -> m.toTell > 0 && m != to && tellable(m, doubts))
+        List<Member> news = known.stream()
+                .filter(m -> m.toTell > 0 && m != to && tellable(m, doubts))
                 .sorted(Comparator.comparing((Member m) -> m.status).reversed().thenComparing(m -> -m.toTell))
-                .limit(TOLD_FIRST - all.size()).toList();
+                .limit(TOLD_FIRST - all.size())
+                .toList();
         for (Member m : news) {
             m.toTell--;
             all.add(m.rumour());
--- a/src/main/java/firstair/fleet/residency/Contract.java
+++ b/src/main/java/firstair/fleet/residency/Contract.java
@@ -26,8 +26,13 @@
  * @param callsPerS calls a second over all relays, 0 if there is no quota
  * @param from     from when it allows what its forerunner did not, ms since 1970
  */
-public record Contract(String tenant, Set<String> zones, Map<String, Set<String>> classes, Set<String> always,
-        double callsPerS, long from) {
+public record Contract(
+        String tenant,
+        Set<String> zones,
+        Map<String, Set<String>> classes,
+        Set<String> always,
+        double callsPerS,
+        long from) {
     private static final String NAME = "[A-Za-z0-9._-]{1,64}"; // it stands in a header and in names of budgets
     private static final Set<String> FIELDS =
             new TreeSet<>(List.of("tenant", "zones", "always", "classes", "calls_per_s", "from"));
@@ -39,8 +44,8 @@
      */
     public Contract {
         if (tenant == null || !tenant.matches(NAME)) {
-            throw new Fault.BadContract(String.valueOf(tenant),
-                    "tenant: has to be 1 to 64 letters, digits, dots, hyphens or underscores");
+            throw new Fault.BadContract(
+                    String.valueOf(tenant), "tenant: has to be 1 to 64 letters, digits, dots, hyphens or underscores");
         }
         zones = names(tenant, "zones", zones);
         always = always == null || always.isEmpty() ? Set.of() : names(tenant, "always", always);
@@ -49,8 +54,8 @@
         }
         within(tenant, always, "zones", zones);
         Map<String, Set<String>> sorted = new TreeMap<>();
-        for (Map.Entry<String, Set<String>> each : (classes == null ? Map.<String, Set<String>>of() : classes)
-                .entrySet()) {
+        for (Map.Entry<String, Set<String>> each :
+                (classes == null ? Map.<String, Set<String>>of() : classes).entrySet()) {
             String field = "classes." + each.getKey();
             Set<String> allowed = names(tenant, field, each.getValue());
             if (each.getKey() == null || each.getKey().isBlank() || allowed.isEmpty()) {
@@ -93,9 +98,13 @@
             if (!(table.get("tenant") instanceof String)) {
                 throw new Fault.BadContract(who, "tenant: has to be text");
             }
-            Contract c = new Contract(who, list(who, "zones", table.get("zones")),
-                    classes(who, table.get("classes")), list(who, "always", table.get("always")),
-                    number(who, table.get("calls_per_s")), moment(who, table.get("from")));
+            Contract c = new Contract(
+                    who,
+                    list(who, "zones", table.get("zones")),
+                    classes(who, table.get("classes")),
+                    list(who, "always", table.get("always")),
+                    number(who, table.get("calls_per_s")),
+                    moment(who, table.get("from")));
             c.checkKnown(knownZones);
             if (all.put(who, c) != null) {
                 throw new Fault.BadContract(who, "tenant: has two contracts");
@@ -118,8 +127,10 @@
                 Contract after = next.get(before.tenant);
                 for (String zone : before.always) {
                     if (after == null || !after.allowsEverywhere(zone)) {
-                        throw new Fault.BadContract(before.tenant, "zones: leaves out " + zone
-                                + ", which always has promised; take it out of always first, everywhere");
+                        throw new Fault.BadContract(
+                                before.tenant,
+                                "zones: leaves out " + zone
+                                        + ", which always has promised; take it out of always first, everywhere");
                     }
                 }
             }
@@ -136,8 +147,8 @@
         }
         classes.forEach((name, allowed) -> {
             if (Collections.disjoint(allowed, known)) {
-                throw new Fault.BadContract(tenant,
-                        "classes." + name + ": none of " + String.join(", ", allowed) + " is known");
+                throw new Fault.BadContract(
+                        tenant, "classes." + name + ": none of " + String.join(", ", allowed) + " is known");
             }
         });
     }
