--- a/src/main/java/firstair/fleet/residency/Contracts.java
+++ b/src/main/java/firstair/fleet/residency/Contracts.java
@@ -39,9 +39,9 @@
 public final class Contracts {
     private static final int MOST = 64; // versions held; in a storm of changes those between count as never seen
 
-    private record Version(Map<String, Contract> all, double heardAt) { }
+    private record Version(Map<String, Contract> all, double heardAt) {}
 
-    private record Confirmation(long version, double sentAt) { }
+    private record Confirmation(long version, double sentAt) {}
 
     private final double liveMs;
     private final double settleMs;
@@ -49,13 +49,13 @@
     private final Outbox out;
     private final TreeMap<Long, Version> known = new TreeMap<>();
     private final TreeMap<Long, Version> rumoured = new TreeMap<>(); // said by somebody who may be wrong
-    private final Map<String, Contract> before = new TreeMap<>();    // what held before one that is not yet in force
-    private long floor;               // nobody acts by an earlier version
+    private final Map<String, Contract> before = new TreeMap<>(); // what held before one that is not yet in force
+    private long floor; // nobody acts by an earlier version
     private Confirmation confirmed;
-    private Confirmation early;       // of a version whose contracts are still on their way
-    private double quietFrom;         // the last confirmation, or the start, was then
+    private Confirmation early; // of a version whose contracts are still on their way
+    private double quietFrom; // the last confirmation, or the start, was then
     private boolean told;
-    private double epoch;             // ms since 1970 at zero of our own clock
+    private double epoch; // ms since 1970 at zero of our own clock
     private long dropped;
 
     /**
@@ -66,8 +66,14 @@
      * @param file     contracts of the settings file, by tenant
      * @param required whether messages need a tenant even while no contract is known here
      */
-    public Contracts(Setup setup, double now, double epochMs, double termMs, Map<String, Contract> file,
-            boolean required, Outbox out) {
+    public Contracts(
+            Setup setup,
+            double now,
+            double epochMs,
+            double termMs,
+            Map<String, Contract> file,
+            boolean required,
+            Outbox out) {
         this.liveMs = termMs * (1 - setup.drift());
         this.settleMs = termMs * (1 + setup.drift());
         this.required = required;
@@ -209,8 +215,12 @@
 
     /** Calls a second that a tenant has over all relays, the strictest of what is known; 0 if there is no quota. */
     public double quota(String tenant) {
-        return acting().stream().map(all -> all.get(tenant)).filter(c -> c != null && c.callsPerS() > 0)
-                .mapToDouble(Contract::callsPerS).min().orElse(0);
+        return acting().stream()
+                .map(all -> all.get(tenant))
+                .filter(c -> c != null && c.callsPerS() > 0)
+                .mapToDouble(Contract::callsPerS)
+                .min()
+                .orElse(0);
     }
 
     /** How much of what was told could not be used. */
--- a/src/main/java/firstair/fleet/residency/Parting.java
+++ b/src/main/java/firstair/fleet/residency/Parting.java
@@ -8,7 +8,7 @@
 
 /** What becomes of a held message when the zones of its contract are not what they were. */
 public final class Parting {
-    private Parting() { }
+    private Parting() {}
 
     /** What to do with it. */
     public enum Way {
@@ -21,7 +21,7 @@
     }
 
     /** @param zones where it may be tried now, empty unless {@code way} is GO */
-    public record Answer(Way way, Set<String> zones) { }
+    public record Answer(Way way, Set<String> zones) {}
 
     /**
      * A message that is held.
@@ -31,7 +31,7 @@
      * @param inDoubt   whether a try of it may have run
      * @param doubtZone zone of that try, null if it is not known
      */
-    public record Held(Effect effect, Scope scope, boolean inDoubt, String doubtZone) { }
+    public record Held(Effect effect, Scope scope, boolean inDoubt, String doubtZone) {}
 
     /**
      * Decides. One in doubt is repeated only where its key's scope and the contract both allow it. Where it is this
@@ -48,9 +48,12 @@
         return switch (m.effect) {
             case UNSAFE -> new Answer(Way.GIVE_UP, Set.of());
             case SAFE -> repeated(contract, allowed, open);
-            case KEYED -> m.scope == Scope.ALL ? repeated(contract, allowed, open)
-                    : m.doubtZone == null || !contract.contains(m.doubtZone) ? new Answer(Way.GIVE_UP, Set.of())
-                    : among(allowed.contains(m.doubtZone) ? Set.of(m.doubtZone) : Set.of(), open);
+            case KEYED ->
+                m.scope == Scope.ALL
+                        ? repeated(contract, allowed, open)
+                        : m.doubtZone == null || !contract.contains(m.doubtZone)
+                                ? new Answer(Way.GIVE_UP, Set.of())
+                                : among(allowed.contains(m.doubtZone) ? Set.of(m.doubtZone) : Set.of(), open);
         };
     }
 
--- a/src/main/java/firstair/fleet/residency/Residency.java
+++ b/src/main/java/firstair/fleet/residency/Residency.java
@@ -17,11 +17,11 @@
 
     /** What is left of a tenant's quota here. */
     private static final class Purse {
-        private double calls;     // that may be taken now
-        private double at;        // reckoned up to then
-        private int parts;        // until the next moment
+        private double calls; // that may be taken now
+        private double at; // reckoned up to then
+        private int parts; // until the next moment
         private double until = Double.NEGATIVE_INFINITY;
-        private int sure;         // afterwards
+        private int sure; // afterwards
 
         private Purse(double at, int sure) {
             this.at = at;
@@ -96,7 +96,9 @@
         }
         Set<String> zones = contracts.zones(now, tenant, messageClass);
         if (!zones.contains(setup.zone())) {
-            throw new Fault.OutsideContract(tenant, setup.zone(),
+            throw new Fault.OutsideContract(
+                    tenant,
+                    setup.zone(),
                     zones.isEmpty() ? "no zone yet: the contract waits to be confirmed" : String.join(", ", zones));
         }
         take(now, tenant);
@@ -108,7 +110,8 @@
      * contracts are in force, or the message was taken on without a tenant before they were.
      */
     public Optional<Set<String>> zones(double now, String tenant, String messageClass) {
-        return tenant == null || !contracts.inForce() ? Optional.empty()
+        return tenant == null || !contracts.inForce()
+                ? Optional.empty()
                 : Optional.of(contracts.zones(now, tenant, messageClass));
     }
 
@@ -119,8 +122,8 @@
      * @throws Fault.NoZoneLeft if it is to be given up at once
      */
     public Parting.Answer held(double now, String tenant, String messageClass, Parting.Held m, Set<String> open) {
-        Parting.Answer answer = Parting.decide(m, contracts.newest(tenant, messageClass),
-                contracts.zones(now, tenant, messageClass), open);
+        Parting.Answer answer = Parting.decide(
+                m, contracts.newest(tenant, messageClass), contracts.zones(now, tenant, messageClass), open);
         if (answer.way() == Parting.Way.GIVE_UP) {
             throw new Fault.NoZoneLeft(tenant);
         }
--- a/src/main/java/firstair/fleet/talk/Codec.java
+++ b/src/main/java/firstair/fleet/talk/Codec.java
@@ -29,7 +29,7 @@
     }
 
     /** The list within a note, and how to make the same note with another list. */
-    private record Cut<T>(List<T> items, Function<List<T>, Note> with) { }
+    private record Cut<T>(List<T> items, Function<List<T>, Note> with) {}
 
     /**
      * The bytes of an envelope.
@@ -167,8 +167,8 @@
     }
 
     private static Envelope with(Envelope e, List<Note> notes) {
-        return new Envelope(e.fleet(), e.version(), e.from(), e.incarnation(), e.to(), e.toIncarnation(),
-                List.copyOf(notes));
+        return new Envelope(
+                e.fleet(), e.version(), e.from(), e.incarnation(), e.to(), e.toIncarnation(), List.copyOf(notes));
     }
 
     private static int size(Note n) {
--- a/src/main/java/firstair/fleet/talk/Envelope.java
+++ b/src/main/java/firstair/fleet/talk/Envelope.java
@@ -12,8 +12,8 @@
  * @param to            name of the receiver
  * @param toIncarnation of the receiver as the sender knows it, 0 if it knows none
  */
-public record Envelope(String fleet, int version, String from, long incarnation, String to, long toIncarnation,
-        List<Note> notes) {
+public record Envelope(
+        String fleet, int version, String from, long incarnation, String to, long toIncarnation, List<Note> notes) {
     /** The version that this program writes. */
     public static final int VERSION = 1;
 }
--- a/src/main/java/firstair/fleet/talk/Gate.java
+++ b/src/main/java/firstair/fleet/talk/Gate.java
@@ -15,7 +15,7 @@
     private final Setup setup;
     private final long incarnation;
     private final Map<String, Long> seen = new LinkedHashMap<>(); // members only
-    private final Map<String, Long> counts = new TreeMap<>();     // codes of faults only
+    private final Map<String, Long> counts = new TreeMap<>(); // codes of faults only
 
     /** @param incarnation of our own process */
     public Gate(Setup setup, long incarnation) {
@@ -61,7 +61,8 @@
             if (e.incarnation() > incarnation) {
                 throw new Fault.NameTaken(setup.self());
             }
-            throw e.incarnation() < incarnation ? new Fault.OldIncarnation(e.from(), e.incarnation())
+            throw e.incarnation() < incarnation
+                    ? new Fault.OldIncarnation(e.from(), e.incarnation())
                     : new Fault.Echo(e.from());
         }
         if (e.incarnation() < newest) {
--- a/src/main/java/firstair/fleet/talk/Input.java
+++ b/src/main/java/firstair/fleet/talk/Input.java
@@ -63,7 +63,10 @@
             throw bad("a name of " + length + " bytes");
         }
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(from.readPayload(length))).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(from.readPayload(length)))
+                    .toString();
         } catch (CharacterCodingException e) {
             throw bad("a name that is no text");
         }
--- a/src/main/java/firstair/fleet/talk/Note.java
+++ b/src/main/java/firstair/fleet/talk/Note.java
@@ -9,59 +9,67 @@
 public sealed interface Note {
 
     /** How a member is held to be. */
-    enum Status { ALIVE, SUSPECT, GONE }
+    enum Status {
+        ALIVE,
+        SUSPECT,
+        GONE
+    }
 
     /** What is held of a member; of two the one with the higher incarnation counts, then refutation, then status. */
-    record Rumour(String member, long incarnation, int refutation, Status status) { }
+    record Rumour(String member, long incarnation, int refutation, Status status) {}
 
     /** Asks for a {@link HelloBack}. */
-    record Hello(long nonce, List<Rumour> rumours) implements Note { }
+    record Hello(long nonce, List<Rumour> rumours) implements Note {}
 
     /** Answers a {@link Hello}. */
-    record HelloBack(long nonce, List<Rumour> rumours) implements Note { }
+    record HelloBack(long nonce, List<Rumour> rumours) implements Note {}
 
     /** Asks to say hello to a third one. */
-    record AskAbout(long nonce, String member) implements Note { }
+    record AskAbout(long nonce, String member) implements Note {}
 
     /** The third one has answered. */
-    record HeardOf(long nonce, String member, long incarnation) implements Note { }
+    record HeardOf(long nonce, String member, long incarnation) implements Note {}
 
     /** The sender ends in order. */
-    record Leaving() implements Note { }
+    record Leaving() implements Note {}
 
     // ---- budgets ----
 
     /** Asks a voter for the standing of a member for a term: one's own, or that of one that is silent. */
-    record StandingAsk(long nonce, String of) implements Note { }
+    record StandingAsk(long nonce, String of) implements Note {}
 
     /** Answers it; nothing is promised unless {@code granted}. */
-    record StandingAnswer(long nonce, String of, boolean granted) implements Note { }
+    record StandingAnswer(long nonce, String of, boolean granted) implements Note {}
 
     /** The sender uses nothing any more of what it was or will be granted by its asks up to this nonce. */
-    record StandingBack(long nonce, String of) implements Note { }
+    record StandingBack(long nonce, String of) implements Note {}
 
     /** Wants parts of a budget for a while, millionths of the whole; or, of {@code r:7}, so many repeats for good. */
-    record LoanAsk(long nonce, String budget, int parts) implements Note { }
+    record LoanAsk(long nonce, String budget, int parts) implements Note {}
 
     /** Parts lent; the borrower stops {@code termMs} after it sent the {@link LoanAsk} with this nonce. */
-    record Loan(long nonce, long number, String budget, int parts, double termMs) implements Note { }
+    record Loan(long nonce, long number, String budget, int parts, double termMs) implements Note {}
 
     /** The borrower uses them no more. */
-    record LoanBack(long number) implements Note { }
+    record LoanBack(long number) implements Note {}
 
     /** Repeats handed over for good; {@code number} is the nonce of the {@link LoanAsk} that asked for them. */
-    record Gift(long number, String budget, int repeats) implements Note { }
+    record Gift(long number, String budget, int repeats) implements Note {}
 
     // ---- counts and judgements ----
 
     /** Calls of one member's process in one second of its own; the highest total of a second counts. */
-    record Count(String member, long incarnation, String what, long second, long total, double ageMs) { }
+    record Count(String member, long incarnation, String what, long second, long total, double ageMs) {}
 
     /** Some counts. */
-    record Counts(List<Count> counts) implements Note { }
+    record Counts(List<Count> counts) implements Note {}
 
     /** What was seen of something. */
-    enum Sight { WAIT, FAILS, ANSWERS }
+    enum Sight {
+        WAIT,
+        FAILS,
+        ANSWERS
+    }
 
     /**
      * What one relay saw of a destination or an endpoint; {@code holdsMs} from now on.
@@ -69,26 +77,33 @@
      * @param subject {@code d:7} for a destination, {@code e:NAME} for an endpoint
      * @param reach   share of its own recent calls anywhere that were answered
      */
-    record Sign(String by, long incarnation, String subject, Sight sight, int calls, double ageMs, double holdsMs,
-            double reach) { }
+    record Sign(
+            String by,
+            long incarnation,
+            String subject,
+            Sight sight,
+            int calls,
+            double ageMs,
+            double holdsMs,
+            double reach) {}
 
     /** Some signs. */
-    record Signs(List<Sign> signs) implements Note { }
+    record Signs(List<Sign> signs) implements Note {}
 
     // ---- what the ledger has agreed ----
 
     /** Asks a voter for what is agreed behind a version; {@code term} is the newest leader's term seen. */
-    record AgreedAsk(long nonce, long version) implements Note { }
+    record AgreedAsk(long nonce, long version) implements Note {}
 
     /** Answers it: the newest version, and if that is newer, its state in pieces of {@code bytes}. */
-    record Agreed(long nonce, long version, boolean sure, int piece, int pieces, byte[] bytes) implements Note { }
+    record Agreed(long nonce, long version, boolean sure, int piece, int pieces, byte[] bytes) implements Note {}
 
     /** One message of the ledger's engine, as bytes. */
-    record Engine(byte[] bytes) implements Note { }
+    record Engine(byte[] bytes) implements Note {}
 
     /** Asks a voter to have something agreed. */
-    record Propose(long nonce, byte[] operation) implements Note { }
+    record Propose(long nonce, byte[] operation) implements Note {}
 
     /** What came of it; {@code result} as the state machine gives it, or a fault's code and text. */
-    record Proposed(long nonce, boolean done, byte[] result, double againAfterMs) implements Note { }
+    record Proposed(long nonce, boolean done, byte[] result, double againAfterMs) implements Note {}
 }
--- a/src/main/java/firstair/kit/fleet/Agreed.java
+++ b/src/main/java/firstair/kit/fleet/Agreed.java
@@ -22,7 +22,7 @@
     private static final long FAR_MS = 1L << 40; // beyond all that is booked
 
     /** Contracts that were agreed together. */
-    record Contracts(long number, double knownAt) { }
+    record Contracts(long number, double knownAt) {}
 
     private final Map<Long, byte[]> versions = new LinkedHashMap<>();
     private final Map<Long, Long> held = new LinkedHashMap<>(); // by incarnation
@@ -79,7 +79,8 @@
         newest = version;
         Map<Integer, byte[]> parts = Agreements.parts(state);
         for (AgreedContracts.Version v : AgreedContracts.read(parts.get(Agreements.CONTRACTS))) {
-            if (contracts.isEmpty() || v.number() > contracts.get(contracts.size() - 1).number()) {
+            if (contracts.isEmpty()
+                    || v.number() > contracts.get(contracts.size() - 1).number()) {
                 contracts.add(new Contracts(v.number(), fleet.now()));
             }
         }
@@ -92,7 +93,9 @@
                 return "booking " + b.id() + " went from " + was.state() + " to " + b.state();
             }
             boolean sealed = was != null && was.state() == State.SEALED;
-            if (sealed && (b.startMs() != was.startMs() || b.endMs() < was.endMs() && !b.state().over())) {
+            if (sealed
+                    && (b.startMs() != was.startMs()
+                            || b.endMs() < was.endMs() && !b.state().over())) {
                 return "sealed booking " + b.id() + " was moved";
             }
         }
--- a/src/main/java/firstair/kit/fleet/Batches.java
+++ b/src/main/java/firstair/kit/fleet/Batches.java
@@ -19,6 +19,7 @@
     private static final double SECOND = 1000;
     /** Of its rate a lane lets through what comes in so long at once, s. */
     static final double BURST_S = 0.4;
+
     private static final String CLASS = "keyed";
 
     private final PlayedFleet fleet;
@@ -26,8 +27,8 @@
     private final Demand demand;
     private final Demand.Sent watch;
     private final Map<String, Integer> runs = new LinkedHashMap<>(); // booking to destination
-    private final Map<String, Deque<Double>> last = new TreeMap<>();  // moments of the last second, by booking
-    private final Map<String, Long> sent = new TreeMap<>();           // by booking and relay
+    private final Map<String, Deque<Double>> last = new TreeMap<>(); // moments of the last second, by booking
+    private final Map<String, Long> sent = new TreeMap<>(); // by booking and relay
     private final Map<String, Long> most = new HashMap<>();
     private String wrong;
 
@@ -88,7 +89,9 @@
         played.refresh(life.now());
         runs.forEach((booking, destination) -> {
             try {
-                Lane lane = played.fleet().admit(life.now(), null, CLASS, destination, booking).lane();
+                Lane lane = played.fleet()
+                        .admit(life.now(), null, CLASS, destination, booking)
+                        .lane();
                 for (; lane.opensAt(life.now()) <= life.now(); lane.used(life.now())) {
                     goes(played, booking, destination);
                 }
@@ -117,7 +120,8 @@
             times.remove();
         }
         double calls = rate / SECOND;
-        if (times.size() > calls * (1 + life.setup().drift() + BURST_S) + fleet.running().size()) {
+        if (times.size()
+                > calls * (1 + life.setup().drift() + BURST_S) + fleet.running().size()) {
             wrong = times.size() + " calls in a second on booking " + id + " of " + calls;
         }
     }
--- a/src/main/java/firstair/kit/fleet/Clients.java
+++ b/src/main/java/firstair/kit/fleet/Clients.java
@@ -32,8 +32,8 @@
     static final double BOOKABLE = 0.5;
 
     private static final double MEAN_MS = 900;
-    private static final double FOUNDED_MS = 20_000;  // after the beginning: a leader is there
-    private static final double BEGUN_MS = 10_000;    // after that
+    private static final double FOUNDED_MS = 20_000; // after the beginning: a leader is there
+    private static final double BEGUN_MS = 10_000; // after that
     private static final List<String> ZONES = List.of("za", "zb", "zc");
     private static final List<String> TEAMS = List.of("north", "south");
     private static final Rules RULES = new Rules(4000, 4000, 60_000, 700_000_000L, 8000, 10_000, 30_000, 50);
@@ -63,7 +63,8 @@
     /** What the settings of a process that begins now have: the newest contracts, where {@code tenants} have any. */
     Sharing settings(boolean tenants) {
         long newest = files.lastKey();
-        return tenants ? new Sharing(0, files.get(newest), newest, true, TERM_MS, false, 0, SKEW_MS)
+        return tenants
+                ? new Sharing(0, files.get(newest), newest, true, TERM_MS, false, 0, SKEW_MS)
                 : new Sharing(0, Map.of(), 0, false, TERM_MS, true, BOOKABLE, SKEW_MS);
     }
 
@@ -89,7 +90,8 @@
     void release() {
         fleet.in(pause() * 2, "release", () -> {
             long newest = files.lastKey();
-            long inForce = agreed.contracts().isEmpty() ? 0
+            long inForce = agreed.contracts().isEmpty()
+                    ? 0
                     : agreed.contracts().get(agreed.contracts().size() - 1).number();
             if (inForce == newest) {
                 files.put(newest + 1, contracts());
@@ -121,8 +123,8 @@
     private void found() {
         List<Operation> all = new ArrayList<>();
         all.add(new Operation.SetRules(RULES));
-        all.add(new Operation.SetDestination(destination, thousandths(limit), (int) (BOOKABLE * Setup.WHOLE),
-                List.of()));
+        all.add(new Operation.SetDestination(
+                destination, thousandths(limit), (int) (BOOKABLE * Setup.WHOLE), List.of()));
         TEAMS.forEach(t -> all.add(new Operation.SetTeam(t, thousandths(1e9), "UTC")));
         ask(all);
     }
@@ -152,8 +154,13 @@
         long start = (long) (Fleets.EPOCH_MS + fleet.wall()) + RULES.leadMs() + 500 + random.nextInt(10_000);
         double calls = limit * BOOKABLE * (0.1 + 0.9 * random.nextDouble());
         String team = TEAMS.get(random.nextInt(TEAMS.size()));
-        List<Operation> all = new ArrayList<>(List.of(Operation.Put.of(id, team, random.nextInt(3),
-                Map.of(destination, thousandths(calls)), start, start + 5000 + random.nextInt(30_000),
+        List<Operation> all = new ArrayList<>(List.of(Operation.Put.of(
+                id,
+                team,
+                random.nextInt(3),
+                Map.of(destination, thousandths(calls)),
+                start,
+                start + 5000 + random.nextInt(30_000),
                 random.nextBoolean())));
         if (random.nextInt(4) > 0) {
             all.add(new Operation.Confirm(id, team));
@@ -184,8 +191,9 @@
     }
 
     private void came(Outcome outcome) {
-        String word = outcome instanceof Outcome.Agreed ? "agreed" : outcome instanceof Outcome.Refused r ? r.code()
-                : "not now";
+        String word = outcome instanceof Outcome.Agreed
+                ? "agreed"
+                : outcome instanceof Outcome.Refused r ? r.code() : "not now";
         outcomes.merge(word, 1, Integer::sum);
     }
 }
--- a/src/main/java/firstair/kit/fleet/Clock.java
+++ b/src/main/java/firstair/kit/fleet/Clock.java
@@ -2,10 +2,10 @@
 
 /** Clocks of one process: one that only advances, faster or slower than time does, and one on the wall that jumps. */
 final class Clock {
-    private double at;      // virtual time at which the rate last changed
-    private double own;     // what the clock read then
+    private double at; // virtual time at which the rate last changed
+    private double own; // what the clock read then
     private double rate;
-    private double ahead;   // of the clock on the wall
+    private double ahead; // of the clock on the wall
 
     Clock(double at, double own, double rate, double ahead) {
         this.at = at;
--- a/src/main/java/firstair/kit/fleet/Demand.java
+++ b/src/main/java/firstair/kit/fleet/Demand.java
@@ -33,9 +33,9 @@
 
     private static final class Queue {
         private final Deque<Double> waiting = new ArrayDeque<>();
-        private double due;        // arrivals that have not summed up to a whole call
+        private double due; // arrivals that have not summed up to a whole call
         private double tokens;
-        private double settledAt;  // own clock
+        private double settledAt; // own clock
     }
 
     private static final class Bench {
--- a/src/main/java/firstair/kit/fleet/FaultyLink.java
+++ b/src/main/java/firstair/kit/fleet/FaultyLink.java
@@ -31,9 +31,9 @@
         void run(double now) throws IOException;
     }
 
-    private record Datagram(double due, long number, byte[] bytes) { }
+    private record Datagram(double due, long number, byte[] bytes) {}
 
-    private record Piece(double due, ByteBuffer bytes) { }
+    private record Piece(double due, ByteBuffer bytes) {}
 
     volatile Trouble trouble = Trouble.NONE;
 
@@ -44,8 +44,8 @@
     private final ServerSocketChannel tcp;
     private final InetSocketAddress from;
     private final InetSocketAddress to;
-    private final PriorityQueue<Datagram> underWay = new PriorityQueue<>(
-            Comparator.comparingDouble(Datagram::due).thenComparingLong(Datagram::number));
+    private final PriorityQueue<Datagram> underWay =
+            new PriorityQueue<>(Comparator.comparingDouble(Datagram::due).thenComparingLong(Datagram::number));
     private final List<Tunnel> tunnels = new ArrayList<>();
     private final ByteBuffer buffer = ByteBuffer.allocate(PIECE);
     private final LongAdder came = new LongAdder();
@@ -137,7 +137,8 @@
                 lost.increment();
             }
         }
-        double next = underWay.isEmpty() ? Double.POSITIVE_INFINITY : underWay.peek().due();
+        double next =
+                underWay.isEmpty() ? Double.POSITIVE_INFINITY : underWay.peek().due();
         for (Tunnel t : List.copyOf(tunnels)) {
             next = Math.min(next, t.move(now));
         }
@@ -252,7 +253,9 @@
                         Trouble t = trouble;
                         double again = chances.nextDouble() < t.loss() ? AGAIN_MS : 0;
                         lastDue = Math.max(lastDue, now + delay(t, chances) + again);
-                        pieces.add(new Piece(lastDue, ByteBuffer.allocate(n).put(buffer.flip()).flip()));
+                        pieces.add(new Piece(
+                                lastDue,
+                                ByteBuffer.allocate(n).put(buffer.flip()).flip()));
                         held += n;
                     }
                 } catch (IOException e) {
--- a/src/main/java/firstair/kit/fleet/FaultyLinks.java
+++ b/src/main/java/firstair/kit/fleet/FaultyLinks.java
@@ -36,7 +36,7 @@
      * @param bytes     bytes of connections that it handed on
      * @param connected connections that it took
      */
-    public record Counts(long came, long went, long lost, long bytes, long connected) { }
+    public record Counts(long came, long went, long lost, long bytes, long connected) {}
 
     private final Selector selector = Selector.open();
     private final Map<String, InetSocketAddress> relays;
--- a/src/main/java/firstair/kit/fleet/FleetCommand.java
+++ b/src/main/java/firstair/kit/fleet/FleetCommand.java
@@ -12,9 +12,15 @@
 import picocli.CommandLine.Spec;
 
 /** Plays fleets in memory. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, showDefaultValues = true, description = {
-    "Plays fleets of relays in memory and virtual time, under faults, and checks every invariant after every event.",
-    "Without seeds: measures what sharing brings and costs. Status 0 if every history kept every invariant."})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        showDefaultValues = true,
+        description = {
+            "Plays fleets of relays in memory and virtual time, under faults, and checks every "
+                    + "invariant after every event.",
+            "Without seeds: measures what sharing brings and costs. Status 0 if every history kept every invariant."
+        })
 public final class FleetCommand implements Part {
     private static final long MEASURED = 1;
 
@@ -33,14 +39,18 @@
             return 0;
         }
         RandomHistories histories = new RandomHistories(Fleets.sharing(), Fleets.agreeing(), Fleets.wire());
-        List<String> broken = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> {
-            try {
-                histories.play(seed);
-                return null;
-            } catch (Breach b) {
-                return b.getMessage();
-            }
-        }).filter(Objects::nonNull).toList();
+        List<String> broken = LongStream.rangeClosed(1, seeds)
+                .parallel()
+                .mapToObj(seed -> {
+                    try {
+                        histories.play(seed);
+                        return null;
+                    } catch (Breach b) {
+                        return b.getMessage();
+                    }
+                })
+                .filter(Objects::nonNull)
+                .toList();
         broken.forEach(out::println);
         out.printf(Locale.ROOT, "%d histories, %d broken%n", seeds, broken.size());
         out.flush();
--- a/src/main/java/firstair/kit/fleet/FleetPlayed.java
+++ b/src/main/java/firstair/kit/fleet/FleetPlayed.java
@@ -47,13 +47,22 @@
                 throw new Fault.LedgerLost(setup.self());
             }
             MemoryKeeper before = life.folder().kept(MemoryKeeper.class);
-            memory = before == null ? LedgerMemory.founded(setup.fleet(), setup.self(), setup.voters())
+            memory = before == null
+                    ? LedgerMemory.founded(setup.fleet(), setup.self(), setup.voters())
                     : before.killed(new Random(life.seed()));
             keeper = new MemoryKeeper(memory);
             life.folder().keep(keeper);
         }
-        fleet = new Fleet(setup, sharing, life.incarnation(), life.seed(), memory, keeper, bornAt,
-                wall() - life.now() + bornAt, this);
+        fleet = new Fleet(
+                setup,
+                sharing,
+                life.incarnation(),
+                life.seed(),
+                memory,
+                keeper,
+                bornAt,
+                wall() - life.now() + bornAt,
+                this);
     }
 
     /** The real decisions. */
--- a/src/main/java/firstair/kit/fleet/Invariants.java
+++ b/src/main/java/firstair/kit/fleet/Invariants.java
@@ -14,7 +14,7 @@
 public final class Invariants {
     private static final double ROUNDING = 1e-9;
 
-    private Invariants() { }
+    private Invariants() {}
 
     /**
      * What all processes may use of a limit together is never more than all of it, each judged by its own clock. Sums
@@ -60,8 +60,13 @@
         StringBuilder text = new StringBuilder();
         for (Life life : fleet.running()) {
             Life.Share share = life.share(destination);
-            text.append(String.format(Locale.ROOT, "%s=%.6f for %.0f ms%s, ", life, life.part(destination),
-                    share == null ? 0 : share.until() - life.now(), life.paused() ? " (stopped)" : ""));
+            text.append(String.format(
+                    Locale.ROOT,
+                    "%s=%.6f for %.0f ms%s, ",
+                    life,
+                    life.part(destination),
+                    share == null ? 0 : share.until() - life.now(),
+                    life.paused() ? " (stopped)" : ""));
         }
         return text.toString();
     }
@@ -70,7 +75,7 @@
     public static final class Rates implements Invariant, Demand.Sent {
         private static final double SECOND = 1000;
 
-        private record Call(Life life, double at) { }
+        private record Call(Life life, double at) {}
 
         private static final class Last {
             private final Deque<Call> calls = new ArrayDeque<>();
--- a/src/main/java/firstair/kit/fleet/Measures.java
+++ b/src/main/java/firstair/kit/fleet/Measures.java
@@ -11,14 +11,14 @@
 /** What sharing brings and costs, in virtual time: service, traffic, use of lost parts, decisions a second. */
 public final class Measures {
     private static final List<Integer> DESTINATIONS = List.of(1, 2, 3);
-    private static final double LIMIT = 600;          // calls a second at each destination
-    private static final double LOAD = 0.9;           // share of the limit that is asked for
+    private static final double LIMIT = 600; // calls a second at each destination
+    private static final double LOAD = 0.9; // share of the limit that is asked for
     private static final double PATIENCE_MS = 1000;
     private static final double SETTLED_MS = 30_000;
     private static final double MEASURED_MS = 60_000;
-    private static final double MOVES_MS = 30_000;    // so long the same relays have most of the calls
+    private static final double MOVES_MS = 30_000; // so long the same relays have most of the calls
     private static final double SECOND = 1000;
-    private static final double NEAR = 0.001;         // parts are whole millionths for each relay
+    private static final double NEAR = 0.001; // parts are whole millionths for each relay
 
     private final Fleets.Maker shared;
     private final PlayedFleet.Wire wire;
@@ -82,7 +82,7 @@
     double one() {
         Setup alone = Fleets.setup(1);
         PlayedFleet fleet = fleet(alone, EvenParts::new);
-        Demand demand = demand(fleet, (name, d, time) -> LOAD * LIMIT, (life, d, time) -> { });
+        Demand demand = demand(fleet, (name, d, time) -> LOAD * LIMIT, (life, d, time) -> {});
         fleet.startAll();
         fleet.run(SETTLED_MS);
         demand.recount();
@@ -91,14 +91,19 @@
     }
 
     /** What talk costs at a relay. */
-    record Cost(int relays, double bytesASecond, double messagesASecond, double eventsASecond, int largest,
-            double decisionsASecond) { }
+    record Cost(
+            int relays,
+            double bytesASecond,
+            double messagesASecond,
+            double eventsASecond,
+            int largest,
+            double decisionsASecond) {}
 
     /** Plays a fleet with a skewed demand and tells what each relay sent, had to do, and how fast it was played. */
     Cost cost(int relays) {
         Setup setup = Fleets.setup(relays);
         PlayedFleet fleet = fleet(setup, shared);
-        demand(fleet, skewed(setup.members(), LOAD * LIMIT, true), (life, d, time) -> { });
+        demand(fleet, skewed(setup.members(), LOAD * LIMIT, true), (life, d, time) -> {});
         fleet.startAll();
         fleet.run(SETTLED_MS);
         long bytes = bytes(fleet);
@@ -109,24 +114,36 @@
         double took = (System.nanoTime() - began) / 1e9;
         double spans = relays * SETTLED_MS / SECOND;
         double done = fleet.running().stream().mapToLong(Life::events).sum() - events;
-        int largest = setup.members().stream().mapToInt(m -> fleet.net().traffic(m).largest()).max().orElse(0);
-        return new Cost(relays, (bytes(fleet) - bytes) / spans, (messages(fleet) - messages) / spans, done / spans,
-                largest, done / took);
+        int largest = setup.members().stream()
+                .mapToInt(m -> fleet.net().traffic(m).largest())
+                .max()
+                .orElse(0);
+        return new Cost(
+                relays,
+                (bytes(fleet) - bytes) / spans,
+                (messages(fleet) - messages) / spans,
+                done / spans,
+                largest,
+                done / took);
     }
 
     private static long bytes(PlayedFleet fleet) {
-        return fleet.members().stream().mapToLong(m -> fleet.net().traffic(m).sentBytes()).sum();
+        return fleet.members().stream()
+                .mapToLong(m -> fleet.net().traffic(m).sentBytes())
+                .sum();
     }
 
     private static long messages(PlayedFleet fleet) {
-        return fleet.members().stream().mapToLong(m -> fleet.net().traffic(m).sent()).sum();
+        return fleet.members().stream()
+                .mapToLong(m -> fleet.net().traffic(m).sent())
+                .sum();
     }
 
     /** After so many ms the parts that a killed relay had are used by others; infinity if they never are. */
     double usedByOthers(int relays) {
         Setup setup = Fleets.setup(relays);
         PlayedFleet fleet = fleet(setup, shared);
-        demand(fleet, (name, d, time) -> 2 * LIMIT / relays, (life, d, time) -> { });
+        demand(fleet, (name, d, time) -> 2 * LIMIT / relays, (life, d, time) -> {});
         fleet.startAll();
         fleet.run(SETTLED_MS);
         fleet.kill(setup.members().get(relays - 1));
@@ -138,7 +155,7 @@
     double ownAgain(int relays) {
         Setup setup = Fleets.setup(relays);
         PlayedFleet fleet = fleet(setup, shared);
-        demand(fleet, (name, d, time) -> 2 * LIMIT / relays, (life, d, time) -> { });
+        demand(fleet, (name, d, time) -> 2 * LIMIT / relays, (life, d, time) -> {});
         fleet.startAll();
         fleet.run(SETTLED_MS);
         String last = setup.members().get(relays - 1);
@@ -169,8 +186,13 @@
                 for (boolean moving : List.of(false, true)) {
                     String what = relays + " relays, " + (away == 0 ? "uncut" : Math.round(away * 100) + "% cut away")
                             + (moving ? ", moving every " + Math.round(MOVES_MS / SECOND) + " s" : "");
-                    lines.add(String.format(Locale.ROOT, "| %s | %.3f | %.3f | %.3f |", what,
-                            service(relays, away, moving, true), service(relays, away, moving, false), one));
+                    lines.add(String.format(
+                            Locale.ROOT,
+                            "| %s | %.3f | %.3f | %.3f |",
+                            what,
+                            service(relays, away, moving, true),
+                            service(relays, away, moving, false),
+                            one));
                 }
             }
         }
@@ -180,15 +202,22 @@
         lines.add("|---|---|---|---|---|---|");
         for (int relays : List.of(5, 60, 300)) {
             Cost c = cost(relays);
-            lines.add(String.format(Locale.ROOT, "| %d | %.0f | %.1f | %.1f | %d | %.0f |", relays, c.bytesASecond(),
-                    c.messagesASecond(), c.eventsASecond(), c.largest(), c.decisionsASecond()));
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "| %d | %.0f | %.1f | %.1f | %d | %.0f |",
+                    relays,
+                    c.bytesASecond(),
+                    c.messagesASecond(),
+                    c.eventsASecond(),
+                    c.largest(),
+                    c.decisionsASecond()));
         }
         lines.add("");
         lines.add("| relays | parts of a killed relay used by others after, ms | its own again after its return, ms |");
         lines.add("|---|---|---|");
         for (int relays : List.of(5, 60)) {
-            lines.add(String.format(Locale.ROOT, "| %d | %.0f | %.0f |", relays, usedByOthers(relays),
-                    ownAgain(relays)));
+            lines.add(
+                    String.format(Locale.ROOT, "| %d | %.0f | %.0f |", relays, usedByOthers(relays), ownAgain(relays)));
         }
         return lines;
     }
--- a/src/main/java/firstair/kit/fleet/Played.java
+++ b/src/main/java/firstair/kit/fleet/Played.java
@@ -36,11 +36,11 @@
     void timer(double now);
 
     /** Before it sends anything: a process that was stopped must not go by what it knew. */
-    default void refresh(double now) { }
+    default void refresh(double now) {}
 
     /** Somebody wants a call to be made. */
-    default void asked(double now, int destination) { }
+    default void asked(double now, int destination) {}
 
     /** A call went out, and its answer told the limit, calls a second. */
-    default void sent(double now, int destination, double limit) { }
+    default void sent(double now, int destination, double limit) {}
 }
--- a/src/main/java/firstair/kit/fleet/PlayedFleet.java
+++ b/src/main/java/firstair/kit/fleet/PlayedFleet.java
@@ -33,10 +33,10 @@
     /** What a watcher hears, beside the invariants. */
     interface Watcher {
         /** Before the share of a process changes from {@code before}, null if it had none. */
-        default void shared(Life life, int destination, Life.Share before) { }
+        default void shared(Life life, int destination, Life.Share before) {}
 
         /** A process has begun. */
-        default void begun(Life life) { }
+        default void begun(Life life) {}
     }
 
     private final Setup pattern;
@@ -65,8 +65,8 @@
      * @param zones   a relay's zone
      * @param maker   decisions of a process
      */
-    public PlayedFleet(Setup pattern, Function<String, String> zones, long seed, Wire wire,
-            Function<Life, Played> maker) {
+    public PlayedFleet(
+            Setup pattern, Function<String, String> zones, long seed, Wire wire, Function<Life, Played> maker) {
         this.pattern = pattern;
         this.zones = zones;
         this.seed = seed;
@@ -90,8 +90,17 @@
 
     /** What relays are told, as relay {@code name} is told it. */
     public Setup setup(String name) {
-        return new Setup(pattern.fleet(), name, zones.apply(name), pattern.members(), pattern.voters(),
-                pattern.helloMs(), pattern.quietMs(), pattern.delayMs(), pattern.drift(), pattern.cut());
+        return new Setup(
+                pattern.fleet(),
+                name,
+                zones.apply(name),
+                pattern.members(),
+                pattern.voters(),
+                pattern.helloMs(),
+                pattern.quietMs(),
+                pattern.delayMs(),
+                pattern.drift(),
+                pattern.cut());
     }
 
     /** Names of all relays. */
--- a/src/main/java/firstair/kit/fleet/Tenants.java
+++ b/src/main/java/firstair/kit/fleet/Tenants.java
@@ -27,7 +27,7 @@
     private final double termMs;
     private final LongFunction<Map<String, Contract>> files;
     private final Map<Life, Map<String, Set<String>>> holding = new HashMap<>(); // asked by key only
-    private final Map<String, Set<String>> lastSent = new TreeMap<>();          // by relay: zones of its last look
+    private final Map<String, Set<String>> lastSent = new TreeMap<>(); // by relay: zones of its last look
     private final Map<String, Long> taken = new TreeMap<>();
     private final List<String> wrong = new ArrayList<>();
 
@@ -37,7 +37,12 @@
      * @param termMs term of contracts
      * @param files  contracts of a version, as the settings file of that version has them
      */
-    Tenants(PlayedFleet fleet, Agreed agreed, List<String> tenants, int destination, double termMs,
+    Tenants(
+            PlayedFleet fleet,
+            Agreed agreed,
+            List<String> tenants,
+            int destination,
+            double termMs,
             LongFunction<Map<String, Contract>> files) {
         this.fleet = fleet;
         this.agreed = agreed;
@@ -95,7 +100,11 @@
             }
             if (held.containsKey(tenant)) {
                 if (confined) {
-                    held.put(tenant, played.fleet().terms(life.now(), tenant, CLASS, destination, null).zones());
+                    held.put(
+                            tenant,
+                            played.fleet()
+                                    .terms(life.now(), tenant, CLASS, destination, null)
+                                    .zones());
                 }
                 goes(life, tenant, held.get(tenant), zones);
             }
--- a/src/main/java/firstair/kit/fleet/Trouble.java
+++ b/src/main/java/firstair/kit/fleet/Trouble.java
@@ -17,10 +17,14 @@
 
     /** Shares lie between 0 and 1, delays are in order. */
     public Trouble {
-        if (!(loss >= 0 && loss <= 1 && doubled >= 0 && doubled <= 1 && leastDelayMs >= 0
+        if (!(loss >= 0
+                && loss <= 1
+                && doubled >= 0
+                && doubled <= 1
+                && leastDelayMs >= 0
                 && mostDelayMs >= leastDelayMs)) {
-            throw new IllegalArgumentException("no such trouble: " + loss + ", " + doubled + ", " + leastDelayMs
-                    + ", " + mostDelayMs);
+            throw new IllegalArgumentException(
+                    "no such trouble: " + loss + ", " + doubled + ", " + leastDelayMs + ", " + mostDelayMs);
         }
     }
 
--- a/src/main/java/firstair/kit/run/Node.java
+++ b/src/main/java/firstair/kit/run/Node.java
@@ -163,7 +163,8 @@
     }
 
     private static String place(Class<?> of) throws URISyntaxException {
-        return Path.of(of.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
+        return Path.of(of.getProtectionDomain().getCodeSource().getLocation().toURI())
+                .toString();
     }
 
     /** Where discovery is from the next writing of the configuration on. */
@@ -179,7 +180,10 @@
 
     /** Sends it SIGHUP. */
     public void signalHangUp() throws Exception {
-        new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).inheritIO().start().waitFor();
+        new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
+                .inheritIO()
+                .start()
+                .waitFor();
     }
 
     /** Writes its configuration, and its settings of ours if they are given as a text. */
@@ -189,12 +193,16 @@
         }
         Path file = folder.resolve("config.json");
         Path draft = folder.resolve("config.new");
-        Files.writeString(draft, config != null ? config : "{\"name\":\"" + name + "\",\"listen\":\"" + listen
-                + "\",\"discovery\":\"" + discovery + "\",\"seed\":\"8c1f30d27a5be964\","
-                + "\"limits\":{\"cores\":1.0,\"memory_mb\":" + memoryMb
-                + ",\"sockets\":" + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + known
-                + ",\"settings\":" + settings()
-                + "}");
+        Files.writeString(
+                draft,
+                config != null
+                        ? config
+                        : "{\"name\":\"" + name + "\",\"listen\":\"" + listen
+                                + "\",\"discovery\":\"" + discovery + "\",\"seed\":\"8c1f30d27a5be964\","
+                                + "\"limits\":{\"cores\":1.0,\"memory_mb\":" + memoryMb
+                                + ",\"sockets\":" + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + known
+                                + ",\"settings\":" + settings()
+                                + "}");
         return Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
@@ -209,12 +217,26 @@
             classPath.add(place(Toml.class));
             classPath.add(place(Class.forName("org.antlr.v4.runtime.CharStream")));
         }
-        List<String> command = List.of("sh", "-c", (ignoring ? "trap '' HUP; " : "") + "exec \"$@\"", "sh",
-                "nice", "-n", String.valueOf(niceness), "sh", Path.of("deploy", "run.sh").toString(), "-cp",
-                String.join(System.getProperty("path.separator"), classPath), "firstair.Main", "serve");
+        List<String> command = List.of(
+                "sh",
+                "-c",
+                (ignoring ? "trap '' HUP; " : "") + "exec \"$@\"",
+                "sh",
+                "nice",
+                "-n",
+                String.valueOf(niceness),
+                "sh",
+                Path.of("deploy", "run.sh").toString(),
+                "-cp",
+                String.join(System.getProperty("path.separator"), classPath),
+                "firstair.Main",
+                "serve");
         ProcessBuilder b = new ProcessBuilder(command);
-        b.environment().merge("PATH", Path.of(System.getProperty("java.home"), "bin").toString(),
-                (path, java) -> java + System.getProperty("path.separator") + path);
+        b.environment()
+                .merge(
+                        "PATH",
+                        Path.of(System.getProperty("java.home"), "bin").toString(),
+                        (path, java) -> java + System.getProperty("path.separator") + path);
         b.environment().put("ROUTER_CONFIG", file.toString());
         b.environment().put("ROUTER_STATE", state().toString());
         if (settings != null) {
@@ -328,17 +350,24 @@
             return 0;
         }
         try (Stream<String> lines = Files.lines(status)) {
-            return lines.filter(l -> l.startsWith(field)).findFirst()
-                    .map(l -> Long.parseLong(l.replaceAll("\\D", ""))).orElse(0L);
+            return lines.filter(l -> l.startsWith(field))
+                    .findFirst()
+                    .map(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .orElse(0L);
         }
     }
 
     /** What of its heap is in use once it has been collected whole, in KiB. */
     public long liveHeapKb() throws Exception {
-        Process jcmd = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
-                String.valueOf(process.pid()), "GC.class_histogram").redirectErrorStream(true).start();
+        Process jcmd = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                        String.valueOf(process.pid()),
+                        "GC.class_histogram")
+                .redirectErrorStream(true)
+                .start();
         String all = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        String[] total = all.substring(Math.max(0, all.lastIndexOf("Total"))).trim().split("\\s+");
+        String[] total =
+                all.substring(Math.max(0, all.lastIndexOf("Total"))).trim().split("\\s+");
         if (total.length != 3) {
             throw new AssertionError("no histogram: " + all);
         }
@@ -377,8 +406,8 @@
     public String handIn(String id, String type, long timeoutMs, String addressing, String key, byte[] body)
             throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(handInText(id, type, timeoutMs, addressing, key, body.length)
-                .getBytes(StandardCharsets.ISO_8859_1));
+        all.writeBytes(
+                handInText(id, type, timeoutMs, addressing, key, body.length).getBytes(StandardCharsets.ISO_8859_1));
         all.writeBytes(body);
         return exchange(all.toByteArray(), false);
     }
@@ -418,7 +447,9 @@
         StringBuilder answer = new StringBuilder();
         for (int b = s.getInputStream().read(); b >= 0; b = s.getInputStream().read()) {
             answer.append((char) b);
-            if (!all && answer.length() > 4 && answer.substring(answer.length() - 4).equals("\r\n\r\n")) {
+            if (!all
+                    && answer.length() > 4
+                    && answer.substring(answer.length() - 4).equals("\r\n\r\n")) {
                 break;
             }
         }
--- a/src/main/java/firstair/kit/soak/Soak.java
+++ b/src/main/java/firstair/kit/soak/Soak.java
@@ -21,8 +21,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.Executors;
 import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
@@ -33,8 +33,8 @@
  * what was answered 202 is delivered, or its notice comes in time.
  */
 final class Soak {
-    private static final double LATEST_MS = 300;    // after its time a message must have its end
-    private static final int ANSWER_MS = 400;       // a client waits so long
+    private static final double LATEST_MS = 300; // after its time a message must have its end
+    private static final int ANSWER_MS = 400; // a client waits so long
     private static final int KEPT_ROUNDS = 600;
     private static final int[] GOOD = {1, 2, 3};
     private static final int HANGS = 11;
@@ -43,11 +43,11 @@
     private static final int FAILS = 14;
 
     /** What is asked of one run. */
-    record Plan(double seconds, int perSecond, double hangUpEveryS, boolean faulty, int niceness, int burners,
-            long seed) { }
+    record Plan(
+            double seconds, int perSecond, double hangUpEveryS, boolean faulty, int niceness, int burners, long seed) {}
 
     /** A message that a relay took: until when it must have ended, on the clock of {@link System#nanoTime}. */
-    private record Taken(long dueNs) { }
+    private record Taken(long dueNs) {}
 
     private final Plan plan;
     private final Random random;
@@ -83,7 +83,7 @@
         System.out.println("soak " + plan);
         Path folder = Files.createTempDirectory("firstair-soak");
         StandIn good = new StandIn(this::deliver);
-        StandIn hangs = new StandIn(r -> { });
+        StandIn hangs = new StandIn(r -> {});
         StandIn waits = new StandIn(r -> r.answer(429, "Retry-After: 0.8"));
         StandIn fails = new StandIn(r -> r.answer(500));
         Socket held = new Socket(); // bound and not listening: a free port would be some other stand-in's before long
@@ -138,9 +138,16 @@
         node.kill();
         held.close();
         boolean kept = lost.get() == 0 && endless.get() == 0 && taken.get() > 0;
-        System.out.printf(Locale.ROOT, "%s: taken %d, delivered %d, by notice %d, lost %d, without an end %d; "
+        System.out.printf(
+                Locale.ROOT,
+                "%s: taken %d, delivered %d, by notice %d, lost %d, without an end %d; "
                         + "latest notice %.0f ms after its message's time%n",
-                kept ? "KEPT" : "BROKEN", taken.get(), deliveredInTime.get(), noticed.get(), lost.get(), endless.get(),
+                kept ? "KEPT" : "BROKEN",
+                taken.get(),
+                deliveredInTime.get(),
+                noticed.get(),
+                lost.get(),
+                endless.get(),
                 worstNoticeMs);
         return kept;
     }
@@ -174,8 +181,9 @@
 
     private void one(String id) {
         int draw = random.nextInt(100);
-        int destination = draw < 60 ? GOOD[draw % GOOD.length] : draw < 70 ? HANGS : draw < 80 ? ABSENT
-                : draw < 90 ? TOLD_TO_WAIT : FAILS;
+        int destination = draw < 60
+                ? GOOD[draw % GOOD.length]
+                : draw < 70 ? HANGS : draw < 80 ? ABSENT : draw < 90 ? TOLD_TO_WAIT : FAILS;
         String type = new String[] {"safe", "keyed", "unsafe"}[random.nextInt(3)];
         long timeout = 600 + random.nextInt(2000);
         clients.execute(() -> handIn(id, type, destination, timeout));
@@ -184,8 +192,9 @@
     private void handIn(String id, String type, int destination, long timeout) {
         long sent = System.nanoTime();
         byte[] body = id.getBytes(StandardCharsets.US_ASCII);
-        byte[] head = node.handInText(id, type, timeout, "dest=" + destination, type.equals("keyed") ? "k" + id : null,
-                body.length).getBytes(StandardCharsets.US_ASCII);
+        byte[] head = node.handInText(
+                        id, type, timeout, "dest=" + destination, type.equals("keyed") ? "k" + id : null, body.length)
+                .getBytes(StandardCharsets.US_ASCII);
         Socket s;
         synchronized (kept) {
             s = kept.pollLast();
@@ -195,7 +204,10 @@
             try {
                 if (s == null) {
                     s = new Socket();
-                    s.connect(new InetSocketAddress(node.address().getAddress(), node.address().getPort()), ANSWER_MS);
+                    s.connect(
+                            new InetSocketAddress(
+                                    node.address().getAddress(), node.address().getPort()),
+                            ANSWER_MS);
                     s.setTcpNoDelay(true);
                 }
                 s.setSoTimeout(ANSWER_MS);
@@ -286,11 +298,21 @@
 
     private void tell(long started) {
         try {
-            System.out.printf(Locale.ROOT, "  %4.0f s  taken %d refused %d unanswered %d  delivered %d noticed %d "
+            System.out.printf(
+                    Locale.ROOT,
+                    "  %4.0f s  taken %d refused %d unanswered %d  delivered %d noticed %d "
                             + "lost %d open %d  posts %d  memory %d KiB  descriptors %d%n",
                     (System.nanoTime() - started) / 1e9,
-                    taken.get(), refused.get(), silent.get(), deliveredInTime.get(), noticed.get(), lost.get(),
-                    open.size(), platform.posts(), node.memoryKb(), node.descriptors());
+                    taken.get(),
+                    refused.get(),
+                    silent.get(),
+                    deliveredInTime.get(),
+                    noticed.get(),
+                    lost.get(),
+                    open.size(),
+                    platform.posts(),
+                    node.memoryKb(),
+                    node.descriptors());
         } catch (IOException e) {
             System.out.println("  the relay is gone: " + e);
         }
--- a/src/main/java/firstair/kit/soak/SoakCommand.java
+++ b/src/main/java/firstair/kit/soak/SoakCommand.java
@@ -5,9 +5,14 @@
 import picocli.CommandLine.Option;
 
 /** Runs a soak. */
-@Command(name = "soak", mixinStandardHelpOptions = true, showDefaultValues = true, description = {
-    "Holds a relay process to its promise for a while, on loopback, beside stand-ins of its peers.",
-    "Status 0 if every message that was answered 202 was delivered or had its notice in time."})
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
+        showDefaultValues = true,
+        description = {
+            "Holds a relay process to its promise for a while, on loopback, beside stand-ins of its peers.",
+            "Status 0 if every message that was answered 202 was delivered or had its notice in time."
+        })
 public final class SoakCommand implements Part {
     @Option(names = "--seconds", defaultValue = "600", description = "how long messages are handed in")
     private double seconds;
@@ -15,11 +20,16 @@
     @Option(names = "--rate", defaultValue = "100", description = "messages a second")
     private int rate;
 
-    @Option(names = "--hup", defaultValue = "1", description = "seconds between two SIGHUPs with a new place for the"
-            + " platform, 0 for none")
+    @Option(
+            names = "--hup",
+            defaultValue = "1",
+            description = "seconds between two SIGHUPs with a new place for the" + " platform, 0 for none")
     private double hup;
 
-    @Option(names = "--faults", defaultValue = "true", arity = "1",
+    @Option(
+            names = "--faults",
+            defaultValue = "true",
+            arity = "1",
             description = "whether connections for notices fail")
     private boolean faults;
 
--- a/src/main/java/firstair/kit/standin/MovingPlatform.java
+++ b/src/main/java/firstair/kit/standin/MovingPlatform.java
@@ -47,7 +47,7 @@
     private static final long EMPTY_LINE_MS = 2000;
 
     /** When a notice came first, on the clock of {@link System#nanoTime}, and what it said. */
-    public record Notice(long atNs, String outcome) { }
+    public record Notice(long atNs, String outcome) {}
 
     private final Random random;
     private final boolean faulty;
@@ -90,10 +90,13 @@
         StandIn old = place;
         place = new StandIn(this::handle);
         old.refuse();
-        clock.schedule(() -> {
-            old.close();
-            return null;
-        }, OLD_PLACE_MS, TimeUnit.MILLISECONDS);
+        clock.schedule(
+                () -> {
+                    old.close();
+                    return null;
+                },
+                OLD_PLACE_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** The first notice of a message, or null. */
@@ -147,7 +150,7 @@
         boolean first = !faults.containsKey(r.socket());
         Fault fault = faults.computeIfAbsent(r.socket(), s -> draw());
         switch (fault) {
-            case SILENT -> { }
+            case SILENT -> {}
             case LATE -> {
                 pause(LATE_MS);
                 count(r);
@@ -158,10 +161,13 @@
                 if (first) {
                     count(r);
                     r.answer(204);
-                    clock.schedule(() -> {
-                        r.reset();
-                        return null;
-                    }, STALE_MS, TimeUnit.MILLISECONDS);
+                    clock.schedule(
+                            () -> {
+                                r.reset();
+                                return null;
+                            },
+                            STALE_MS,
+                            TimeUnit.MILLISECONDS);
                 }
             }
             case BAD -> r.answer(400);
@@ -177,7 +183,9 @@
         long at = System.nanoTime();
         for (String line : new String(r.body(), StandardCharsets.UTF_8).split("\n")) {
             JsonObject o = JsonParser.parseString(line).getAsJsonObject();
-            notices.putIfAbsent(o.get("message").getAsString(), new Notice(at, o.get("outcome").getAsString()));
+            notices.putIfAbsent(
+                    o.get("message").getAsString(),
+                    new Notice(at, o.get("outcome").getAsString()));
         }
     }
 
--- a/src/main/java/firstair/relay/Config.java
+++ b/src/main/java/firstair/relay/Config.java
@@ -28,8 +28,17 @@
  * @param zones   numbers of the zones
  * @param own     settings that are ours, as far as anybody set them
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, Path state, long seed,
-        Limits limits, Controller.Settings settings, Listed known, List<String> kinds, Zones zones,
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        Path state,
+        long seed,
+        Limits limits,
+        Controller.Settings settings,
+        Listed known,
+        List<String> kinds,
+        Zones zones,
         Values own) {
 
     private static final int HEX = 16;
@@ -62,7 +71,8 @@
             }
             root = parsed.getAsJsonObject();
         } catch (JsonParseException e) {
-            throw new ConfigException("ROUTER_CONFIG", "not JSON: " + e.getMessage().replaceAll("\\s+", " "));
+            throw new ConfigException(
+                    "ROUTER_CONFIG", "not JSON: " + e.getMessage().replaceAll("\\s+", " "));
         }
         Json top = new Json("", root);
         Json site = new Json("settings.", object(root, "settings"));
@@ -77,14 +87,24 @@
         }
         List<String> kinds = names(object(root, "settings"), "shapes");
         Zones zones = new Zones(names(object(root, "settings"), "azs"));
-        return new Config(top.text("name", env.getOrDefault("ROUTER_NAME", "relay")),
+        return new Config(
+                top.text("name", env.getOrDefault("ROUTER_NAME", "relay")),
                 address("listen", top.text("listen", env.get("ROUTER_LISTEN"))),
                 address("discovery", top.text("discovery", env.get("ROUTER_DISCOVERY"))),
-                Path.of(state), seed(top),
-                Limits.of((int) top.whole("limits.sockets", 0), (int) top.whole("limits.disk_mb", 0),
-                        Runtime.getRuntime().maxMemory(), site.number("quantum", 0),
-                        settings.limits().connectTimeoutMs(), settings.limits().connectionIdleMs()),
-                settings, known(root, kinds, zones), kinds, zones, Values.NONE);
+                Path.of(state),
+                seed(top),
+                Limits.of(
+                        (int) top.whole("limits.sockets", 0),
+                        (int) top.whole("limits.disk_mb", 0),
+                        Runtime.getRuntime().maxMemory(),
+                        site.number("quantum", 0),
+                        settings.limits().connectTimeoutMs(),
+                        settings.limits().connectionIdleMs()),
+                settings,
+                known(root, kinds, zones),
+                kinds,
+                zones,
+                Values.NONE);
     }
 
     /** The same with settings of ours. */
--- a/src/main/java/firstair/relay/Fellows.java
+++ b/src/main/java/firstair/relay/Fellows.java
@@ -12,7 +12,7 @@
  */
 public interface Fellows {
     /** Nobody to talk to. */
-    Fellows NONE = new Fellows() { };
+    Fellows NONE = new Fellows() {};
 
     /** What follows for our own decisions. */
     interface Listener {
@@ -50,10 +50,10 @@
     }
 
     /** Begins to talk. */
-    default void start() { }
+    default void start() {}
 
     /** Before each round of decisions: what has run out meanwhile is told first. */
-    default void refresh() { }
+    default void refresh() {}
 
     /** Whether a message that was handed in may be taken. */
     default Admission admit(String tenant, String className, int destination, String booking) {
@@ -66,16 +66,16 @@
     }
 
     /** A message was taken. */
-    default void taken(int destination) { }
+    default void taken(int destination) {}
 
     /** A call with it is made. */
-    default void called(int destination, boolean repeat) { }
+    default void called(int destination, boolean repeat) {}
 
     /** A call with it has ended. */
-    default void ended(int destination, Outcome outcome) { }
+    default void ended(int destination, Outcome outcome) {}
 
     /** Destinations and endpoints that are listed. */
-    default void listed(Set<Integer> destinations, Set<String> endpoints) { }
+    default void listed(Set<Integer> destinations, Set<String> endpoints) {}
 
     /** Whether bookings can be asked for. */
     default boolean books() {
@@ -83,11 +83,11 @@
     }
 
     /** Somebody asks for a booking, where {@link #books}. */
-    default void ask(Ask ask) { }
+    default void ask(Ask ask) {}
 
     /** Our process is about to end: what others could use goes back at once. */
-    default void leave() { }
+    default void leave() {}
 
     /** Ends the talk. */
-    default void close() { }
+    default void close() {}
 }
--- a/src/main/java/firstair/relay/HostPort.java
+++ b/src/main/java/firstair/relay/HostPort.java
@@ -4,7 +4,7 @@
 
 /** Addresses as {@code host:port}. */
 public final class HostPort {
-    private HostPort() { }
+    private HostPort() {}
 
     /** Reads one; anything else is an {@link IllegalArgumentException}. */
     public static InetSocketAddress parse(String text) {
--- a/src/main/java/firstair/relay/Kept.java
+++ b/src/main/java/firstair/relay/Kept.java
@@ -36,7 +36,7 @@
     private final Store store;
     private final Map<Long, Held> held = new LinkedHashMap<>();
     private final Map<String, Long> ids = new HashMap<>(); // of held messages, by the clients' ids
-    private final List<Held> fresh = new ArrayList<>();    // taken in this round, not answered yet
+    private final List<Held> fresh = new ArrayList<>(); // taken in this round, not answered yet
     private long nextId;
 
     Kept(Store store) {
--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -40,12 +40,40 @@
  * @param drainCallsMs    how long it makes calls for what it holds
  * @param drainMs         until it ends at the latest
  */
-public record Limits(int sockets, long diskBytes, int maxBody, int maxHead, int maxClients, int crowd, int maxLinks,
-        int readBuffer, int backlog, double roundMs, double connectMs, double idleMs, double haltMs, double sweepMs,
-        double emptyMs, double answerMs, double restMs, double firstMs, double requestMs, double crowdedMs,
-        double clientIdleMs, double lingerMs, int lingerBytes, double listAnswerMs, double listSilenceMs, int listLine,
-        Notices notices, double overdueMs, double reloadMs, double openMs, double drainAcceptMs,
-        double drainCallsMs, double drainMs) {
+public record Limits(
+        int sockets,
+        long diskBytes,
+        int maxBody,
+        int maxHead,
+        int maxClients,
+        int crowd,
+        int maxLinks,
+        int readBuffer,
+        int backlog,
+        double roundMs,
+        double connectMs,
+        double idleMs,
+        double haltMs,
+        double sweepMs,
+        double emptyMs,
+        double answerMs,
+        double restMs,
+        double firstMs,
+        double requestMs,
+        double crowdedMs,
+        double clientIdleMs,
+        double lingerMs,
+        int lingerBytes,
+        double listAnswerMs,
+        double listSilenceMs,
+        int listLine,
+        Notices notices,
+        double overdueMs,
+        double reloadMs,
+        double openMs,
+        double drainAcceptMs,
+        double drainCallsMs,
+        double drainMs) {
 
     /**
      * Of notices to the platform.
@@ -61,14 +89,23 @@
      * @param bytes         bytes of one post at most
      * @param posts         posts that may be out
      */
-    public record Notices(double dueMs, double returnMs, double answerMs, double leastMs, double mostMs,
-            double pauseMs, double urgentPauseMs, double pauseMostMs, int bytes, int posts) { }
+    public record Notices(
+            double dueMs,
+            double returnMs,
+            double answerMs,
+            double leastMs,
+            double mostMs,
+            double pauseMs,
+            double urgentPauseMs,
+            double pauseMostMs,
+            int bytes,
+            int posts) {}
 
     /** A line of the log that others can bring about at will comes once in so long; see {@link Seldom}. */
     static final double SAME_LINE_MS = 60_000;
 
     private static final int KIB = 1024;
-    private static final long BYTES_PER_MB = 1_000_000;  // the smaller reading of a megabyte
+    private static final long BYTES_PER_MB = 1_000_000; // the smaller reading of a megabyte
     // What stands in for a figure that the deployment does not tell.
     private static final int USUAL_SOCKETS = 1024;
     private static final int USUAL_DISK_MB = 64;
@@ -76,69 +113,104 @@
     private static final double USUAL_IDLE_MS = 10_000;
     // The protocol's own figures, and what follows from them.
     private static final int MAX_BODY = 64 * KIB;
-    private static final int MAX_HEAD = 16 * KIB;        // many times what clients and endpoints send
-    private static final double LIST_SILENCE_MS = 2500;  // lines come every 2 s; twice over is well under 6 s
-    private static final double LIST_ANSWER_MS = 3000;   // twice a late connection
-    private static final int LIST_CALLS = 3;             // out at most beside each other
-    private static final double NOTICE_DUE_MS = 300;     // after a message's time
+    private static final int MAX_HEAD = 16 * KIB; // many times what clients and endpoints send
+    private static final double LIST_SILENCE_MS = 2500; // lines come every 2 s; twice over is well under 6 s
+    private static final double LIST_ANSWER_MS = 3000; // twice a late connection
+    private static final int LIST_CALLS = 3; // out at most beside each other
+    private static final double NOTICE_DUE_MS = 300; // after a message's time
     private static final double NOTICE_RETURN_MS = 1500; // after a relay is ready again
     private static final double NOTICE_ANSWER_MS = 1000; // an answer that comes late saves a repeat all the same
-    private static final double NOTICE_MOST_MS = 250;    // answers come at once, but for a process that just began
-    private static final double DRAIN_ACCEPT_MS = 450;   // connections still come for up to 400 ms after SIGTERM
-    private static final double DRAIN_CALLS_MS = 2300;   // so that a call has usually ended by then
-    private static final double DRAIN_MS = 3000;         // SIGKILL comes 3.7 s after SIGTERM at the soonest
+    private static final double NOTICE_MOST_MS = 250; // answers come at once, but for a process that just began
+    private static final double DRAIN_ACCEPT_MS = 450; // connections still come for up to 400 ms after SIGTERM
+    private static final double DRAIN_CALLS_MS = 2300; // so that a call has usually ended by then
+    private static final double DRAIN_MS = 3000; // SIGKILL comes 3.7 s after SIGTERM at the soonest
     // Sizes and counts.
-    private static final int OTHER_FILES = 32;           // 17 at rest: jars, selector, store, listener, discovery
-    private static final double CLIENT_SHARE = 0.5;      // of all other descriptors
-    private static final double CROWD_SHARE = 1.0 / 6;   // of all descriptors: half of what clients hold at most
-    private static final double HEAP_SHARE = 0.5;        // of the heap, for what clients are sending
-    private static final int READ_BUFFER = 16 * KIB;     // most requests come in one read
-    private static final int BACKLOG = 512;              // or as many as may be open, if that is more
-    private static final int LIST_LINE = 4 * KIB * KIB;  // a list of some ten thousand endpoints
-    private static final int LIST_HEAPS = 32;            // of such in the heap; read, one takes fifteen times as much
+    private static final int OTHER_FILES = 32; // 17 at rest: jars, selector, store, listener, discovery
+    private static final double CLIENT_SHARE = 0.5; // of all other descriptors
+    private static final double CROWD_SHARE = 1.0 / 6; // of all descriptors: half of what clients hold at most
+    private static final double HEAP_SHARE = 0.5; // of the heap, for what clients are sending
+    private static final int READ_BUFFER = 16 * KIB; // most requests come in one read
+    private static final int BACKLOG = 512; // or as many as may be open, if that is more
+    private static final int LIST_LINE = 4 * KIB * KIB; // a list of some ten thousand endpoints
+    private static final int LIST_HEAPS = 32; // of such in the heap; read, one takes fifteen times as much
     // Times.
-    private static final double IDLE_GUARD_MS = 200;     // closed so long before the endpoint may close it
-    private static final double HALT_MS = 50;            // several times the way to an endpoint and back
-    private static final double SWEEP_MS = 100;          // half of the guard
-    private static final double EMPTY_MS = 30_000;       // longer than any message lives
-    private static final double ANSWER_MS = 200;         // answers are a packet or two, written at once
-    private static final double REST_MS = 20;            // what belongs to an answer comes with it or right behind
-    private static final double FIRST_MS = 200;          // half of what a client waits for an answer
-    private static final double REQUEST_MS = 2000;       // a client waits for 400 ms; this one is broken or hostile
-    private static final double CROWDED_MS = 500;        // longer than any client waits for an answer
-    private static final double CLIENT_IDLE_MS = 2000;   // kept for many requests a second, not for a visit in hours
-    private static final double LINGER_MS = 500;         // for what a refused client has already sent
-    private static final int LINGER_BYTES = 256 * KIB;   // the same, with what the system still held
-    private static final double NOTICE_LEAST_MS = 60;    // several answers; four tries fit into what is left
+    private static final double IDLE_GUARD_MS = 200; // closed so long before the endpoint may close it
+    private static final double HALT_MS = 50; // several times the way to an endpoint and back
+    private static final double SWEEP_MS = 100; // half of the guard
+    private static final double EMPTY_MS = 30_000; // longer than any message lives
+    private static final double ANSWER_MS = 200; // answers are a packet or two, written at once
+    private static final double REST_MS = 20; // what belongs to an answer comes with it or right behind
+    private static final double FIRST_MS = 200; // half of what a client waits for an answer
+    private static final double REQUEST_MS = 2000; // a client waits for 400 ms; this one is broken or hostile
+    private static final double CROWDED_MS = 500; // longer than any client waits for an answer
+    private static final double CLIENT_IDLE_MS = 2000; // kept for many requests a second, not for a visit in hours
+    private static final double LINGER_MS = 500; // for what a refused client has already sent
+    private static final int LINGER_BYTES = 256 * KIB; // the same, with what the system still held
+    private static final double NOTICE_LEAST_MS = 60; // several answers; four tries fit into what is left
     private static final double NOTICE_PAUSE_MS = 25;
-    private static final double NOTICE_URGENT_MS = 75;   // a platform that comes back is found in time
+    private static final double NOTICE_URGENT_MS = 75; // a platform that comes back is found in time
     private static final double NOTICE_PAUSE_MOST_MS = 1000;
-    private static final int NOTICE_POSTS = 8;           // several thousand notices at one moment
-    private static final double OVERDUE_MS = 150;        // after calls are halted; leaves as much for the notice
-    private static final double OPEN_MS = 300;           // more than a post takes; clients use other relays meanwhile
-    private static final double RELOAD_MS = 1000;        // a file is written in less, and 4 s may pass until it counts
+    private static final int NOTICE_POSTS = 8; // several thousand notices at one moment
+    private static final double OVERDUE_MS = 150; // after calls are halted; leaves as much for the notice
+    private static final double OPEN_MS = 300; // more than a post takes; clients use other relays meanwhile
+    private static final double RELOAD_MS = 1000; // a file is written in less, and 4 s may pass until it counts
 
     /**
      * The limits for what a deployment allows; 0 stands for a figure that it does not tell.
      *
      * @param heapBytes what the virtual machine may hold in objects
      */
-    public static Limits of(int sockets, int diskMb, long heapBytes, double roundMs, double connectMs,
-            double connectionIdleMs) {
+    public static Limits of(
+            int sockets, int diskMb, long heapBytes, double roundMs, double connectMs, double connectionIdleMs) {
         int open = sockets > 0 ? sockets : USUAL_SOCKETS;
         int connections = Math.max(2, open - OTHER_FILES);
         // Each client may have a message of full size on its way, all at the same moment.
         int clients = (int) Math.min(connections * CLIENT_SHARE, heapBytes * HEAP_SHARE / (MAX_BODY + MAX_HEAD));
         double idle = connectionIdleMs > 0 ? connectionIdleMs : USUAL_IDLE_MS;
-        return new Limits(open, (diskMb > 0 ? diskMb : USUAL_DISK_MB) * BYTES_PER_MB, MAX_BODY, MAX_HEAD, clients,
-                (int) Math.min(clients / 2, open * CROWD_SHARE), connections - clients, READ_BUFFER,
-                Math.max(BACKLOG, clients), Math.max(0, roundMs), connectMs > 0 ? connectMs : USUAL_CONNECT_MS,
-                Math.max(idle / 2, idle - IDLE_GUARD_MS), HALT_MS, SWEEP_MS, EMPTY_MS, ANSWER_MS, REST_MS, FIRST_MS,
-                REQUEST_MS, CROWDED_MS, CLIENT_IDLE_MS, LINGER_MS, LINGER_BYTES, LIST_ANSWER_MS, LIST_SILENCE_MS,
-                (int) Math.min(LIST_LINE, heapBytes / LIST_HEAPS), new Notices(NOTICE_DUE_MS, NOTICE_RETURN_MS,
-                NOTICE_ANSWER_MS, NOTICE_LEAST_MS, NOTICE_MOST_MS, NOTICE_PAUSE_MS, NOTICE_URGENT_MS,
-                NOTICE_PAUSE_MOST_MS, MAX_BODY, NOTICE_POSTS), OVERDUE_MS, RELOAD_MS, OPEN_MS, DRAIN_ACCEPT_MS,
-                DRAIN_CALLS_MS, DRAIN_MS);
+        return new Limits(
+                open,
+                (diskMb > 0 ? diskMb : USUAL_DISK_MB) * BYTES_PER_MB,
+                MAX_BODY,
+                MAX_HEAD,
+                clients,
+                (int) Math.min(clients / 2, open * CROWD_SHARE),
+                connections - clients,
+                READ_BUFFER,
+                Math.max(BACKLOG, clients),
+                Math.max(0, roundMs),
+                connectMs > 0 ? connectMs : USUAL_CONNECT_MS,
+                Math.max(idle / 2, idle - IDLE_GUARD_MS),
+                HALT_MS,
+                SWEEP_MS,
+                EMPTY_MS,
+                ANSWER_MS,
+                REST_MS,
+                FIRST_MS,
+                REQUEST_MS,
+                CROWDED_MS,
+                CLIENT_IDLE_MS,
+                LINGER_MS,
+                LINGER_BYTES,
+                LIST_ANSWER_MS,
+                LIST_SILENCE_MS,
+                (int) Math.min(LIST_LINE, heapBytes / LIST_HEAPS),
+                new Notices(
+                        NOTICE_DUE_MS,
+                        NOTICE_RETURN_MS,
+                        NOTICE_ANSWER_MS,
+                        NOTICE_LEAST_MS,
+                        NOTICE_MOST_MS,
+                        NOTICE_PAUSE_MS,
+                        NOTICE_URGENT_MS,
+                        NOTICE_PAUSE_MOST_MS,
+                        MAX_BODY,
+                        NOTICE_POSTS),
+                OVERDUE_MS,
+                RELOAD_MS,
+                OPEN_MS,
+                DRAIN_ACCEPT_MS,
+                DRAIN_CALLS_MS,
+                DRAIN_MS);
     }
 
     /**
@@ -155,30 +227,87 @@
             return this;
         }
         Notices n = notices;
-        return new Limits(sockets, diskBytes, maxBody, maxHead, maxClients, crowd, maxLinks, readBuffer, backlog,
-                roundMs, connectMs, idleMs, own.number("endpoints.halt", haltMs), sweepMs,
+        return new Limits(
+                sockets,
+                diskBytes,
+                maxBody,
+                maxHead,
+                maxClients,
+                crowd,
+                maxLinks,
+                readBuffer,
+                backlog,
+                roundMs,
+                connectMs,
+                idleMs,
+                own.number("endpoints.halt", haltMs),
+                sweepMs,
                 own.number("endpoints.empty", emptyMs),
-                own.number("endpoints.answer", answerMs), own.number("endpoints.rest", restMs),
-                own.number("clients.first", firstMs), own.number("clients.request", requestMs),
-                own.number("clients.crowded", crowdedMs), own.number("clients.idle", clientIdleMs),
-                own.number("clients.linger", lingerMs), own.whole("clients.linger_bytes", lingerBytes),
-                own.number("list.answer", listAnswerMs), own.number("list.silence", listSilenceMs),
+                own.number("endpoints.answer", answerMs),
+                own.number("endpoints.rest", restMs),
+                own.number("clients.first", firstMs),
+                own.number("clients.request", requestMs),
+                own.number("clients.crowded", crowdedMs),
+                own.number("clients.idle", clientIdleMs),
+                own.number("clients.linger", lingerMs),
+                own.whole("clients.linger_bytes", lingerBytes),
+                own.number("list.answer", listAnswerMs),
+                own.number("list.silence", listSilenceMs),
                 own.whole("list.line", listLine),
-                new Notices(n.dueMs, n.returnMs, own.number("platform.answer", n.answerMs),
-                        own.number("platform.least", n.leastMs), own.number("platform.most", n.mostMs),
-                        own.number("platform.pause", n.pauseMs), own.number("platform.urgent_pause", n.urgentPauseMs),
-                        own.number("platform.most_pause", n.pauseMostMs), n.bytes,
+                new Notices(
+                        n.dueMs,
+                        n.returnMs,
+                        own.number("platform.answer", n.answerMs),
+                        own.number("platform.least", n.leastMs),
+                        own.number("platform.most", n.mostMs),
+                        own.number("platform.pause", n.pauseMs),
+                        own.number("platform.urgent_pause", n.urgentPauseMs),
+                        own.number("platform.most_pause", n.pauseMostMs),
+                        n.bytes,
                         own.whole("platform.posts", n.posts)),
-                own.number("messages.overdue", overdueMs), own.number("start.reload", reloadMs),
-                own.number("start.open", openMs), own.number("drain.accept", drainAcceptMs),
-                own.number("drain.calls", drainCallsMs), own.number("drain.end", drainMs));
+                own.number("messages.overdue", overdueMs),
+                own.number("start.reload", reloadMs),
+                own.number("start.open", openMs),
+                own.number("drain.accept", drainAcceptMs),
+                own.number("drain.calls", drainCallsMs),
+                own.number("drain.end", drainMs));
     }
 
     /** These limits, but for those of {@code next} that a running relay takes over. */
     Limits reloaded(Limits next) {
-        return new Limits(sockets, diskBytes, maxBody, maxHead, maxClients, crowd, maxLinks, readBuffer, backlog,
-                roundMs, connectMs, idleMs, haltMs, sweepMs, emptyMs, answerMs, restMs, firstMs, requestMs, crowdedMs,
-                clientIdleMs, lingerMs, lingerBytes, listAnswerMs, listSilenceMs, listLine, next.notices,
-                next.overdueMs, next.reloadMs, openMs, drainAcceptMs, drainCallsMs, drainMs);
+        return new Limits(
+                sockets,
+                diskBytes,
+                maxBody,
+                maxHead,
+                maxClients,
+                crowd,
+                maxLinks,
+                readBuffer,
+                backlog,
+                roundMs,
+                connectMs,
+                idleMs,
+                haltMs,
+                sweepMs,
+                emptyMs,
+                answerMs,
+                restMs,
+                firstMs,
+                requestMs,
+                crowdedMs,
+                clientIdleMs,
+                lingerMs,
+                lingerBytes,
+                listAnswerMs,
+                listSilenceMs,
+                listLine,
+                next.notices,
+                next.overdueMs,
+                next.reloadMs,
+                openMs,
+                drainAcceptMs,
+                drainCallsMs,
+                drainMs);
     }
 }
--- a/src/main/java/firstair/relay/LineHandler.java
+++ b/src/main/java/firstair/relay/LineHandler.java
@@ -78,8 +78,8 @@
             byte[] line = lines.poll();
             bytes -= line.length;
             if (lost > 0 && bytes < mostBytes / 2) {
-                byte[] told = (lost + " lines of the log were lost: nobody read them\n")
-                        .getBytes(StandardCharsets.UTF_8);
+                byte[] told =
+                        (lost + " lines of the log were lost: nobody read them\n").getBytes(StandardCharsets.UTF_8);
                 lost = 0;
                 lines.addFirst(told);
                 bytes += told.length;
@@ -93,7 +93,8 @@
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         synchronized (lines) {
             try {
-                for (long left = ms; left > 0 && (writing || !lines.isEmpty());
+                for (long left = ms;
+                        left > 0 && (writing || !lines.isEmpty());
                         left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
                     lines.wait(left);
                 }
--- a/src/main/java/firstair/relay/Logs.java
+++ b/src/main/java/firstair/relay/Logs.java
@@ -10,10 +10,10 @@
 /** How the program logs: one line each on standard error, also while it ends, and without waiting for its reader. */
 public final class Logs {
     private static final int MOST_BYTES = 256 * 1024; // some thousand lines
-    private static final long END_MS = 200;           // a reader takes what is left in less
+    private static final long END_MS = 200; // a reader takes what is left in less
     private static LineHandler handler;
 
-    private Logs() { }
+    private Logs() {}
 
     /** Keeps the handlers until the process is gone; the usual manager drops them as soon as an end begins. */
     public static final class Manager extends LogManager {
--- a/src/main/java/firstair/relay/Loop.java
+++ b/src/main/java/firstair/relay/Loop.java
@@ -71,7 +71,7 @@
     /** Ends {@link #run} after the present round. */
     public void end() {
         ended = true;
-        post(() -> { });
+        post(() -> {});
     }
 
     /** Runs events until {@link #end}; {@code round} closes each round. */
--- a/src/main/java/firstair/relay/Own.java
+++ b/src/main/java/firstair/relay/Own.java
@@ -30,54 +30,144 @@
     private static final double MIN = 60 * S;
     private static final double KIB = 1024;
 
-    private Own() { }
+    private Own() {}
 
     /** What can be set. */
     public static Schema schema() {
         return new Schema()
                 .table("clients", "Connections of clients")
                 .item("idle", Kind.DURATION, "2s", 100, 10 * MIN, false, "a connection without a request is closed")
-                .item("request", Kind.DURATION, "2s", 100, MIN, false,
+                .item(
+                        "request",
+                        Kind.DURATION,
+                        "2s",
+                        100,
+                        MIN,
+                        false,
                         "a whole request must have come, from connecting or from its first byte")
-                .item("first", Kind.DURATION, "200ms", 0, MIN, false,
+                .item(
+                        "first",
+                        Kind.DURATION,
+                        "200ms",
+                        0,
+                        MIN,
+                        false,
                         "a client that has just connected is waited for, whatever else wants its place")
-                .item("crowded", Kind.DURATION, "500ms", 50, MIN, false,
+                .item(
+                        "crowded",
+                        Kind.DURATION,
+                        "500ms",
+                        50,
+                        MIN,
+                        false,
                         "in a crowd, a client that has sent nothing is turned away")
-                .item("linger", Kind.DURATION, "500ms", 0, MIN, false,
+                .item(
+                        "linger",
+                        Kind.DURATION,
+                        "500ms",
+                        0,
+                        MIN,
+                        false,
                         "a refused client may go on sending before its connection is cut")
                 .item("linger_bytes", Kind.SIZE, "256KiB", 0, 1 << 30, false, "it may send so much before that")
                 .table("endpoints", "Calls to partners' endpoints")
-                .item("halt", Kind.DURATION, "50ms", 1, 10 * S, false,
+                .item(
+                        "halt",
+                        Kind.DURATION,
+                        "50ms",
+                        1,
+                        10 * S,
+                        false,
                         "the other side may take so long to end a call that was given up")
                 .item("answer", Kind.DURATION, "200ms", 10, MIN, false, "an answer that has begun must be whole")
-                .item("rest", Kind.DURATION, "20ms", 0, 10 * S, false,
+                .item(
+                        "rest",
+                        Kind.DURATION,
+                        "20ms",
+                        0,
+                        10 * S,
+                        false,
                         "a connection that carried an answer is left alone before the next call")
-                .item("empty", Kind.DURATION, "30s", 1 * S, 60 * MIN, false,
+                .item(
+                        "empty",
+                        Kind.DURATION,
+                        "30s",
+                        1 * S,
+                        60 * MIN,
+                        false,
                         "a destination without endpoints is still taken for one")
                 .table("list", "The list of endpoints")
-                .item("answer", Kind.DURATION, "3s", 100, MIN, false,
+                .item(
+                        "answer",
+                        Kind.DURATION,
+                        "3s",
+                        100,
+                        MIN,
+                        false,
                         "discovery must have begun an answer; after a third of it another call goes beside it")
                 .item("silence", Kind.DURATION, "2.5s", 100, 10 * MIN, false, "a watch that says nothing is dead")
-                .item("line", Kind.SIZE, "4MiB", 64 * KIB, 1 << 30, false,
+                .item(
+                        "line",
+                        Kind.SIZE,
+                        "4MiB",
+                        64 * KIB,
+                        1 << 30,
+                        false,
                         "one object that discovery sends at most; unless it is set, no more than a 32nd of the heap")
                 .table("platform", "Notices to the platform")
                 .item("answer", Kind.DURATION, "1s", 50, MIN, true, "a post without an answer is given up")
-                .item("least", Kind.DURATION, "60ms", 1, 10 * S, true,
+                .item(
+                        "least",
+                        Kind.DURATION,
+                        "60ms",
+                        1,
+                        10 * S,
+                        true,
                         "least time until what an unanswered post carries goes a second time as well")
                 .item("most", Kind.DURATION, "250ms", 1, 10 * S, true, "longest such time")
-                .item("pause", Kind.DURATION, "25ms", 1, 10 * S, true,
+                .item(
+                        "pause",
+                        Kind.DURATION,
+                        "25ms",
+                        1,
+                        10 * S,
+                        true,
                         "first pause after the place has failed; it doubles")
-                .item("urgent_pause", Kind.DURATION, "75ms", 1, 10 * S, true,
+                .item(
+                        "urgent_pause",
+                        Kind.DURATION,
+                        "75ms",
+                        1,
+                        10 * S,
+                        true,
                         "longest such pause while any notice can still be in time")
                 .item("most_pause", Kind.DURATION, "1s", 1, 10 * MIN, true, "longest such pause otherwise")
                 .item("posts", Kind.COUNT, "8", 2, 256, true, "posts that may be out")
                 .table("messages", "Messages that are held")
-                .item("overdue", Kind.DURATION, "150ms", 60, MIN, true,
+                .item(
+                        "overdue",
+                        Kind.DURATION,
+                        "150ms",
+                        60,
+                        MIN,
+                        true,
                         "after its time, a message without an end is given up as lost by a fault of ours")
                 .table("start", "Starts and new configurations")
-                .item("open", Kind.DURATION, "300ms", 0, MIN, false,
+                .item(
+                        "open",
+                        Kind.DURATION,
+                        "300ms",
+                        0,
+                        MIN,
+                        false,
                         "clients wait at most for the notices that a start has taken up")
-                .item("reload", Kind.DURATION, "1s", 0, MIN, true,
+                .item(
+                        "reload",
+                        Kind.DURATION,
+                        "1s",
+                        0,
+                        MIN,
+                        true,
                         "a file that cannot be used is read again after a SIGHUP")
                 .table("drain", "The end after SIGTERM")
                 .item("accept", Kind.DURATION, "450ms", 0, 10 * MIN, false, "connections are still accepted")
@@ -85,33 +175,99 @@
                 .item("end", Kind.DURATION, "3s", 0, 60 * MIN, false, "the process ends at the latest")
                 .table("fleet", "What relays tell each other; off unless the platform allows it too (`limits.peers`)")
                 .item("name", Kind.TEXT, "", 0, 64, false, "name of the fleet, the same at all relays; empty is off")
-                .item("self", Kind.TEXT, "", 0, 64, false,
+                .item(
+                        "self",
+                        Kind.TEXT,
+                        "",
+                        0,
+                        64,
+                        false,
                         "our name among the peers; empty is the relay's name in its configuration")
-                .item("listen", Kind.TEXT, "", 0, 260, false,
+                .item(
+                        "listen",
+                        Kind.TEXT,
+                        "",
+                        0,
+                        260,
+                        false,
                         "where relays reach us as host:port, by UDP and TCP; empty is our address among the peers")
-                .item("peers", Kind.NAMES, "", 0, 1500, false,
+                .item(
+                        "peers",
+                        Kind.NAMES,
+                        "",
+                        0,
+                        1500,
+                        false,
                         "all relays as name=host:port, ours too, in the same order everywhere")
                 .item("voters", Kind.NAMES, "", 0, 5, false, "3 or 5 of them, who decide by majority")
                 .item("hello", Kind.DURATION, "500ms", 20, MIN, false, "pause between hellos")
-                .item("quiet", Kind.DURATION, "3s", 100, 10 * MIN, false,
+                .item(
+                        "quiet",
+                        Kind.DURATION,
+                        "3s",
+                        100,
+                        10 * MIN,
+                        false,
                         "a relay that has heard no majority of the voters for so long uses its cut part only")
                 .item("delay", Kind.DURATION, "1s", 1, MIN, false, "longest time that a note is under way")
                 .item("drift", Kind.SHARE, "1%", 0, 0.1, false, "clocks run faster or slower by so much at most")
-                .item("cut", Kind.SHARE, "50%", 0, 1, false,
+                .item(
+                        "cut",
+                        Kind.SHARE,
+                        "50%",
+                        0,
+                        1,
+                        false,
                         "what a relay may use of its even part where it hears nobody")
-                .item("contract_term", Kind.DURATION, "10s", 1 * S, 60 * MIN, false,
+                .item(
+                        "contract_term",
+                        Kind.DURATION,
+                        "10s",
+                        1 * S,
+                        60 * MIN,
+                        false,
                         "a relay that could not confirm its contracts for so long keeps to the strictest it knows")
-                .item("contracts", Kind.TEXT, "", 0, 1024, false,
+                .item(
+                        "contracts",
+                        Kind.TEXT,
+                        "",
+                        0,
+                        1024,
+                        false,
                         "a file in TOML with the contracts of tenants; empty is none")
-                .item("repeats", Kind.SHARE, "0%", 0, 1, false,
+                .item(
+                        "repeats",
+                        Kind.SHARE,
+                        "0%",
+                        0,
+                        1,
+                        false,
                         "repeats over all relays for each first try to a destination; 0% leaves them unbounded")
                 .item("bookings", Kind.FLAG, "false", 0, 1, false, "teams may book capacity")
-                .item("calendars", Kind.TEXT, "", 0, 1024, false,
+                .item(
+                        "calendars",
+                        Kind.TEXT,
+                        "",
+                        0,
+                        1024,
+                        false,
                         "a file in TOML with the calendars that requests for bookings may repeat by; empty is none")
-                .item("bookable", Kind.SHARE, "30%", 0, 0.9, false,
+                .item(
+                        "bookable",
+                        Kind.SHARE,
+                        "30%",
+                        0,
+                        0.9,
+                        false,
                         "part of a destination's limit that ordinary traffic leaves to bookings")
                 .item("skew", Kind.DURATION, "1s", 0, MIN, false, "wall clocks of relays are off by so much at most")
-                .item("first", Kind.FLAG, "false", 0, 1, false,
+                .item(
+                        "first",
+                        Kind.FLAG,
+                        "false",
+                        0,
+                        1,
+                        false,
                         "true at the very first start of the voters only: their ledger begins empty");
     }
 
@@ -127,7 +283,10 @@
         }
         Schema schema = schema();
         List<Read> sources = List.of(file(env.get(FILE), schema), variables(env, schema), flags(env, schema));
-        List<String> faults = sources.stream().flatMap(r -> r.faults().stream()).map(Object::toString).toList();
+        List<String> faults = sources.stream()
+                .flatMap(r -> r.faults().stream())
+                .map(Object::toString)
+                .toList();
         if (!faults.isEmpty()) {
             throw new ConfigException(faults);
         }
@@ -140,9 +299,12 @@
 
     /** What changes with other values, a line each: from what to what, and whether a running relay takes it over. */
     static List<String> changes(Values before, Values after) {
-        return schema().items().stream().filter(i -> !same(in(before, i), in(after, i))).map(i -> "settings: "
-                + i.path() + " is " + i.write(in(after, i)) + ", was " + i.write(in(before, i))
-                + (i.atReload() ? "" : "; waits for the next start")).toList();
+        return schema().items().stream()
+                .filter(i -> !same(in(before, i), in(after, i)))
+                .map(i -> "settings: "
+                        + i.path() + " is " + i.write(in(after, i)) + ", was " + i.write(in(before, i))
+                        + (i.atReload() ? "" : "; waits for the next start"))
+                .toList();
     }
 
     private static Values.Value in(Values values, Item i) {
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -54,11 +54,11 @@
     private static final int GIVEN_UP = 504;
 
     /** What the list tells of an endpoint: its destination, and the most messages of a call. */
-    private record Place(int destination, int bundleMax) { }
+    private record Place(int destination, int bundleMax) {}
 
-    private record Send(long id, String endpoint, double timeoutMs, boolean last) { }
+    private record Send(long id, String endpoint, double timeoutMs, boolean last) {}
 
-    private record Planned(String endpoint, Item item) { }
+    private record Planned(String endpoint, Item item) {}
 
     private final Config config;
     private volatile Limits limits; // of them a running relay takes over what the schema says
@@ -72,9 +72,9 @@
     private final Controller control;
     private final Fellows fellows;
     private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Place> places = new HashMap<>();         // endpoints by their ids
+    private final Map<String, Place> places = new HashMap<>(); // endpoints by their ids
     private final Map<Integer, Double> destinations = new HashMap<>(); // when each last had an endpoint
-    private final List<Send> sends = new ArrayList<>();           // asked for in this round
+    private final List<Send> sends = new ArrayList<>(); // asked for in this round
     private final Seldom overdues = new Seldom(LOG, Level.SEVERE);
     private final Object reloading = new Object();
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -89,9 +89,9 @@
     private volatile boolean ready;
     private boolean closing; // draining: nothing new is taken, what is held goes on
     private boolean resting; // at the end of that: no further calls, the rest stays stored
-    private boolean late;    // it is time to go, whatever is out
+    private boolean late; // it is time to go, whatever is out
     private boolean parting; // clients' connections are being ended
-    private boolean parted;  // all that they brought has been taken
+    private boolean parted; // all that they brought has been taken
     private volatile boolean over; // no round follows
 
     /** Makes what decides; a test puts a broken one in its place. */
@@ -119,11 +119,19 @@
         endpoints = new Endpoints(wire, limits, loop, new Calls());
         notices = new Notices(wire, limits, loop, config.discovery(), new Random(config.seed()), store::over);
         Listed known = config.known();
-        watch = new Watch(wire, limits, loop, config.discovery(), config.kinds(), config.zones(),
-                known == null ? -1 : known.version(), this::news);
+        watch = new Watch(
+                wire,
+                limits,
+                loop,
+                config.discovery(),
+                config.kinds(),
+                config.zones(),
+                known == null ? -1 : known.version(),
+                this::news);
         clients = new ClientFilter(limits, this);
         control = decisions.of(config.settings(), config.seed(), this);
-        boolean fleet = config.settings().limits().peers() || !own.text("fleet.name", "").isEmpty();
+        boolean fleet = config.settings().limits().peers()
+                || !own.text("fleet.name", "").isEmpty();
         fellows = fleet ? FleetDriver.of(config, own, loop, this) : Fellows.NONE;
     }
 
@@ -257,7 +265,8 @@
     }
 
     private void moved(Config next) {
-        if (!next.limits().equals(config.limits()) || !next.settings().equals(config.settings())
+        if (!next.limits().equals(config.limits())
+                || !next.settings().equals(config.settings())
                 || !next.listen().equals(config.listen())) {
             LOG.warning("configuration read again: limits, settings and listen change with the next start only");
         }
@@ -277,7 +286,8 @@
         for (Store.Open o : kept.left()) {
             Taken t = o.taken();
             if (o.owed() != null) {
-                notices.add(t.id(), t.requestId(), o.owed(), now + limits.notices().returnMs());
+                notices.add(
+                        t.id(), t.requestId(), o.owed(), now + limits.notices().returnMs());
                 continue;
             }
             Integer type = classes.get(t.className());
@@ -288,9 +298,12 @@
                 continue;
             }
             List<Controller.Try> tried = o.tries().stream()
-                    .map(x -> new Controller.Try(x.endpoint(), now + (x.sentAt() - wall), x.maybeRan())).toList();
-            control.taken(now, new Controller.Message(t.id(), type, t.destination(), t.key(), h.deadlineAt, 0,
-                    t.again(), t.fromDead(), tried));
+                    .map(x -> new Controller.Try(x.endpoint(), now + (x.sentAt() - wall), x.maybeRan()))
+                    .toList();
+            control.taken(
+                    now,
+                    new Controller.Message(
+                            t.id(), type, t.destination(), t.key(), h.deadlineAt, 0, t.again(), t.fromDead(), tried));
             bind(t);
         }
     }
@@ -357,7 +370,8 @@
         if (resting || before < returnedAt + limits.notices().returnMs()) {
             return; // the next start's; or what came back with this one is looked at in its first rounds
         }
-        List<Held> overdue = kept.all().stream().filter(h -> h.deadlineAt < before).toList();
+        List<Held> overdue =
+                kept.all().stream().filter(h -> h.deadlineAt < before).toList();
         if (overdue.isEmpty()) {
             return;
         }
@@ -446,12 +460,31 @@
             h.answer(may.status(), may.afterMs(), may.reason());
             return;
         }
-        Taken t = new Taken(kept.nextId(), h.requestId(), c.name(), h.destination(), h.key(),
-                System.currentTimeMillis() + Math.round(h.deadlineAt() - now), h.again(), h.fromDead(), h.body(),
-                fellows.talk() ? h.tenant() : null, fellows.talk() ? h.booking() : null);
+        Taken t = new Taken(
+                kept.nextId(),
+                h.requestId(),
+                c.name(),
+                h.destination(),
+                h.key(),
+                System.currentTimeMillis() + Math.round(h.deadlineAt() - now),
+                h.again(),
+                h.fromDead(),
+                h.body(),
+                fellows.talk() ? h.tenant() : null,
+                fellows.talk() ? h.booking() : null);
         kept.take(t, h);
-        control.taken(now, new Controller.Message(t.id(), h.messageClass(), t.destination(), t.key(),
-                h.deadlineAt(), 0, h.again(), h.fromDead(), List.of()));
+        control.taken(
+                now,
+                new Controller.Message(
+                        t.id(),
+                        h.messageClass(),
+                        t.destination(),
+                        t.key(),
+                        h.deadlineAt(),
+                        0,
+                        h.again(),
+                        h.fromDead(),
+                        List.of()));
         if (may.binds()) {
             control.terms(now, t.id(), may.zones(), may.lane());
         }
@@ -505,8 +538,14 @@
             }
             gone.remove(e.endpoint());
             destinations.put(e.destination(), now);
-            places.put(e.endpoint(), new Place(e.destination(),
-                    kinds.isEmpty() ? 1 : kinds.get(Math.min(e.kind(), kinds.size() - 1)).bundleMax()));
+            places.put(
+                    e.endpoint(),
+                    new Place(
+                            e.destination(),
+                            kinds.isEmpty()
+                                    ? 1
+                                    : kinds.get(Math.min(e.kind(), kinds.size() - 1))
+                                            .bundleMax()));
         }
         // Endpoints and their addresses are ever new: nothing is kept of those that have left.
         endpoints.forget(gone);
@@ -536,8 +575,17 @@
                 continue; // a fault has ended it meanwhile
             }
             int attempt = kept.tries(s.id());
-            planned.add(new Planned(s.endpoint(), new Item(s.id(), attempt, h.taken.requestId(), h.taken.key(),
-                    h.taken.body(), s.timeoutMs(), h.deadlineAt, s.last())));
+            planned.add(new Planned(
+                    s.endpoint(),
+                    new Item(
+                            s.id(),
+                            attempt,
+                            h.taken.requestId(),
+                            h.taken.key(),
+                            h.taken.body(),
+                            s.timeoutMs(),
+                            h.deadlineAt,
+                            s.last())));
             fellows.called(h.taken.destination(), attempt > 0);
         }
         sends.clear();
@@ -585,7 +633,8 @@
         Map<String, List<Item>> batches = new LinkedHashMap<>();
         for (Planned p : planned) {
             List<Item> batch = batches.computeIfAbsent(p.endpoint(), k -> new ArrayList<>());
-            int bytes = p.item().bundled() + batch.stream().mapToInt(Item::bundled).sum();
+            int bytes =
+                    p.item().bundled() + batch.stream().mapToInt(Item::bundled).sum();
             Place place = places.get(p.endpoint());
             int most = place == null ? 1 : place.bundleMax();
             if (batch.size() >= most || !batch.isEmpty() && bytes > limits.maxBody()) {
@@ -640,7 +689,9 @@
             h.client = null;
         } else {
             kept.owed(id, notice);
-            double dueAt = Math.max(h.deadlineAt + limits.notices().dueMs(), returnedAt + limits.notices().returnMs());
+            double dueAt = Math.max(
+                    h.deadlineAt + limits.notices().dueMs(),
+                    returnedAt + limits.notices().returnMs());
             notices.add(id, h.taken.requestId(), notice, dueAt);
         }
     }
--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -27,7 +27,11 @@
     private static final String BOOKINGS = "/-/bookings/";
     private static final Set<String> ASKED = Set.of("GET", "PUT", "DELETE");
 
-    private enum Phase { OPEN, ENDING, CLOSED }
+    private enum Phase {
+        OPEN,
+        ENDING,
+        CLOSED
+    }
 
     private final Connection<?> connection;
     private final Limits limits;
@@ -35,17 +39,17 @@
     private final BooleanSupplier crowded;
     private final HttpParser parser;
     private Phase phase = Phase.OPEN;
-    private boolean answering;     // a request awaits its answer
-    private boolean last;          // no request is taken after this answer
+    private boolean answering; // a request awaits its answer
+    private boolean last; // no request is taken after this answer
     private boolean draining;
-    private boolean served;        // a request has been answered
+    private boolean served; // a request has been answered
     private byte[] backlog = NOTHING;
-    private double quietSince;     // connected, or last answer
-    private double begunAt;        // connected, or first byte of the request that is being read
+    private double quietSince; // connected, or last answer
+    private double begunAt; // connected, or first byte of the request that is being read
     private double endingSince;
-    private int unsent;            // writes that are not with the system yet
-    private int ahead;             // requests behind which more had come already
-    private long discarded;        // bytes that came after a refusal
+    private int unsent; // writes that are not with the system yet
+    private int ahead; // requests behind which more had come already
+    private long discarded; // bytes that came after a refusal
 
     /** @param crowded whether clients hold so many connections that none is to be kept without need */
     ClientConnection(Connection<?> connection, Limits limits, Desk desk, BooleanSupplier crowded) {
@@ -60,7 +64,7 @@
             public void head(Head h) {
                 super.head(h);
                 if (h.lists("expect", "100-continue")) {
-                    write(HttpWriter.answer(100).bare(), () -> { });
+                    write(HttpWriter.answer(100).bare(), () -> {});
                 }
             }
 
@@ -172,14 +176,29 @@
         String addressing = head.header("x-addressing");
         long destination = whole(part(addressing, "dest="));
         boolean badKey = key == null ? type != null && desk.keyed(type) : !word(key);
-        if (id == null || !word(id) || type == null || time < 0 || destination < 0
-                || destination > Integer.MAX_VALUE || badKey) {
+        if (id == null
+                || !word(id)
+                || type == null
+                || time < 0
+                || destination < 0
+                || destination > Integer.MAX_VALUE
+                || badKey) {
             answer(400, 0);
             return;
         }
         String retry = String.valueOf(head.header("client-retry")).trim().toLowerCase(Locale.ROOT);
-        desk.handIn(new HandIn(this, id, type, (int) destination, key, desk.now() + time, retry.equals("1"),
-                retry.equals("again"), body, part(addressing, "tenant="), part(addressing, "booking=")));
+        desk.handIn(new HandIn(
+                this,
+                id,
+                type,
+                (int) destination,
+                key,
+                desk.now() + time,
+                retry.equals("1"),
+                retry.equals("again"),
+                body,
+                part(addressing, "tenant="),
+                part(addressing, "booking=")));
     }
 
     /** What can stand in a line of a call with several messages. */
@@ -200,7 +219,9 @@
 
     /** A whole number, or -1. */
     private static long whole(String text) {
-        if (text == null || text.isEmpty() || text.length() > 15
+        if (text == null
+                || text.isEmpty()
+                || text.length() > 15
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
         }
@@ -255,7 +276,7 @@
             write(bytes, this::finish);
             return;
         }
-        write(bytes, () -> { });
+        write(bytes, () -> {});
         byte[] rest = backlog;
         backlog = NOTHING;
         if (rest.length > 0) {
@@ -265,10 +286,14 @@
 
     private void write(byte[] bytes, Runnable then) {
         unsent++;
-        Wire.write(connection, bytes, () -> {
-            sent();
-            then.run();
-        }, this::close);
+        Wire.write(
+                connection,
+                bytes,
+                () -> {
+                    sent();
+                    then.run();
+                },
+                this::close);
     }
 
     private synchronized void sent() {
@@ -366,7 +391,10 @@
             close();
         } else if (takesTooLong(now)) {
             Wire.between(connection, this::endUnlessWhole);
-        } else if (phase == Phase.OPEN && !answering && served && parser.between()
+        } else if (phase == Phase.OPEN
+                && !answering
+                && served
+                && parser.between()
                 && now - quietSince > limits.clientIdleMs()) {
             leave();
         }
@@ -374,7 +402,9 @@
 
     private boolean takesTooLong(double now) {
         boolean silent = !served && parser.between() && crowded.getAsBoolean();
-        return phase == Phase.OPEN && !answering && (!served || !parser.between())
+        return phase == Phase.OPEN
+                && !answering
+                && (!served || !parser.between())
                 && now - begunAt > (silent ? limits.crowdedMs() : limits.requestMs());
     }
 
@@ -436,8 +466,9 @@
 
     /** Whether a request is being read or answered, or a first one may be on its way. */
     synchronized boolean busy() {
-        return phase == Phase.ENDING || phase == Phase.OPEN && (answering || !parser.between()
-                || !served && desk.now() - begunAt < limits.firstMs());
+        return phase == Phase.ENDING
+                || phase == Phase.OPEN
+                        && (answering || !parser.between() || !served && desk.now() - begunAt < limits.firstMs());
     }
 
     synchronized boolean gone() {
--- a/src/main/java/firstair/relay/clients/ClientFilter.java
+++ b/src/main/java/firstair/relay/clients/ClientFilter.java
@@ -30,8 +30,8 @@
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-        ClientConnection client = new ClientConnection(ctx.getConnection(), limits, desk,
-                () -> open.size() > limits.crowd());
+        ClientConnection client =
+                new ClientConnection(ctx.getConnection(), limits, desk, () -> open.size() > limits.crowd());
         boolean room = open.size() < limits.maxClients() || makeRoom();
         CLIENT.set(ctx.getConnection(), client);
         open.add(client);
--- a/src/main/java/firstair/relay/clients/HandIn.java
+++ b/src/main/java/firstair/relay/clients/HandIn.java
@@ -14,8 +14,18 @@
     private final String tenant;
     private final String booking;
 
-    HandIn(ClientConnection connection, String requestId, int messageClass, int destination, String key,
-            double deadlineAt, boolean again, boolean fromDead, byte[] body, String tenant, String booking) {
+    HandIn(
+            ClientConnection connection,
+            String requestId,
+            int messageClass,
+            int destination,
+            String key,
+            double deadlineAt,
+            boolean again,
+            boolean fromDead,
+            byte[] body,
+            String tenant,
+            String booking) {
         this.connection = connection;
         this.requestId = requestId;
         this.messageClass = messageClass;
--- a/src/main/java/firstair/relay/discovery/JsonObjects.java
+++ b/src/main/java/firstair/relay/discovery/JsonObjects.java
@@ -18,11 +18,11 @@
     private final int most;
     private final Consumer<String> each;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
-    private int depth;       // braces and brackets that are open, 0 between objects
-    private long brackets;   // a bit for each of them, the innermost lowest: set for a bracket
+    private int depth; // braces and brackets that are open, 0 between objects
+    private long brackets; // a bit for each of them, the innermost lowest: set for a bracket
     private boolean inText;
     private boolean escaped; // behind a backslash
-    private byte before;     // last byte of the object that is no white space
+    private byte before; // last byte of the object that is no white space
 
     /** @param most bytes of an object at most */
     JsonObjects(int most, Consumer<String> each) {
--- a/src/main/java/firstair/relay/discovery/Listed.java
+++ b/src/main/java/firstair/relay/discovery/Listed.java
@@ -56,10 +56,13 @@
                     addresses.put(id, HostPort.parse(member(o, "addr").getAsString()));
                 }
                 int kind = o.has("kind") ? kinds.indexOf(o.get("kind").getAsString()) : 0;
-                entries.add(new Entry(id, member(o, "cell").getAsInt(),
+                entries.add(new Entry(
+                        id,
+                        member(o, "cell").getAsInt(),
                         kind < 0 ? Math.max(0, kinds.size() - 1) : kind,
                         o.has("zone") ? zones.number(o.get("zone").getAsString()) : 0,
-                        o.has("weight") ? weight(o.get("weight").getAsDouble()) : 1, state));
+                        o.has("weight") ? weight(o.get("weight").getAsDouble()) : 1,
+                        state));
             }
             boolean full = !object.has("full") || object.get("full").getAsBoolean();
             return new Listed(member(object, "version").getAsLong(), full, entries, addresses);
@@ -70,8 +73,8 @@
 
     private static IllegalArgumentException bad(String what, Exception e) {
         String why = String.valueOf(e.getMessage());
-        return new IllegalArgumentException(what + (why.length() <= MOST_CHARS ? why
-                : why.substring(0, MOST_CHARS) + "...").replaceAll("\\s+", " "));
+        return new IllegalArgumentException(what
+                + (why.length() <= MOST_CHARS ? why : why.substring(0, MOST_CHARS) + "...").replaceAll("\\s+", " "));
     }
 
     /** A weight that no endpoint can have would stop all calls, or pace none. */
--- a/src/main/java/firstair/relay/discovery/Watch.java
+++ b/src/main/java/firstair/relay/discovery/Watch.java
@@ -45,8 +45,15 @@
     private boolean lost; // and told so in the log
 
     /** @param version version of the list held, or -1 */
-    public Watch(Dialer dialer, Limits limits, Loop loop, InetSocketAddress address, List<String> kinds,
-            Zones zones, long version, Listener listener) {
+    public Watch(
+            Dialer dialer,
+            Limits limits,
+            Loop loop,
+            InetSocketAddress address,
+            List<String> kinds,
+            Zones zones,
+            long version,
+            Listener listener) {
         this.dialer = dialer;
         this.limits = limits;
         this.loop = loop;
@@ -167,12 +174,12 @@
 
         void start() {
             String target = watching ? PATH + "?follow=1&since=" + version : PATH;
-            byte[] request = HttpWriter.request("GET", target, HostPort.of(address))
-                    .bare();
+            byte[] request =
+                    HttpWriter.request("GET", target, HostPort.of(address)).bare();
             // First the time-outs, then what may fail: a call that could not be opened must not be waited for for ever.
             loop.after(limits.listWaitMs(), () -> waited(!begun, "no answer yet"));
             loop.after(Math.min(limits.listSilenceMs(), limits.listAnswerMs()), this::check);
-            link = dialer.open(address, Long.MAX_VALUE, request, this, () -> { });
+            link = dialer.open(address, Long.MAX_VALUE, request, this, () -> {});
         }
 
         private void waited(boolean still, String what) {
@@ -220,8 +227,7 @@
                 if (objects.amid() && Double.isNaN(objectAt)) {
                     double began = loop.now();
                     objectAt = began;
-                    loop.post(() -> loop.after(limits.listWaitMs(),
-                            () -> waited(objectAt == began, "half an object")));
+                    loop.post(() -> loop.after(limits.listWaitMs(), () -> waited(objectAt == began, "half an object")));
                 }
             } catch (IllegalArgumentException e) {
                 loop.post(() -> failed(this, e.getMessage()));
--- a/src/main/java/firstair/relay/endpoints/Answers.java
+++ b/src/main/java/firstair/relay/endpoints/Answers.java
@@ -17,9 +17,9 @@
     private static final double MS_PER_S = 1000;
 
     /** How an attempt ended, and whether the message ended with it. */
-    record End(Result result, boolean over) { }
+    record End(Result result, boolean over) {}
 
-    private Answers() { }
+    private Answers() {}
 
     /**
      * The meaning of a status for all messages of a call; null for the answer that tells each one's end.
@@ -47,8 +47,10 @@
      * wait nor its limit, which it has not looked at. Taken for a refused call, it would slow down all that are served.
      */
     private static boolean atTheDoor(Head head) {
-        return head.status() == 503 && "close".equalsIgnoreCase(head.header("connection"))
-                && head.header("retry-after") == null && head.header("server-load") == null
+        return head.status() == 503
+                && "close".equalsIgnoreCase(head.header("connection"))
+                && head.header("retry-after") == null
+                && head.header("server-load") == null
                 && head.header("x-over-slots") == null;
     }
 
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -44,9 +44,9 @@
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
     private final List<Call> calls = new ArrayList<>(); // out
-    private final List<Call> up = new ArrayList<>();    // of them, such that have a connection and are not written
+    private final List<Call> up = new ArrayList<>(); // of them, such that have a connection and are not written
 
-    private record Idle(Link link, double since) { }
+    private record Idle(Link link, double since) {}
 
     /** Who hears of calls. */
     public interface Told {
@@ -54,10 +54,10 @@
         void ended(Outcome outcome);
 
         /** A wait was read at a moment, of an answer that may never be whole, to a call with such an attempt. */
-        default void waits(double at, String endpoint, long id, int attempt, double waitMs) { }
+        default void waits(double at, String endpoint, long id, int attempt, double waitMs) {}
 
         /** A message that was {@link #ready} has not been written: its connection was dead. It may be ready again. */
-        default void unwritten(long id, int attempt) { }
+        default void unwritten(long id, int attempt) {}
     }
 
     /** Who decides whether a message goes, and with how much time; see {@link firstair.control.Controller#mayGo}. */
@@ -166,7 +166,7 @@
             }
         }
         double oldest = loop.now() - limits.idleMs();
-        for (Iterator<ArrayDeque<Idle>> all = idle.values().iterator(); all.hasNext();) {
+        for (Iterator<ArrayDeque<Idle>> all = idle.values().iterator(); all.hasNext(); ) {
             ArrayDeque<Idle> kept = all.next();
             while (!kept.isEmpty() && kept.peekFirst().since() <= oldest) {
                 kept.pollFirst().link().leave();
@@ -181,7 +181,8 @@
     private void makeRoom() {
         int kept = idle.values().stream().mapToInt(ArrayDeque::size).sum();
         while (kept > 0 && kept + calls.size() > limits.maxLinks()) {
-            idle.values().stream().filter(q -> !q.isEmpty())
+            idle.values().stream()
+                    .filter(q -> !q.isEmpty())
                     .min(Comparator.comparingDouble(q -> q.peekFirst().since()))
                     .ifPresent(q -> q.pollFirst().link().leave());
             kept--;
@@ -197,7 +198,7 @@
         private final List<Loop.Timer> timers = new ArrayList<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private Set<String> ids = Set.of(); // all that it was written with
-        private boolean bundle;             // it was written with several
+        private boolean bundle; // it was written with several
         private double timeoutMs; // of all its messages, from its write on
         private double latestAt; // by then its own timers have ended it
         private Link link; // that carries it or is to, null until there is one
@@ -225,7 +226,8 @@
 
         /** How long the answer to a request that is written now is waited for: no message of it outlives the call. */
         private double patience(double now) {
-            double least = items.stream().mapToDouble(i -> i.deadlineAt() - now).min().orElse(0);
+            double least =
+                    items.stream().mapToDouble(i -> i.deadlineAt() - now).min().orElse(0);
             return Math.max(1, Math.min(timeoutMs, least));
         }
 
@@ -243,10 +245,12 @@
 
         /** While nothing of it is written, a message whose own time is up leaves the others alone. */
         private void limitUnwritten(double now) {
-            double longest = items.stream().mapToDouble(i -> i.deadlineAt() - now).max().orElse(0);
+            double longest =
+                    items.stream().mapToDouble(i -> i.deadlineAt() - now).max().orElse(0);
             limit(now, Math.max(1, Math.min(timeoutMs, longest)));
             for (Item i : items.size() > 1 ? items : List.<Item>of()) {
-                timers.add(loop.after(Math.max(1, i.deadlineAt() - now),
+                timers.add(loop.after(
+                        Math.max(1, i.deadlineAt() - now),
                         () -> end(i, new Answers.End(Result.CONNECT_FAILED, false), 0, Load.NONE)));
             }
         }
@@ -268,7 +272,7 @@
             double now = loop.now();
             ArrayDeque<Idle> kept = idle.getOrDefault(endpoint, new ArrayDeque<>());
             Idle rests = null;
-            for (Iterator<Idle> all = kept.descendingIterator(); all.hasNext();) {
+            for (Iterator<Idle> all = kept.descendingIterator(); all.hasNext(); ) {
                 Idle last = all.next();
                 if (now - last.since() < limits.restMs()) {
                     rests = last; // what is still to come behind its last answer must not be taken for the next one
@@ -341,7 +345,7 @@
             for (Item i : List.copyOf(items)) {
                 if (!isNoted.test(i.id())) {
                     end(i, new Answers.End(Result.NOT_SENT, false), 0, Load.NONE);
-                    loop.post(() -> { }); // decisions come in the next round
+                    loop.post(() -> {}); // decisions come in the next round
                 }
             }
             if (over) {
@@ -479,7 +483,10 @@
             }
             boolean delivered = expired ? settled : firstLineDelivers();
             for (Item i : List.copyOf(items)) {
-                end(i, delivered ? new Answers.End(Result.OK, true) : new Answers.End(result, false), waitMs,
+                end(
+                        i,
+                        delivered ? new Answers.End(Result.OK, true) : new Answers.End(result, false),
+                        waitMs,
                         head == null ? Load.NONE : Answers.load(head));
             }
         }
@@ -554,8 +561,8 @@
                     link.leave();
                 }
             }
-            told.ended(new Outcome(i.id(), i.attempt(), endpoint, result, loop.now() - startedAt,
-                    written && how.over(), wait, load));
+            told.ended(new Outcome(
+                    i.id(), i.attempt(), endpoint, result, loop.now() - startedAt, written && how.over(), wait, load));
         }
 
         /** Keeps its connection for a further call, if the endpoint is still there. */
--- a/src/main/java/firstair/relay/endpoints/Item.java
+++ b/src/main/java/firstair/relay/endpoints/Item.java
@@ -10,8 +10,15 @@
  * @param deadlineAt end of the message's time, on the loop's clock
  * @param last       whether the connection is not to be kept after the call
  */
-public record Item(long id, int attempt, String requestId, String key, byte[] body, double timeoutMs,
-        double deadlineAt, boolean last) {
+public record Item(
+        long id,
+        int attempt,
+        String requestId,
+        String key,
+        byte[] body,
+        double timeoutMs,
+        double deadlineAt,
+        boolean last) {
 
     /** Its bytes in a call with several messages. */
     public int bundled() {
--- a/src/main/java/firstair/relay/fleet/CalendarFile.java
+++ b/src/main/java/firstair/relay/fleet/CalendarFile.java
@@ -16,10 +16,10 @@
 
 /** The file with the calendars that requests for bookings may repeat by: a {@code [[calendar]]} each. */
 final class CalendarFile {
-    private static final Set<String> FIELDS = new TreeSet<>(List.of("name", "zone", "countries", "weekend", "closed",
-            "opens", "closes", "cut_off"));
+    private static final Set<String> FIELDS =
+            new TreeSet<>(List.of("name", "zone", "countries", "weekend", "closed", "opens", "closes", "cut_off"));
 
-    private CalendarFile() { }
+    private CalendarFile() {}
 
     /**
      * The calendars by name; no path is none.
@@ -50,11 +50,15 @@
                 throw new Fault.BadCalendar(name, "no field " + field + ", there are " + String.join(", ", FIELDS));
             }
         }
-        return new Calendar.Terms(name, String.valueOf(table.getOrDefault("zone", "UTC")),
+        return new Calendar.Terms(
+                name,
+                String.valueOf(table.getOrDefault("zone", "UTC")),
                 List.copyOf(each(name, table, "countries", c -> c)),
                 each(name, table, "weekend", d -> DayOfWeek.valueOf(d.toUpperCase(Locale.ROOT))),
-                each(name, table, "closed", LocalDate::parse), time(name, table, "opens", LocalTime.MIDNIGHT),
-                time(name, table, "closes", LocalTime.MIDNIGHT), time(name, table, "cut_off", LocalTime.MAX));
+                each(name, table, "closed", LocalDate::parse),
+                time(name, table, "opens", LocalTime.MIDNIGHT),
+                time(name, table, "closes", LocalTime.MIDNIGHT),
+                time(name, table, "cut_off", LocalTime.MAX));
     }
 
     private static <T> Set<T> each(String name, Map<String, Object> table, String field, Function<String, T> read) {
--- a/src/main/java/firstair/relay/fleet/FleetConfig.java
+++ b/src/main/java/firstair/relay/fleet/FleetConfig.java
@@ -28,8 +28,13 @@
  * @param calendars      by which requests for bookings may repeat, by name
  * @param first          whether this is the very first start of the fleet's voters
  */
-public record FleetConfig(Setup setup, InetSocketAddress listen, Map<String, InetSocketAddress> addresses,
-        Sharing sharing, Map<String, Calendar> calendars, boolean first) {
+public record FleetConfig(
+        Setup setup,
+        InetSocketAddress listen,
+        Map<String, InetSocketAddress> addresses,
+        Sharing sharing,
+        Map<String, Calendar> calendars,
+        boolean first) {
 
     private static final Logger LOG = Logger.getLogger(FleetConfig.class.getName());
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
@@ -45,8 +50,12 @@
         boolean named = !own.text("fleet.name", "").isEmpty();
         boolean allowed = config.settings().limits().peers();
         if (named != allowed) {
-            LOG.info(named ? "fleet.name is set, but the platform's settings say limits.peers = false: the fleet is off"
-                    : "the platform's settings say limits.peers = true, but no fleet.name is set: the fleet is off");
+            LOG.info(
+                    named
+                            ? "fleet.name is set, but the platform's settings say limits.peers = false: "
+                                    + "the fleet is off"
+                            : "the platform's settings say limits.peers = true, but no fleet.name is set: "
+                                    + "the fleet is off");
         }
         if (!named || !allowed) {
             return null;
@@ -70,32 +79,56 @@
         Map<String, InetSocketAddress> addresses = peers(own.names("fleet.peers"));
         List<String> members = List.copyOf(addresses.keySet());
         int group = config.settings().group();
-        require(members.size() >= group, "fleet.peers",
+        require(
+                members.size() >= group,
+                "fleet.peers",
                 members.size() + " relays, but the platform runs " + group + " (groupSize): they would send too much");
         String self = own.text("fleet.self", "");
         self = self.isEmpty() ? config.name() : self;
         require(addresses.containsKey(self), "fleet.self", self + " is not among fleet.peers");
         List<String> voters = voters(own.names("fleet.voters"), members);
-        Setup setup = new Setup(fleet, self, config.zones().name(config.settings().zone()), members, voters,
-                own.number("fleet.hello", 500), own.number("fleet.quiet", 3000), own.number("fleet.delay", 1000),
-                own.number("fleet.drift", 0.01), own.number("fleet.cut", 0.5));
-        require(setup.quietMs() >= HELLOS * setup.helloMs(), "fleet.quiet",
+        Setup setup = new Setup(
+                fleet,
+                self,
+                config.zones().name(config.settings().zone()),
+                members,
+                voters,
+                own.number("fleet.hello", 500),
+                own.number("fleet.quiet", 3000),
+                own.number("fleet.delay", 1000),
+                own.number("fleet.drift", 0.01),
+                own.number("fleet.cut", 0.5));
+        require(
+                setup.quietMs() >= HELLOS * setup.helloMs(),
+                "fleet.quiet",
                 "less than " + HELLOS + " times fleet.hello");
         require(setup.quietMs() > setup.delayMs(), "fleet.quiet", "not more than fleet.delay");
         String text = own.text("fleet.listen", "");
         InetSocketAddress listen = text.isEmpty() ? addresses.get(self) : address("fleet.listen", text);
         require(!listen.isUnresolved(), "fleet.listen", "no such host: " + listen.getHostString());
         Sharing sharing = sharing(own, config);
-        return new FleetConfig(setup, listen, addresses, sharing,
-                CalendarFile.read(own.text("fleet.calendars", "")), own.flag("fleet.first", false));
+        return new FleetConfig(
+                setup,
+                listen,
+                addresses,
+                sharing,
+                CalendarFile.read(own.text("fleet.calendars", "")),
+                own.flag("fleet.first", false));
     }
 
     private static Sharing sharing(Values own, Config config) {
-        ContractFile file = ContractFile.read(own.text("fleet.contracts", ""), config.zones().names());
+        ContractFile file = ContractFile.read(
+                own.text("fleet.contracts", ""), config.zones().names());
         boolean bookings = own.flag("fleet.bookings", false);
-        return new Sharing(own.number("fleet.repeats", 0), file.contracts(), file.version(), file.given(),
-                own.number("fleet.contract_term", 10_000), bookings,
-                own.number("fleet.bookable", 0.3), own.number("fleet.skew", 1000));
+        return new Sharing(
+                own.number("fleet.repeats", 0),
+                file.contracts(),
+                file.version(),
+                file.given(),
+                own.number("fleet.contract_term", 10_000),
+                bookings,
+                own.number("fleet.bookable", 0.3),
+                own.number("fleet.skew", 1000));
     }
 
     private static Map<String, InetSocketAddress> peers(List<String> texts) {
@@ -105,7 +138,8 @@
             int equals = text.indexOf('=');
             String name = equals < 0 ? "" : text.substring(0, equals).strip();
             require(NAME.matcher(name).matches(), "fleet.peers", "not name=host:port: " + text);
-            InetSocketAddress at = address("fleet.peers", text.substring(equals + 1).strip());
+            InetSocketAddress at =
+                    address("fleet.peers", text.substring(equals + 1).strip());
             require(all.put(name, at) == null, "fleet.peers", name + " stands there twice");
             String other = taken.put(HostPort.of(at), name);
             require(other == null, "fleet.peers", name + " and " + other + " have one address");
--- a/src/main/java/firstair/relay/fleet/FleetDriver.java
+++ b/src/main/java/firstair/relay/fleet/FleetDriver.java
@@ -89,13 +89,32 @@
         zones = relay.zones();
         String self = config.setup().self();
         boolean votes = config.sharing().agrees() && config.setup().voters().contains(self);
-        ledger = votes ? LedgerFile.open(relay.state(), config.setup().fleet(), self, config.setup().voters(),
-                config.first(), LEDGER_BYTES) : null;
+        ledger = votes
+                ? LedgerFile.open(
+                        relay.state(),
+                        config.setup().fleet(),
+                        self,
+                        config.setup().voters(),
+                        config.first(),
+                        LEDGER_BYTES)
+                : null;
         LedgerMemory memory = ledger == null ? null : ledger.memory();
-        fleet = new Fleet(config.setup(), config.sharing(), incarnation(relay.state()), relay.seed(), memory, ledger,
-                loop.now(), System.currentTimeMillis(), this);
-        wire = new PeerWire(loop, config.listen(), config.addresses(),
-                PeerWire.Bounds.of(config.setup().members().size()), this::bytes);
+        fleet = new Fleet(
+                config.setup(),
+                config.sharing(),
+                incarnation(relay.state()),
+                relay.seed(),
+                memory,
+                ledger,
+                loop.now(),
+                System.currentTimeMillis(),
+                this);
+        wire = new PeerWire(
+                loop,
+                config.listen(),
+                config.addresses(),
+                PeerWire.Bounds.of(config.setup().members().size()),
+                this::bytes);
     }
 
     /** Higher than that of the process before, also where the wall clock has gone back meanwhile. */
@@ -239,7 +258,8 @@
                 numbers.add(zones.number(zone));
             }
         }
-        return numbers == null && terms.lane() == null ? Admission.FREE
+        return numbers == null && terms.lane() == null
+                ? Admission.FREE
                 : new Admission(0, 0, null, numbers, terms.lane());
     }
 
@@ -255,9 +275,17 @@
 
     @Override
     public void ended(int destination, Outcome o) {
-        boolean failed = o.result() == Result.ERROR || o.result() == Result.TIMEOUT || o.result() == Result.RESET
+        boolean failed = o.result() == Result.ERROR
+                || o.result() == Result.TIMEOUT
+                || o.result() == Result.RESET
                 || o.result() == Result.CONNECT_FAILED;
-        fleet.ended(loop.now(), destination, o.endpoint(), o.result() == Result.OK, failed, o.waitMs(),
+        fleet.ended(
+                loop.now(),
+                destination,
+                o.endpoint(),
+                o.result() == Result.OK,
+                failed,
+                o.waitMs(),
                 o.load().limitPerS());
     }
 
@@ -325,8 +353,8 @@
     private static byte[] text(Ask ask) {
         JsonObject o = new JsonObject();
         try {
-            JsonElement read = ask.body().length == 0 ? o
-                    : JsonParser.parseString(new String(ask.body(), StandardCharsets.UTF_8));
+            JsonElement read =
+                    ask.body().length == 0 ? o : JsonParser.parseString(new String(ask.body(), StandardCharsets.UTF_8));
             if (!read.isJsonObject()) {
                 throw new Fault.BadRequest("body", "no JSON object");
             }
@@ -343,8 +371,8 @@
         return o.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static final Set<String> NAMELESS = Set.of("\"limit\"", "\"set-team\"", "\"set-destination\"",
-            "\"set-rules\"");
+    private static final Set<String> NAMELESS =
+            Set.of("\"limit\"", "\"set-team\"", "\"set-destination\"", "\"set-rules\"");
 
     private static void answer(Ask ask, firstair.fleet.ledger.Outcome outcome) {
         if (outcome instanceof firstair.fleet.ledger.Outcome.Agreed agreed) {
@@ -359,7 +387,9 @@
 
     private static void answer(Ask ask, Fault fault) {
         double after = fault instanceof Fault.NotNow n ? n.afterMs() : 0;
-        ask.answer(fault instanceof Fault.NotNow ? NOT_NOW : status(fault.code()), after,
+        ask.answer(
+                fault instanceof Fault.NotNow ? NOT_NOW : status(fault.code()),
+                after,
                 json(fault.code(), fault.getMessage(), fault.step()));
     }
 
--- a/src/main/java/firstair/relay/fleet/PeerWire.java
+++ b/src/main/java/firstair/relay/fleet/PeerWire.java
@@ -51,14 +51,35 @@
      * @param againMs     after a connection that did not come up, until the next one
      * @param connections accepted connections
      */
-    public record Bounds(int datagram, int frame, int datagrams, int frames, long frameBytes, int round,
-            long peerBytes, long allBytes, double stuckMs, double idleMs, double againMs, int connections) {
+    public record Bounds(
+            int datagram,
+            int frame,
+            int datagrams,
+            int frames,
+            long frameBytes,
+            int round,
+            long peerBytes,
+            long allBytes,
+            double stuckMs,
+            double idleMs,
+            double againMs,
+            int connections) {
 
         /** Bounds for a fleet of so many relays. */
         public static Bounds of(int members) {
             // All may speak at the same moment; the bytes of frames are bounded whatever their number.
-            return new Bounds(DATAGRAM, 1 << 20, Math.max(1024, 4 * members), Math.max(64, members), 2 << 20, 32,
-                    2 << 20, 4 << 20, 5000, 60_000, 1000,
+            return new Bounds(
+                    DATAGRAM,
+                    1 << 20,
+                    Math.max(1024, 4 * members),
+                    Math.max(64, members),
+                    2 << 20,
+                    32,
+                    2 << 20,
+                    4 << 20,
+                    5000,
+                    60_000,
+                    1000,
                     2 * members + 8); // a peer that starts anew may have one connection of before
         }
     }
@@ -74,8 +95,8 @@
      * @param flooded       those of them that were dropped because too many wait for the loop
      * @param garbage       what came and can be no datagram or frame of a relay
      */
-    public record Counts(long sent, long sentBytes, long unsent, long received, long receivedBytes, long flooded,
-            long garbage) { }
+    public record Counts(
+            long sent, long sentBytes, long unsent, long received, long receivedBytes, long flooded, long garbage) {}
 
     private final Loop loop;
     private final Bounds bounds;
@@ -101,8 +122,9 @@
      * @param peers  where others are, by their names
      * @throws IOException if the address cannot be had
      */
-    public PeerWire(Loop loop, InetSocketAddress listen, Map<String, InetSocketAddress> peers, Bounds bounds,
-            Listener listener) throws IOException {
+    public PeerWire(
+            Loop loop, InetSocketAddress listen, Map<String, InetSocketAddress> peers, Bounds bounds, Listener listener)
+            throws IOException {
         this.loop = loop;
         this.bounds = bounds;
         this.listener = listener;
@@ -112,8 +134,11 @@
         Datagrams udp = null;
         Frames tcp = null;
         for (int tries = 1; udp == null; tries++) {
-            tcp = new Frames(THREAD, listen, new Frames.Bounds(bounds.frame(), bounds.frameBytes(),
-                    bounds.connections()), large);
+            tcp = new Frames(
+                    THREAD,
+                    listen,
+                    new Frames.Bounds(bounds.frame(), bounds.frameBytes(), bounds.connections()),
+                    large);
             try {
                 udp = new Datagrams(THREAD, tcp.address(), bounds.datagram(), small);
             } catch (IOException e) {
@@ -144,7 +169,10 @@
             peers.values().forEach(p -> p.sweep(now));
         }
         Peer peer = peers.get(to);
-        boolean taken = peer != null && bytes.length > 0 && bytes.length <= bounds.frame() && peer.found(now)
+        boolean taken = peer != null
+                && bytes.length > 0
+                && bytes.length <= bounds.frame()
+                && peer.found(now)
                 && (bytes.length <= bounds.datagram() ? datagrams.send(peer.address, bytes) : peer.frame(bytes, now));
         if (taken) {
             sent.increment();
@@ -156,8 +184,14 @@
 
     /** What went on so far; on any thread. */
     public Counts counts() {
-        return new Counts(sent.sum(), sentBytes.sum(), unsent.sum(), received.sum(), receivedBytes.sum(),
-                flooded.sum(), garbage.sum());
+        return new Counts(
+                sent.sum(),
+                sentBytes.sum(),
+                unsent.sum(),
+                received.sum(),
+                receivedBytes.sum(),
+                flooded.sum(),
+                garbage.sum());
     }
 
     /**
@@ -195,10 +229,12 @@
             if (!looking && now >= lookAt) {
                 looking = true;
                 lookAt = now + LOOKUP_MS;
-                Thread lookup = new Thread(() -> {
-                    address = new InetSocketAddress(address.getHostString(), address.getPort());
-                    looking = false;
-                }, THREAD + "-lookup");
+                Thread lookup = new Thread(
+                        () -> {
+                            address = new InetSocketAddress(address.getHostString(), address.getPort());
+                            looking = false;
+                        },
+                        THREAD + "-lookup");
                 lookup.setDaemon(true);
                 lookup.start();
             }
@@ -214,7 +250,8 @@
                 pipe = frames.open(address);
             }
             return pipe.waiting() + bytes.length <= bounds.peerBytes()
-                    && waiting() + bytes.length <= bounds.allBytes() && pipe.send(bytes);
+                    && waiting() + bytes.length <= bounds.allBytes()
+                    && pipe.send(bytes);
         }
 
         /** Leaves a connection that has ended, is stuck, or that nobody needs. */
@@ -239,7 +276,9 @@
     }
 
     private long waiting() {
-        return peers.values().stream().mapToLong(p -> p.pipe == null ? 0 : p.pipe.waiting()).sum();
+        return peers.values().stream()
+                .mapToLong(p -> p.pipe == null ? 0 : p.pipe.waiting())
+                .sum();
     }
 
     /** What has come and waits for the loop. */
--- a/src/main/java/firstair/relay/http/Bundles.java
+++ b/src/main/java/firstair/relay/http/Bundles.java
@@ -23,7 +23,7 @@
         }
     }
 
-    private Bundles() { }
+    private Bundles() {}
 
     /** The body of a call with several messages. */
     public static byte[] write(List<Part> parts) {
--- a/src/main/java/firstair/relay/http/HttpParser.java
+++ b/src/main/java/firstair/relay/http/HttpParser.java
@@ -11,15 +11,18 @@
  */
 public final class HttpParser {
     /** What is parsed. */
-    public enum Kind { REQUEST, ANSWER }
+    public enum Kind {
+        REQUEST,
+        ANSWER
+    }
 
     /** Gets the parts of a message as they come. */
     public interface Sink {
         /** The first line of an answer that is no interim one: so much is sure, whatever follows. */
-        default void first(int status) { }
+        default void first(int status) {}
 
         /** A header line of an answer that is no interim one, its name in lower case: sure, whatever follows. */
-        default void field(String name, String value) { }
+        default void field(String name, String value) {}
 
         /** Start line and headers are there. */
         void head(Head head) throws HttpException;
@@ -31,10 +34,19 @@
         void end() throws HttpException;
     }
 
-    private enum State { START, HEADERS, FIXED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, TO_CLOSE }
+    private enum State {
+        START,
+        HEADERS,
+        FIXED,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        TO_CLOSE
+    }
 
     private static final int FIRST_LINE_BYTES = 256;
-    private static final int EMPTY_LINES = 2;       // before a request; a peer that sends more says nothing
+    private static final int EMPTY_LINES = 2; // before a request; a peer that sends more says nothing
     private static final byte[] ANSWER_BEGINS = {'H', 'T', 'T', 'P', '/', '1', '.'};
 
     private final Kind kind;
@@ -308,7 +320,6 @@
 
     /** Whether a text is a token of RFC 9110. */
     private static boolean token(String text) {
-        return !text.isEmpty() && text.chars().allMatch(c -> c > 32 && c < 127
-                && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
+        return !text.isEmpty() && text.chars().allMatch(c -> c > 32 && c < 127 && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
     }
 }
--- a/src/main/java/firstair/relay/net/Datagrams.java
+++ b/src/main/java/firstair/relay/net/Datagrams.java
@@ -38,13 +38,18 @@
                 .setName(thread)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
                 .setSelectorRunnersCount(1)
-                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName(thread).setDaemon(true)
-                        .setCorePoolSize(1).setMaxPoolSize(1))
+                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig()
+                        .setPoolName(thread)
+                        .setDaemon(true)
+                        .setCorePoolSize(1)
+                        .setMaxPoolSize(1))
                 .setReadBufferSize(most + 1) // what is longer is cut by the system, and shows by this one byte
-                .setReuseAddress(false)      // two processes must not share a port
+                .setReuseAddress(false) // two processes must not share a port
                 .build();
-        transport.setProcessor(FilterChainBuilder.stateless().add(new TransportFilter())
-                .add(new Arrivals(most, inbox)).build());
+        transport.setProcessor(FilterChainBuilder.stateless()
+                .add(new TransportFilter())
+                .add(new Arrivals(most, inbox))
+                .build());
         try {
             transport.start();
             channel = (DatagramChannel) ((NIOConnection) transport.bind(at)).getChannel();
--- a/src/main/java/firstair/relay/net/Frames.java
+++ b/src/main/java/firstair/relay/net/Frames.java
@@ -39,7 +39,7 @@
      * @param begun       bytes of frames that have come in part, over all connections
      * @param connections accepted connections; for one more, the one that has said nothing for longest is closed
      */
-    public record Bounds(int frame, long begun, int connections) { }
+    public record Bounds(int frame, long begun, int connections) {}
 
     private final TCPNIOTransport transport;
     private final FilterChain outgoing;
@@ -56,8 +56,11 @@
                 .setName(thread)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
                 .setSelectorRunnersCount(1)
-                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName(thread).setDaemon(true)
-                        .setCorePoolSize(1).setMaxPoolSize(1))
+                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig()
+                        .setPoolName(thread)
+                        .setDaemon(true)
+                        .setCorePoolSize(1)
+                        .setMaxPoolSize(1))
                 .setTcpNoDelay(true)
                 .setKeepAlive(true)
                 .setReuseAddress(true)
@@ -66,7 +69,10 @@
         try {
             transport.start();
             address = (InetSocketAddress) TCPNIOBindingHandler.builder(transport)
-                    .processor(chain(new Incoming(bounds, inbox))).build().bind(at).getLocalAddress();
+                    .processor(chain(new Incoming(bounds, inbox)))
+                    .build()
+                    .bind(at)
+                    .getLocalAddress();
         } catch (IOException | RuntimeException e) {
             transport.shutdownNow();
             throw e;
@@ -74,7 +80,10 @@
     }
 
     private static FilterChain chain(Filter filter) {
-        return FilterChainBuilder.stateless().add(new TransportFilter()).add(filter).build();
+        return FilterChainBuilder.stateless()
+                .add(new TransportFilter())
+                .add(filter)
+                .build();
     }
 
     /** Where it listens. */
@@ -90,7 +99,10 @@
     /** Opens a connection for a {@link Pipe}. */
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     GrizzlyFuture<Connection> connect(InetSocketAddress to) {
-        return TCPNIOConnectorHandler.builder(transport).processor(outgoing).build().connect(to);
+        return TCPNIOConnectorHandler.builder(transport)
+                .processor(outgoing)
+                .build()
+                .connect(to);
     }
 
     /** Makes a connection known as the one of a pipe. */
@@ -126,6 +138,7 @@
         private final Inbox inbox;
         /** The one that has said nothing for longest comes first. */
         private final Map<Connection<?>, Intake> open = new LinkedHashMap<>(16, 0.75f, true);
+
         private long begun;
 
         Incoming(Bounds bounds, Inbox inbox) {
--- a/src/main/java/firstair/relay/net/HttpLink.java
+++ b/src/main/java/firstair/relay/net/HttpLink.java
@@ -16,12 +16,21 @@
 final class HttpLink implements Link {
     private static final Seldom FAULTS = new Seldom(Logger.getLogger(HttpLink.class.getName()), Level.SEVERE);
 
-    private enum Phase { CONNECTING, UP, WRITING, WAITING, IDLE, CLOSED } // UP: nothing has been sent on it yet
+    private enum Phase {
+        CONNECTING,
+        UP,
+        WRITING,
+        WAITING,
+        IDLE,
+        CLOSED
+    } // UP: nothing has been sent on it yet
 
     private final HttpParser parser;
     private final Runnable closedIdle;
+
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     private final GrizzlyFuture<Connection> opening;
+
     private Connection<?> connection;
     private Phase phase = Phase.CONNECTING;
     private Exchange exchange;
@@ -31,7 +40,13 @@
     private boolean halted;
 
     /** Opens a connection, and sends a first request on it if there is one; see {@link Dialer#open}. */
-    HttpLink(Wire wire, int maxHead, InetSocketAddress to, long maxBody, byte[] request, Exchange first,
+    HttpLink(
+            Wire wire,
+            int maxHead,
+            InetSocketAddress to,
+            long maxBody,
+            byte[] request,
+            Exchange first,
             Runnable closedIdle) {
         this.parser = new HttpParser(HttpParser.Kind.ANSWER, maxHead, maxBody, new Answer());
         this.exchange = first;
@@ -121,9 +136,10 @@
     private void write(byte[] request) {
         phase = Phase.WRITING;
         boolean handed = guarded(() -> {
-            Wire.write(connection, request, this::written, this::unwritten);
-            return true;
-        }) != null;
+                    Wire.write(connection, request, this::written, this::unwritten);
+                    return true;
+                })
+                != null;
         if (!handed) {
             unwritten();
         }
--- a/src/main/java/firstair/relay/net/Link.java
+++ b/src/main/java/firstair/relay/net/Link.java
@@ -16,16 +16,16 @@
          * The connection is up and nothing has been sent on it: opened without a request. What comes of it until one
          * is sent is told here, too.
          */
-        default void up() { }
+        default void up() {}
 
         /** Something of an answer has come, and not yet all of it. */
-        default void begun() { }
+        default void begun() {}
 
         /** The answer's first line says so, whatever follows it. */
-        default void first(int status) { }
+        default void first(int status) {}
 
         /** A header line of the answer is whole, whatever follows it; the name in lower case. */
-        default void field(String name, String value) { }
+        default void field(String name, String value) {}
 
         /** Start line and headers of the answer. */
         void head(Head head);
--- a/src/main/java/firstair/relay/net/Pipe.java
+++ b/src/main/java/firstair/relay/net/Pipe.java
@@ -18,10 +18,15 @@
     private static final Logger LOG = Logger.getLogger(Pipe.class.getName());
     private static final double NS_PER_MS = 1e6;
 
-    private enum Phase { CONNECTING, OPEN, CLOSED }
+    private enum Phase {
+        CONNECTING,
+        OPEN,
+        CLOSED
+    }
 
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     private final GrizzlyFuture<Connection> opening;
+
     private final Queue<byte[]> before = new ArrayDeque<>();
     private Connection<?> connection;
     private Phase phase = Phase.CONNECTING;
@@ -86,7 +91,10 @@
         if (phase == Phase.CLOSED) {
             return false;
         }
-        byte[] all = ByteBuffer.allocate(Integer.BYTES + frame.length).putInt(frame.length).put(frame).array();
+        byte[] all = ByteBuffer.allocate(Integer.BYTES + frame.length)
+                .putInt(frame.length)
+                .put(frame)
+                .array();
         if (waiting == 0) {
             movedAt = System.nanoTime();
         }
--- a/src/main/java/firstair/relay/net/Wire.java
+++ b/src/main/java/firstair/relay/net/Wire.java
@@ -39,8 +39,11 @@
                 .setName("wire")
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
                 .setSelectorRunnersCount(1)
-                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName("wire").setDaemon(true)
-                        .setCorePoolSize(1).setMaxPoolSize(1))
+                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig()
+                        .setPoolName("wire")
+                        .setDaemon(true)
+                        .setCorePoolSize(1)
+                        .setMaxPoolSize(1))
                 .setReadBufferSize(limits.readBuffer())
                 .setServerConnectionBackLog(limits.backlog())
                 .setTcpNoDelay(true)
@@ -52,12 +55,18 @@
     }
 
     private static FilterChain chain(Filter filter) {
-        return FilterChainBuilder.stateless().add(new TransportFilter()).add(filter).build();
+        return FilterChainBuilder.stateless()
+                .add(new TransportFilter())
+                .add(filter)
+                .build();
     }
 
     /** Listens; each connection is served by the filter. */
     public Connection<?> listen(InetSocketAddress at, Filter filter) throws IOException {
-        return TCPNIOBindingHandler.builder(transport).processor(chain(filter)).build().bind(at);
+        return TCPNIOBindingHandler.builder(transport)
+                .processor(chain(filter))
+                .build()
+                .bind(at);
     }
 
     @Override
@@ -68,7 +77,10 @@
     /** Opens a connection for a {@link HttpLink}. */
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     GrizzlyFuture<Connection> connect(InetSocketAddress to) {
-        return TCPNIOConnectorHandler.builder(transport).processor(links).build().connect(to);
+        return TCPNIOConnectorHandler.builder(transport)
+                .processor(links)
+                .build()
+                .connect(to);
     }
 
     /** Stops the selector thread and closes what is open, at once. */
@@ -106,10 +118,15 @@
             task.run(); // it is read by nobody
             return;
         }
-        ((NIOTransport) c.getTransport()).getSelectorHandler().execute(selector, () -> {
-            task.run();
-            return true;
-        }, null);
+        ((NIOTransport) c.getTransport())
+                .getSelectorHandler()
+                .execute(
+                        selector,
+                        () -> {
+                            task.run();
+                            return true;
+                        },
+                        null);
     }
 
     /** What has come and waits to be read, up to a size; empty if nothing has. On the selector's thread only. */
--- a/src/main/java/firstair/relay/platform/NoticePlan.java
+++ b/src/main/java/firstair/relay/platform/NoticePlan.java
@@ -18,9 +18,9 @@
  * twice does no harm.
  */
 final class NoticePlan {
-    private static final double PARTS = 3;      // tries that the time left is divided among
-    private static final double GROWTH = 2;     // each further pause is so many times longer
-    private static final double JITTER = 0.25;  // pauses vary by this share either way
+    private static final double PARTS = 3; // tries that the time left is divided among
+    private static final double GROWTH = 2; // each further pause is so many times longer
+    private static final double JITTER = 0.25; // pauses vary by this share either way
     private static final int OK = 204;
     private static final int UNREADABLE = 400;
 
@@ -32,12 +32,12 @@
         final long id;
         final byte[] text;
         final double dueAt;
-        int carriers;                    // posts out that carry it and are not slow
+        int carriers; // posts out that carry it and are not slow
         int tries;
-        int group = Integer.MAX_VALUE;   // most notices in a post with it: a post with it could not be read
+        int group = Integer.MAX_VALUE; // most notices in a post with it: a post with it could not be read
         double notBefore = Double.NEGATIVE_INFINITY;
         double pause;
-        boolean late;                    // counted as overdue
+        boolean late; // counted as overdue
 
         Notice(long id, byte[] text, double dueAt) {
             this.id = id;
@@ -84,8 +84,8 @@
     private double quietUntil = Double.NEGATIVE_INFINITY; // after a failure of the place
     private double okAt = Double.NEGATIVE_INFINITY;
     private double pause;
-    private int late;          // overdue since the platform last confirmed
-    private double latestMs;   // by how much at most a notice confirmed since then was
+    private int late; // overdue since the platform last confirmed
+    private double latestMs; // by how much at most a notice confirmed since then was
 
     NoticePlan(Limits.Notices limits, RandomGenerator random) {
         this.limits = limits;
@@ -119,7 +119,9 @@
      * its end: they would only share its fate over a second connection.
      */
     Post next(double now) {
-        if (owed.isEmpty() || quietUntil > now || out.size() >= limits.posts()
+        if (owed.isEmpty()
+                || quietUntil > now
+                || out.size() >= limits.posts()
                 || out.stream().anyMatch(p -> !p.slow && !p.full)) {
             return null;
         }
--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -44,7 +44,12 @@
     private boolean told; // that notices are overdue
 
     /** @param confirmed told of each message whose notice has been confirmed */
-    public Notices(Dialer dialer, Limits limits, Loop loop, InetSocketAddress address, RandomGenerator random,
+    public Notices(
+            Dialer dialer,
+            Limits limits,
+            Loop loop,
+            InetSocketAddress address,
+            RandomGenerator random,
             LongConsumer confirmed) {
         this.dialer = dialer;
         this.maxBody = limits.maxBody();
@@ -122,8 +127,8 @@
     public void sweep() {
         int late = plan.overdue(loop.now());
         if (late > 0 && !told) {
-            told = delays.log(late + " notices are overdue: the platform at " + HostPort.of(address)
-                    + " has not confirmed them");
+            told = delays.log(
+                    late + " notices are overdue: the platform at " + HostPort.of(address) + " has not confirmed them");
         }
         if (told && plan.recovered()) {
             told = false;
@@ -161,7 +166,8 @@
             });
             late = loop.after(limits.answerMs(), () -> end(status, false));
             byte[] request = HttpWriter.request("POST", "/status", HostPort.of(to))
-                    .header("Content-Type", "application/x-ndjson").body(planned.body());
+                    .header("Content-Type", "application/x-ndjson")
+                    .body(planned.body());
             try {
                 Link kept = planned.fresh() ? null : idle;
                 if (kept != null) {
@@ -171,7 +177,7 @@
                         return;
                     }
                 }
-                link = dialer.open(to, maxBody, request, this, () -> { });
+                link = dialer.open(to, maxBody, request, this, () -> {});
             } catch (RuntimeException e) {
                 faults.log("fault under a notice", e);
                 loop.post(() -> end(NoticePlan.NONE, false));
--- a/src/main/java/firstair/relay/store/LedgerFile.java
+++ b/src/main/java/firstair/relay/store/LedgerFile.java
@@ -73,8 +73,8 @@
      * @throws Fault.TornLedger      if it is damaged
      * @throws Fault.LedgerUnwritten if the folder cannot be read or written, or another process has it open
      */
-    public static LedgerFile open(Path folder, String fleet, String self, List<String> voters, boolean firstStart,
-            long mostBytes) {
+    public static LedgerFile open(
+            Path folder, String fleet, String self, List<String> voters, boolean firstStart, long mostBytes) {
         LedgerFile ledger = new LedgerFile(folder, mostBytes);
         boolean opened = false;
         try {
@@ -152,7 +152,9 @@
         file.position(at);
         file.force(true);
         size = at;
-        needed = memory.changes().stream().mapToLong(c -> Records.HEADER + c.length).sum();
+        needed = memory.changes().stream()
+                .mapToLong(c -> Records.HEADER + c.length)
+                .sum();
     }
 
     /** Whether a whole record stands behind a place: then what is there was not the last to be written. */
@@ -214,8 +216,8 @@
     private void rewrite() throws IOException {
         pending.reset();
         Path draft = folder.resolve(DRAFT);
-        FileChannel next = FileChannel.open(draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING);
+        FileChannel next = FileChannel.open(
+                draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
         long written = 0;
         try {
             for (byte[] change : memory.changes()) {
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -31,15 +31,21 @@
     }
 
     /** What was found besides whole records. */
-    record Found(int damaged, int tornBytes) { }
-
-    private enum Type { TAKEN, CALLED, ENDED, OWED, OVER }
+    record Found(int damaged, int tornBytes) {}
+
+    private enum Type {
+        TAKEN,
+        CALLED,
+        ENDED,
+        OWED,
+        OVER
+    }
 
     private interface Content {
         void write(DataOutputStream out) throws IOException;
     }
 
-    private Records() { }
+    private Records() {}
 
     static byte[] taken(Taken t) {
         return record(Type.TAKEN, t.id(), out -> {
@@ -83,7 +89,7 @@
     }
 
     static byte[] over(long id) {
-        return record(Type.OVER, id, out -> { });
+        return record(Type.OVER, id, out -> {});
     }
 
     private static byte[] record(Type type, long id, Content content) {
@@ -185,8 +191,17 @@
                     byte[] body = in.readNBytes(in.readInt());
                     String tenant = in.available() > 0 ? in.readUTF() : "";
                     String booking = in.available() > 0 ? in.readUTF() : "";
-                    reader.taken(new Taken(id, requestId, className, destination, keyed ? key : null, deadlineAt,
-                            again, fromDead, body, tenant.isEmpty() ? null : tenant,
+                    reader.taken(new Taken(
+                            id,
+                            requestId,
+                            className,
+                            destination,
+                            keyed ? key : null,
+                            deadlineAt,
+                            again,
+                            fromDead,
+                            body,
+                            tenant.isEmpty() ? null : tenant,
                             booking.isEmpty() ? null : booking));
                 }
                 case CALLED -> reader.called(id, new Tried(in.readUTF(), in.readLong(), in.readBoolean()));
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -29,9 +29,9 @@
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
     private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
     private static final String DRAFT = "messages.tmp";
-    private static final int SLACK = 8192;          // bytes of the room left alone: partly used blocks, the folder
-    private static final int PER_MESSAGE = 1024;    // bytes kept for the calls and the end of each message
-    private static final int WITHOUT_BODY = 512;    // bytes that a message without its body takes at most
+    private static final int SLACK = 8192; // bytes of the room left alone: partly used blocks, the folder
+    private static final int PER_MESSAGE = 1024; // bytes kept for the calls and the end of each message
+    private static final int WITHOUT_BODY = 512; // bytes that a message without its body takes at most
 
     /** A message that is not over, and what is known of it. */
     public static final class Open {
@@ -75,7 +75,7 @@
     private long cost;
     private boolean behind; // the file lacks records that could not be written
     private final Seldom failures = new Seldom(LOG, Level.SEVERE);
-    private boolean told;   // that it cannot be written
+    private boolean told; // that it cannot be written
 
     private Store(Path folder, long diskBytes) {
         this.folder = folder;
@@ -112,7 +112,8 @@
     private List<Path> files() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(p -> number(p) >= 0)
-                    .sorted((a, b) -> Long.compare(number(a), number(b))).toList();
+                    .sorted((a, b) -> Long.compare(number(a), number(b)))
+                    .toList();
         }
     }
 
@@ -276,8 +277,8 @@
     private void rewrite() throws IOException {
         Path draft = folder.resolve(DRAFT);
         long written = 0;
-        FileChannel next = FileChannel.open(draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING);
+        FileChannel next = FileChannel.open(
+                draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
         try {
             ByteArrayOutputStream block = new ByteArrayOutputStream();
             for (Open o : open.values()) {
--- a/src/main/java/firstair/relay/store/Taken.java
+++ b/src/main/java/firstair/relay/store/Taken.java
@@ -14,17 +14,35 @@
  * @param tenant     whose it is, or null
  * @param booking    what it draws on, or null
  */
-public record Taken(long id, String requestId, String className, int destination, String key, long deadlineAt,
-        boolean again, boolean fromDead, byte[] body, String tenant, String booking) {
+public record Taken(
+        long id,
+        String requestId,
+        String className,
+        int destination,
+        String key,
+        long deadlineAt,
+        boolean again,
+        boolean fromDead,
+        byte[] body,
+        String tenant,
+        String booking) {
 
     /** One of no tenant and on no booking. */
-    public Taken(long id, String requestId, String className, int destination, String key, long deadlineAt,
-            boolean again, boolean fromDead, byte[] body) {
+    public Taken(
+            long id,
+            String requestId,
+            String className,
+            int destination,
+            String key,
+            long deadlineAt,
+            boolean again,
+            boolean fromDead,
+            byte[] body) {
         this(id, requestId, className, destination, key, deadlineAt, again, fromDead, body, null, null);
     }
 
     Taken withoutBody() {
-        return new Taken(id, requestId, className, destination, key, deadlineAt, again, fromDead, new byte[0],
-                tenant, booking);
+        return new Taken(
+                id, requestId, className, destination, key, deadlineAt, again, fromDead, new byte[0], tenant, booking);
     }
 }
--- a/src/main/java/firstair/relay/store/Tried.java
+++ b/src/main/java/firstair/relay/store/Tried.java
@@ -6,4 +6,4 @@
  * @param sentAt   Unix time in milliseconds
  * @param maybeRan unless its outcome is known and proves that it never ran
  */
-public record Tried(String endpoint, long sentAt, boolean maybeRan) { }
+public record Tried(String endpoint, long sentAt, boolean maybeRan) {}
--- a/src/main/java/firstair/settings/Contradictions.java
+++ b/src/main/java/firstair/settings/Contradictions.java
@@ -10,16 +10,25 @@
  * nobody. Of the relay alone; the simulator's settings come from its own hand.
  */
 public final class Contradictions {
-    private static final List<String> TIMES = List.of("quantum", "limits.connectTimeout", "limits.connIdle",
-            "limits.maxRetryAfter", "safety.answerSlack", "safety.askEvery", "safety.drainGrace",
-            "safety.startCapacity", "safety.warmAfter", "safety.fallMultiple", "safety.overloadFor",
+    private static final List<String> TIMES = List.of(
+            "quantum",
+            "limits.connectTimeout",
+            "limits.connIdle",
+            "limits.maxRetryAfter",
+            "safety.answerSlack",
+            "safety.askEvery",
+            "safety.drainGrace",
+            "safety.startCapacity",
+            "safety.warmAfter",
+            "safety.fallMultiple",
+            "safety.overloadFor",
             "safety.settleAfterDoubt");
-    private static final List<String> OF_CLASSES = List.of("aim", "aimStretch", "deadline", "repeatWindow",
-            "importance", "lateValue");
+    private static final List<String> OF_CLASSES =
+            List.of("aim", "aimStretch", "deadline", "repeatWindow", "importance", "lateValue");
     private static final List<String> EFFECTS = List.of("retryable", "dedup", "fragile");
     private static final List<String> GROUPS = List.of("", "all", "zone", "cell"); // a cell is a destination here
 
-    private Contradictions() { }
+    private Contradictions() {}
 
     /** Ends in the exception of {@link Fields#bad} at the first one. */
     public static void refuse(Fields s) {
--- a/src/main/java/firstair/settings/Facts.java
+++ b/src/main/java/firstair/settings/Facts.java
@@ -18,16 +18,22 @@
  * share one limit and carry one message a call; classes that are safe to repeat.
  */
 public final class Facts {
-    private Facts() { }
+    private Facts() {}
 
     /** Reads all settings; a value that cannot be read ends in the exception of {@link Fields#bad}. */
     public static Settings read(Fields s) {
-        return new Settings(Math.max(1, count(s, "groupSize", 1)), count(s, "slotNo", 0),
-                count(s, "az", 0), s.text("discovery", "push").equals("ask"),
+        return new Settings(
+                Math.max(1, count(s, "groupSize", 1)),
+                count(s, "slotNo", 0),
+                count(s, "az", 0),
+                s.text("discovery", "push").equals("ask"),
                 choice(s, "weightKind", "none", "nominal", Weight.NOMINAL, "rough", Weight.ROUGH, Weight.NONE),
                 limitsTold(s),
                 choice(s, "familyInfo.late", "linear", "halving", LateCurve.HALVING, "", null, LateCurve.LINEAR),
-                classes(s), kinds(s), limits(s), rules(s));
+                classes(s),
+                kinds(s),
+                limits(s),
+                rules(s));
     }
 
     /** Without the keys answers are taken to tell limits. Reports in probes alone tell nothing: nobody probes. */
@@ -36,7 +42,8 @@
         if (!List.of("answers", "probe", "none").contains(how)) {
             throw s.bad("loadReport.how", "neither answers nor probe nor none: " + how);
         }
-        return how.equals("answers") && List.of(s.text("loadReport.names", "x1").split(",")).contains("x1");
+        return how.equals("answers")
+                && List.of(s.text("loadReport.names", "x1").split(",")).contains("x1");
     }
 
     private static List<MessageClass> classes(Fields s) {
@@ -44,13 +51,26 @@
         long count = s.whole("classes.count", 0);
         for (int i = 0; i < count; i++) {
             String p = "classes." + i + ".";
-            all.add(new MessageClass(s.text(p + "name", String.valueOf(i)),
-                    choice(s, p + "semantics", "retryable", "dedup", Effect.KEYED, "fragile", Effect.UNSAFE,
+            all.add(new MessageClass(
+                    s.text(p + "name", String.valueOf(i)),
+                    choice(
+                            s,
+                            p + "semantics",
+                            "retryable",
+                            "dedup",
+                            Effect.KEYED,
+                            "fragile",
+                            Effect.UNSAFE,
                             Effect.SAFE),
                     choice(s, p + "group", "all", "zone", Scope.ZONE, "", null, Scope.ALL),
-                    s.flag(p + "sequential", false), s.flag(p + "streaming", false), s.number(p + "aim", 0),
-                    s.number(p + "aimStretch", 0), s.number(p + "deadline", 0), s.number(p + "repeatWindow", 0),
-                    s.number(p + "importance", 1), s.number(p + "lateValue", 0)));
+                    s.flag(p + "sequential", false),
+                    s.flag(p + "streaming", false),
+                    s.number(p + "aim", 0),
+                    s.number(p + "aimStretch", 0),
+                    s.number(p + "deadline", 0),
+                    s.number(p + "repeatWindow", 0),
+                    s.number(p + "importance", 1),
+                    s.number(p + "lateValue", 0)));
         }
         return all;
     }
@@ -75,19 +95,31 @@
     }
 
     private static Limits limits(Fields s) {
-        return new Limits(count(s, "familyInfo.maxCalls", 0), count(s, "limits.maxOpen", 0),
-                count(s, "limits.maxAttempts", 0), s.flag("limits.cancelling", false),
-                s.flag("limits.probes", false), s.flag("limits.peers", false), s.flag("limits.retryAfter", false),
-                s.number("limits.maxRetryAfter", 0), s.flag("limits.mayDuplicate", false),
-                count(s, "limits.multiplex", 1), s.number("limits.connectTimeout", 0),
+        return new Limits(
+                count(s, "familyInfo.maxCalls", 0),
+                count(s, "limits.maxOpen", 0),
+                count(s, "limits.maxAttempts", 0),
+                s.flag("limits.cancelling", false),
+                s.flag("limits.probes", false),
+                s.flag("limits.peers", false),
+                s.flag("limits.retryAfter", false),
+                s.number("limits.maxRetryAfter", 0),
+                s.flag("limits.mayDuplicate", false),
+                count(s, "limits.multiplex", 1),
+                s.number("limits.connectTimeout", 0),
                 s.number("limits.connIdle", 0));
     }
 
     private static Rules rules(Fields s) {
-        return new Rules(s.number("safety.answerSlack", 0), s.number("safety.askEvery", 0),
-                s.number("safety.drainGrace", 0), s.number("safety.startCapacity", 0),
-                s.number("safety.warmAfter", 0), s.number("safety.fallMultiple", 0),
-                s.number("safety.overloadFor", 0), s.number("safety.settleAfterDoubt", 0));
+        return new Rules(
+                s.number("safety.answerSlack", 0),
+                s.number("safety.askEvery", 0),
+                s.number("safety.drainGrace", 0),
+                s.number("safety.startCapacity", 0),
+                s.number("safety.warmAfter", 0),
+                s.number("safety.fallMultiple", 0),
+                s.number("safety.overloadFor", 0),
+                s.number("safety.settleAfterDoubt", 0));
     }
 
     private static int count(Fields s, String name, int absent) {
--- a/src/main/java/firstair/simhost/Line.java
+++ b/src/main/java/firstair/simhost/Line.java
@@ -23,8 +23,8 @@
             }
             int eq = text.indexOf('=', at);
             if (eq <= at || eq >= stop) {
-                throw new WireException("line " + number + " (" + word + "): not name=value: "
-                        + text.substring(at, stop));
+                throw new WireException(
+                        "line " + number + " (" + word + "): not name=value: " + text.substring(at, stop));
             }
             fields.put(text.substring(at, eq), text.substring(eq + 1, stop));
             at = stop + 1;
