--- a/src/test/java/firstair/relay/KeptTest.java
+++ b/src/test/java/firstair/relay/KeptTest.java
@@ -22,8 +22,10 @@
 class KeptTest {
     @TempDir
     private Path folder;
+
     @TempDir
     private Path copies;
+
     private Kept kept;
     private Store store;
 
--- a/src/test/java/firstair/relay/standin/Await.java
+++ b/src/test/java/firstair/relay/standin/Await.java
@@ -7,7 +7,7 @@
 public final class Await {
     private static final long MOST_S = 30;
 
-    private Await() { }
+    private Await() {}
 
     /** Returns once the condition holds. */
     public static void until(String what, BooleanSupplier holds) {
