--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 
 # All of the compiler's warnings are errors here, Javadoc is well-formed, the module and the lines keep their size.
 lint:
-	mvn -q -B -ntp -Plint -DskipTests clean verify
+	mvn -q -B -ntp -Plint -DskipTests verify
 	sh .ci/lint
 
 # A toy partner and a relay; ends with Ctrl-C.
--- a/src/main/java/firstair/control/Control.java
+++ b/src/main/java/firstair/control/Control.java
@@ -1,6 +1,16 @@
 package firstair.control;
 
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
 
 /** All decisions of a relay and their state, by Controller.java; docs/design.md says what was added. */
 public final class Control implements Controller {
@@ -214,7 +224,7 @@
     private double staleUntil = NEVER; // until then idle connections are held to be dead
     private double stale; // recent share of calls on connections that stood idle and were dead
     private double lost; // recent share of time-outs at endpoints that did not fail before
-    private int slotsUsed, askFailures;
+    private int slotsUsed;
     private Share usualShare = Share.ALL; // of destinations of which none was told
     private double wakeAt = FOREVER, askAt = FOREVER; // earliest wake-up asked for; next asking for the list
     private double nextWake; // earliest that this round wants
--- a/src/main/java/firstair/fleet/booking/Bookings.java
+++ b/src/main/java/firstair/fleet/booking/Bookings.java
@@ -523,6 +523,7 @@
                 }
             }
             case ENDED, RELEASED, LAPSED, REFUSED -> forget(b);
+            default -> throw new IllegalStateException(b.state().name());
         }
     }
 
--- a/src/main/java/firstair/fleet/judge/Judgements.java
+++ b/src/main/java/firstair/fleet/judge/Judgements.java
@@ -375,12 +375,12 @@
             kind.removeIf(seen -> seen.end <= now || !subjects.containsKey(seen.subject));
         }
         doubtedUntil.values().removeIf(until -> until <= now);
-        reckonReach(now);
+        reckonReach();
         reckonRecords(now);
     }
 
     /** What a relay usually reaches: the middle one of the newest that each said of itself. */
-    private void reckonReach(double now) {
+    private void reckonReach() {
         Map<String, Seen> newest = new TreeMap<>();
         for (Subject s : subjects.values()) {
             for (Sight sight : Sight.values()) {
--- a/src/main/java/firstair/fleet/residency/Parting.java
+++ b/src/main/java/firstair/fleet/residency/Parting.java
@@ -20,7 +20,11 @@
         GIVE_UP
     }
 
-    /** @param zones where it may be tried now, empty unless {@code way} is GO */
+    /**
+     * What becomes of a message.
+     *
+     * @param zones where it may be tried now, empty unless {@code way} is GO
+     */
     public record Answer(Way way, Set<String> zones) {}
 
     /**
--- a/src/main/java/firstair/kit/fleet/Demand.java
+++ b/src/main/java/firstair/kit/fleet/Demand.java
@@ -49,7 +49,7 @@
     private final double patienceMs;
     private final Sent watch;
     private final Random random;
-    private final Map<Life, Bench> benches = new IdentityHashMap<>(); // asked by key only, never iterated
+    private final IdentityHashMap<Life, Bench> benches = new IdentityHashMap<>(); // asked by key only, never iterated
     private final Map<Integer, Long> asked = new TreeMap<>();
     private final Map<Integer, Long> served = new TreeMap<>();
 
--- a/src/main/java/firstair/kit/fleet/Measures.java
+++ b/src/main/java/firstair/kit/fleet/Measures.java
@@ -47,7 +47,7 @@
         members.forEach(m -> places.put(m, places.size()));
         double sum = all;
         return (name, destination, time) -> {
-            int moved = (moving ? (int) (time / MOVES_MS) * 7 : 0) + destination * 3;
+            int moved = (moving ? ((int) (time / MOVES_MS)) * 7 : 0) + destination * 3;
             int place = Math.floorMod(places.get(name) - moved, n) + 1;
             return calls / place / sum;
         };
--- a/src/main/java/firstair/kit/fleet/PlayedFleet.java
+++ b/src/main/java/firstair/kit/fleet/PlayedFleet.java
@@ -61,7 +61,7 @@
     /**
      * A fleet in which nobody runs yet.
      *
-     * @param pattern what its relays are told; {@code self} and {@code zone} are each relay's own
+     * @param pattern what its relays are told; {@code self} and {@code az} are each relay's own
      * @param zones   a relay's zone
      * @param maker   decisions of a process
      */
@@ -319,8 +319,9 @@
     /** Plays for so long, ms. */
     public void run(double ms) {
         double until = now() + ms;
-        while (timeline.step(until)) {
-            continue;
+        boolean more = true;
+        while (more) {
+            more = timeline.step(until);
         }
     }
 
--- a/src/main/java/firstair/kit/soak/Soak.java
+++ b/src/main/java/firstair/kit/soak/Soak.java
@@ -185,7 +185,7 @@
                 ? GOOD[draw % GOOD.length]
                 : draw < 70 ? HANGS : draw < 80 ? ABSENT : draw < 90 ? TOLD_TO_WAIT : FAILS;
         String type = new String[] {"safe", "keyed", "unsafe"}[random.nextInt(3)];
-        long timeout = 600 + random.nextInt(2000);
+        int timeout = 600 + random.nextInt(2000);
         clients.execute(() -> handIn(id, type, destination, timeout));
     }
 
@@ -266,7 +266,6 @@
 
     /** Every message whose last moment is past has ended by now, or is lost. */
     private synchronized void judge(boolean last) {
-        long now = System.nanoTime();
         open.forEach((id, t) -> {
             Long at = delivered.get(id);
             MovingPlatform.Notice n = platform.notice(id);
--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -173,7 +173,7 @@
                 MAX_BODY,
                 MAX_HEAD,
                 clients,
-                (int) Math.min(clients / 2, open * CROWD_SHARE),
+                (int) Math.min(clients / 2.0, open * CROWD_SHARE),
                 connections - clients,
                 READ_BUFFER,
                 Math.max(BACKLOG, clients),
--- a/src/main/java/firstair/relay/endpoints/Answers.java
+++ b/src/main/java/firstair/relay/endpoints/Answers.java
@@ -15,6 +15,7 @@
     static final String WAIT = "retry-after";
 
     private static final double MS_PER_S = 1000;
+    private static final int DELIVERED = 200;
 
     /** How an attempt ended, and whether the message ended with it. */
     record End(Result result, boolean over) {}
@@ -30,8 +31,11 @@
         if (fresh && atTheDoor(head)) {
             return new End(Result.CROWDED, false);
         }
+        if (bundle && head.status() == DELIVERED) {
+            return null;
+        }
         return switch (head.status()) {
-            case 200 -> bundle ? null : new End(Result.OK, true);
+            case DELIVERED -> new End(Result.OK, true);
             case 429 -> new End(Result.FULL, false);
             case 503 -> new End("1".equals(head.header("x-over-slots")) ? Result.NOT_SENT : Result.FULL, false);
             case 504 -> new End(Result.NOT_SENT, false);
--- a/src/main/java/firstair/relay/net/Intake.java
+++ b/src/main/java/firstair/relay/net/Intake.java
@@ -64,7 +64,8 @@
 
     /** Gives back what is held. */
     void end() {
-        room.test(-frame.length);
+        boolean given = room.test(-frame.length);
+        assert given : "what is given back is always taken";
         frame = new byte[0];
         head = 0;
         length = 0;
