--- a/src/main/java/firstair/kit/run/Node.java
+++ b/src/main/java/firstair/kit/run/Node.java
@@ -15,13 +15,16 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
 import org.glassfish.grizzly.Grizzly;
 import org.tomlj.Toml;
@@ -47,6 +50,9 @@
     private String fleet;
     private int niceness;
     private boolean ignoring;
+    private boolean signalled;
+    private UnaryOperator<String> adjustment = UnaryOperator.identity();
+    private final Map<String, String> environment = new HashMap<>();
     private Path settings;
     private volatile boolean unread;
     private Process process;
@@ -95,6 +101,34 @@
         ignoring = true;
     }
 
+    /** Started from now on without the deployment's script, so that SIGHUP reaches it as a signal. */
+    public void takeSignals() {
+        signalled = true;
+    }
+
+    /** Changes the configuration that would be written, from the next writing on. */
+    public void adjust(UnaryOperator<String> change) {
+        adjustment = change;
+    }
+
+    /** A variable of its environment from its next start on. */
+    public void environment(String variable, String value) {
+        environment.put(variable, value);
+    }
+
+    /** Its number as a process. */
+    public long pid() {
+        return process.pid();
+    }
+
+    /** Sends it a signal by name. */
+    public void signal(String signal) throws Exception {
+        new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid()))
+                .inheritIO()
+                .start()
+                .waitFor();
+    }
+
     /** Where it listens. */
     public InetSocketAddress address() {
         return address;
@@ -180,10 +214,7 @@
 
     /** Sends it SIGHUP. */
     public void signalHangUp() throws Exception {
-        new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid()))
-                .inheritIO()
-                .start()
-                .waitFor();
+        signal("HUP");
     }
 
     /** Writes its configuration, and its settings of ours if they are given as a text. */
@@ -193,22 +224,23 @@
         }
         Path file = folder.resolve("config.json");
         Path draft = folder.resolve("config.new");
-        Files.writeString(
-                draft,
-                config != null
-                        ? config
-                        : "{\"name\":\"" + name + "\",\"listen\":\"" + listen
-                                + "\",\"discovery\":\"" + discovery + "\",\"seed\":\"8c1f30d27a5be964\","
-                                + "\"limits\":{\"cores\":1.0,\"memory_mb\":" + memoryMb
-                                + ",\"sockets\":" + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + known
-                                + ",\"settings\":" + settings()
-                                + "}");
+        String text = config != null
+                ? config
+                : "{\"name\":\"" + name + "\",\"listen\":\"" + listen
+                        + "\",\"discovery\":\"" + discovery + "\",\"seed\":\"8c1f30d27a5be964\","
+                        + "\"limits\":{\"cores\":1.0,\"memory_mb\":" + memoryMb
+                        + ",\"sockets\":" + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + known
+                        + ",\"settings\":" + settings()
+                        + "}";
+        Files.writeString(draft, adjustment.apply(text));
         return Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Starts the process. */
     public void launch() throws Exception {
-        Files.createDirectories(state());
+        if (!Files.exists(state())) {
+            Files.createDirectories(state());
+        }
         Path file = write();
         List<String> classPath = new ArrayList<>(List.of(place(Main.class), place(Grizzly.class), place(Gson.class)));
         if (fleet != null) { // what a fleet needs beside them is loaded only then
@@ -217,21 +249,22 @@
             classPath.add(place(Toml.class));
             classPath.add(place(Class.forName("org.antlr.v4.runtime.CharStream")));
         }
-        List<String> command = List.of(
+        List<String> command = new ArrayList<>(List.of(
                 "sh",
                 "-c",
                 (ignoring ? "trap '' HUP; " : "") + "exec \"$@\"",
                 "sh",
                 "nice",
                 "-n",
-                String.valueOf(niceness),
-                "sh",
-                Path.of("deploy", "run.sh").toString(),
-                "-cp",
-                String.join(System.getProperty("path.separator"), classPath),
-                "firstair.Main",
-                "serve");
+                String.valueOf(niceness)));
+        command.addAll(
+                signalled
+                        ? List.of("java", "-XX:+UseSerialGC", "-Xmx64m", "-XX:TieredStopAtLevel=1")
+                        : List.of("sh", Path.of("deploy", "run.sh").toString()));
+        command.addAll(
+                List.of("-cp", String.join(System.getProperty("path.separator"), classPath), "firstair.Main", "serve"));
         ProcessBuilder b = new ProcessBuilder(command);
+        b.environment().putAll(environment);
         b.environment()
                 .merge(
                         "PATH",
