--- a/src/main/java/firstair/relay/Kept.java
+++ b/src/main/java/firstair/relay/Kept.java
@@ -115,9 +115,9 @@
     }
 
     /** An attempt has ended, and with it perhaps the message. One that was never noted counts among its calls now. */
-    void ended(Outcome o, long wall) {
+    void ended(Outcome o, long nowMs) {
         if (store.tries(o.id()) == o.attempt()) {
-            store.called(o.id(), o.endpoint(), wall);
+            store.called(o.id(), o.endpoint(), nowMs);
         }
         store.ended(o.id(), o.attempt(), o.result().maybeRan());
         if (o.over()) {
@@ -142,11 +142,11 @@
     }
 
     /** A call is about to be written, and may have run from now on. */
-    void called(long id, int attempt, String endpoint, long wall) {
+    void called(long id, int attempt, String endpoint, long nowMs) {
         if (store.tries(id) > attempt) {
             store.ended(id, attempt, true); // noted before, for a connection that had died by then
         } else {
-            store.called(id, endpoint, wall);
+            store.called(id, endpoint, nowMs);
         }
     }
 
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -20,6 +20,7 @@
 import firstair.relay.fleet.FleetDriver;
 import firstair.relay.net.Wire;
 import firstair.relay.platform.Notices;
+import firstair.relay.store.BootClock;
 import firstair.relay.store.Owed;
 import firstair.relay.store.Store;
 import firstair.relay.store.Taken;
@@ -63,6 +64,7 @@
     private final Config config;
     private volatile Limits limits; // of them a running relay takes over what the schema says
     private final Loop loop;
+    private final BootClock clock = BootClock.SYSTEM;
     private final Wire wire;
     private final Kept kept;
     private final Endpoints endpoints;
@@ -113,7 +115,7 @@
         for (int i = 0; i < all.size(); i++) {
             classes.put(all.get(i).name(), i);
         }
-        Store store = Store.open(config.state(), limits.diskBytes());
+        Store store = Store.open(config.state(), limits.diskBytes(), clock);
         kept = new Kept(store);
         wire = new Wire(limits);
         endpoints = new Endpoints(wire, limits, loop, new Calls());
@@ -282,7 +284,7 @@
         double now = loop.now();
         Seldom unknown = new Seldom(LOG, Level.WARNING); // a line for all of them
         returnedAt = now;
-        long wall = System.currentTimeMillis();
+        long bootNow = clock.nowMs();
         for (Store.Open o : kept.left()) {
             Taken t = o.taken();
             if (o.owed() != null) {
@@ -291,14 +293,14 @@
                 continue;
             }
             Integer type = classes.get(t.className());
-            Held h = kept.resume(t, now + (t.deadlineAt() - wall));
+            Held h = kept.resume(t, now + (t.deadlineAt() - bootNow));
             if (type == null) {
                 unknown.log("class " + t.className() + " is no longer known, its messages are given up");
                 giveUp(t.id());
                 continue;
             }
             List<Controller.Try> tried = o.tries().stream()
-                    .map(x -> new Controller.Try(x.endpoint(), now + (x.sentAt() - wall), x.maybeRan()))
+                    .map(x -> new Controller.Try(x.endpoint(), now + (x.sentAt() - bootNow), x.maybeRan()))
                     .toList();
             control.taken(
                     now,
@@ -466,7 +468,7 @@
                 c.name(),
                 h.destination(),
                 h.key(),
-                System.currentTimeMillis() + Math.round(h.deadlineAt() - now),
+                clock.nowMs() + Math.round(h.deadlineAt() - now),
                 h.again(),
                 h.fromDead(),
                 h.body(),
@@ -497,7 +499,7 @@
             fellows.ended(h.taken.destination(), o);
         }
         if (o.result() != Result.WITHHELD) {
-            kept.ended(o, System.currentTimeMillis());
+            kept.ended(o, clock.nowMs());
         }
         control.ended(loop.now(), o);
     }
@@ -591,10 +593,10 @@
         sends.clear();
         call(planned);
         // What is noted may have run, and what is not surely has not: a call that has no connection yet is not.
-        long wall = System.currentTimeMillis();
+        long bootNow = clock.nowMs();
         endpoints.ready((endpoint, i) -> {
             if (kept.get(i.id()) != null) {
-                kept.called(i.id(), i.attempt(), endpoint, wall);
+                kept.called(i.id(), i.attempt(), endpoint, bootNow);
             }
         });
         boolean written = kept.flush() || unwritten();
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -28,6 +28,8 @@
         void owed(long id, Owed owed);
 
         void over(long id);
+
+        void clock(StoredTimes.Mark mark);
     }
 
     /** What was found besides whole records. */
@@ -38,7 +40,8 @@
         CALLED,
         ENDED,
         OWED,
-        OVER
+        OVER,
+        CLOCK
     }
 
     private interface Content {
@@ -88,6 +91,15 @@
         });
     }
 
+    /** The clocks as a file is begun: what the times in it belong to. */
+    static byte[] clock(StoredTimes.Mark mark) {
+        return record(Type.CLOCK, 0, out -> {
+            out.writeUTF(mark.boot());
+            out.writeLong(mark.nowMs());
+            out.writeLong(mark.wallMs());
+        });
+    }
+
     static byte[] over(long id) {
         return record(Type.OVER, id, out -> {});
     }
@@ -208,6 +220,7 @@
                 case ENDED -> reader.ended(id, in.readInt(), in.readBoolean());
                 case OWED -> reader.owed(id, new Owed(in.readBoolean(), in.readDouble()));
                 case OVER -> reader.over(id);
+                case CLOCK -> reader.clock(new StoredTimes.Mark(in.readUTF(), in.readLong(), in.readLong()));
                 default -> throw new IllegalStateException(type.name());
             }
             return true;
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -29,6 +29,7 @@
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
     private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
     private static final String DRAFT = "messages.tmp";
+    private static final long STEP_TOLD_MS = 1000;
     private static final int SLACK = 8192; // bytes of the room left alone: partly used blocks, the folder
     private static final int PER_MESSAGE = 1024; // bytes kept for the calls and the end of each message
     private static final int WITHOUT_BODY = 512; // bytes that a message without its body takes at most
@@ -59,6 +60,11 @@
             return owed;
         }
 
+        private void convert(StoredTimes times) {
+            taken = taken.withDeadlineAt(times.deadlineAt(taken.deadlineAt()));
+            tries.replaceAll(t -> new Tried(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
+        }
+
         private int cost() {
             return taken.body().length + WITHOUT_BODY + Math.max(PER_MESSAGE, callBytes);
         }
@@ -66,6 +72,7 @@
 
     private final Path folder;
     private final long room;
+    private final BootClock clock;
     private final Map<Long, Open> open = new LinkedHashMap<>();
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private FileChannel file;
@@ -77,14 +84,20 @@
     private final Seldom failures = new Seldom(LOG, Level.SEVERE);
     private boolean told; // that it cannot be written
 
-    private Store(Path folder, long diskBytes) {
+    private Store(Path folder, long diskBytes, BootClock clock) {
+        this.clock = clock;
         this.folder = folder;
         this.room = diskBytes / 2 - SLACK;
     }
 
-    /** Reads what is in the folder and begins a new file with what is still open. */
-    public static Store open(Path folder, long diskBytes) throws IOException {
-        Store store = new Store(folder, diskBytes);
+    /**
+     * Reads what is in the folder and begins a new file with what is still open.
+     *
+     * @param diskBytes bytes that the folder may hold
+     * @param clock     what deadlines and times of calls are told by
+     */
+    public static Store open(Path folder, long diskBytes, BootClock clock) throws IOException {
+        Store store = new Store(folder, diskBytes, clock);
         Files.createDirectories(folder);
         Files.deleteIfExists(folder.resolve(DRAFT));
         List<Path> files = store.files();
@@ -120,6 +133,7 @@
     private void read(Path from) throws IOException {
         path = from;
         generation = number(from);
+        StoredTimes.Mark[] begun = new StoredTimes.Mark[1];
         Records.Found found = Records.read(Files.readAllBytes(from), new Records.Reader() {
             @Override
             public void taken(Taken t) {
@@ -157,7 +171,17 @@
             public void over(long id) {
                 open.remove(id);
             }
+
+            @Override
+            public void clock(StoredTimes.Mark mark) {
+                begun[0] = mark;
+            }
         });
+        StoredTimes times = new StoredTimes(begun[0], clock);
+        open.values().forEach(o -> o.convert(times));
+        if (Math.abs(times.wallStepMs()) >= STEP_TOLD_MS) {
+            LOG.info("store: the wall clock was stepped by " + times.wallStepMs() + " ms, which moves no deadline");
+        }
         open.values().forEach(o -> cost += o.cost());
         if (found.damaged() > 0) {
             LOG.severe("store: " + found.damaged() + " damaged places in " + from.getFileName() + " passed over");
@@ -281,6 +305,7 @@
                 draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
         try {
             ByteArrayOutputStream block = new ByteArrayOutputStream();
+            block.writeBytes(Records.clock(StoredTimes.Mark.of(clock)));
             for (Open o : open.values()) {
                 block.writeBytes(Records.taken(o.taken));
                 for (Tried t : o.tries) {
--- a/src/main/java/firstair/relay/store/Taken.java
+++ b/src/main/java/firstair/relay/store/Taken.java
@@ -7,7 +7,7 @@
  * @param requestId  the id under which it was handed in
  * @param className  name of its class
  * @param key        its key, or null
- * @param deadlineAt end of its time, Unix time in milliseconds
+ * @param deadlineAt end of its time, by {@link BootClock#nowMs}
  * @param again      it was handed in before and refused
  * @param fromDead   a relay had it when that relay died
  * @param body       its bytes as they came
@@ -41,6 +41,10 @@
         this(id, requestId, className, destination, key, deadlineAt, again, fromDead, body, null, null);
     }
 
+    Taken withDeadlineAt(long at) {
+        return new Taken(id, requestId, className, destination, key, at, again, fromDead, body, tenant, booking);
+    }
+
     Taken withoutBody() {
         return new Taken(
                 id, requestId, className, destination, key, deadlineAt, again, fromDead, new byte[0], tenant, booking);
--- a/src/test/java/firstair/relay/EndTest.java
+++ b/src/test/java/firstair/relay/EndTest.java
@@ -8,6 +8,7 @@
 import firstair.kit.run.Node;
 import firstair.relay.standin.Await;
 import firstair.relay.standin.Platform;
+import firstair.relay.store.BootClock;
 import firstair.relay.store.Store;
 import java.io.IOException;
 import java.io.InputStream;
@@ -117,7 +118,7 @@
             }
             stopping.join();
             serving.join();
-            assertThat(Store.open(node.state(), 1_000_000).open().stream()
+            assertThat(Store.open(node.state(), 1_000_000, BootClock.SYSTEM).open().stream()
                             .map(o -> o.taken().requestId()))
                     .containsExactly("m0", "m1", "m2");
         } finally {
--- a/src/test/java/firstair/relay/KeptTest.java
+++ b/src/test/java/firstair/relay/KeptTest.java
@@ -5,6 +5,7 @@
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
+import firstair.relay.store.BootClock;
 import firstair.relay.store.Store;
 import firstair.relay.store.Taken;
 import firstair.relay.store.Tried;
@@ -31,7 +32,7 @@
 
     @BeforeEach
     void start() throws IOException {
-        store = Store.open(folder, 1_000_000);
+        store = Store.open(folder, 1_000_000, BootClock.SYSTEM);
         kept = new Kept(store);
         store.taken(new Taken(1, "r1", "unsafe", 7, null, 99_000, false, false, new byte[3], null, null));
     }
@@ -44,7 +45,11 @@
                 Files.copy(f, copy.resolve(f.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
         }
-        return Store.open(copy, 1_000_000).open().iterator().next().tries();
+        return Store.open(copy, 1_000_000, BootClock.SYSTEM)
+                .open()
+                .iterator()
+                .next()
+                .tries();
     }
 
     private void ends(int attempt, Result how) {
--- /dev/null
+++ b/src/test/java/firstair/relay/store/StoreClockTest.java
@@ -0,0 +1,84 @@
+package firstair.relay.store;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Times of a file whose clock is another one's: another boot's, or the wall's in earlier programs (row C6). */
+class StoreClockTest {
+    private static final long DISK = 200_000;
+    private static final long WALL = 1_790_000_000_000L;
+
+    @TempDir
+    private Path folder;
+
+    private record Clocks(String boot, long nowMs, long wallMs) implements BootClock {}
+
+    private Store.Open reopened(String boot, long nowMs, long wallMs) throws IOException {
+        return Store.open(folder, DISK, new Clocks(boot, nowMs, wallMs))
+                .open()
+                .iterator()
+                .next();
+    }
+
+    /** A file begun at 500,000 on the clock of boot one, with a message that has until 520,000. */
+    private void leave() throws IOException {
+        Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
+        s.taken(new Taken(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
+        s.called(1, "e1", 505_000);
+        s.flush();
+        s.close();
+    }
+
+    @Test
+    void withinOneBootTheWallClockDecidesNothing() throws IOException {
+        for (long step : new long[] {0, 3_600_000, -3_600_000}) {
+            leave();
+            Store.Open o = reopened("one", 506_000, WALL + 6_000 + step);
+            assertThat(o.taken().deadlineAt()).isEqualTo(520_000);
+            assertThat(o.tries()).containsExactly(new Tried("e1", 505_000, true));
+            Files.delete(folder.resolve("messages-2.log"));
+        }
+    }
+
+    @Test
+    void afterABootWhatMayHaveRunIsLongAgoAndNoDeadlineIsFurtherThanItWas() throws IOException {
+        for (long step : new long[] {0, -3_600_000}) {
+            leave();
+            Store.Open o = reopened("two", 40_000, WALL + 6_000 + step);
+            assertThat(o.taken().deadlineAt()).isBetween(40_000 + 14_000L, 40_000 + 20_000L);
+            assertThat(o.tries().get(0).sentAt()).isLessThan(40_000 - 24 * 3_600_000L);
+            Files.delete(folder.resolve("messages-2.log"));
+        }
+        leave();
+        assertThat(reopened("two", 40_000, WALL + 3_600_000).taken().deadlineAt())
+                .isLessThan(40_000);
+    }
+
+    @Test
+    void whereTheSystemDoesNotNameItsBootItIsAnotherOne() throws IOException {
+        Store s = Store.open(folder, DISK, new Clocks("", 500_000, WALL));
+        s.taken(new Taken(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
+        s.called(1, "e1", 505_000);
+        s.flush();
+        assertThat(reopened("", 506_000, WALL + 6_000).tries().get(0).sentAt()).isLessThan(0);
+    }
+
+    @Test
+    void aFileOfAnEarlierProgramHasTheWallsTimes() throws IOException {
+        Files.write(
+                folder.resolve("messages-3.log"),
+                Records.taken(new Taken(1, "r1", "order", 7, null, WALL + 20_000, false, false, new byte[3])));
+        Files.write(
+                folder.resolve("messages-3.log"),
+                Records.called(1, new Tried("e1", WALL + 5_000, true)),
+                java.nio.file.StandardOpenOption.APPEND);
+        Store.Open o = reopened("one", 900_000, WALL + 6_000);
+        assertThat(o.taken().deadlineAt()).isEqualTo(900_000 + 14_000);
+        assertThat(o.tries().get(0).sentAt()).isLessThan(0);
+    }
+}
--- a/src/test/java/firstair/relay/store/StoreTest.java
+++ b/src/test/java/firstair/relay/store/StoreTest.java
@@ -25,7 +25,7 @@
     }
 
     private Store reopened() throws IOException {
-        return Store.open(folder, DISK);
+        return Store.open(folder, DISK, BootClock.SYSTEM);
     }
 
     private List<Path> files() throws IOException {
@@ -179,7 +179,7 @@
         for (long seed = 1; seed <= 200; seed++) {
             java.util.Random random = new java.util.Random(seed);
             Path folderOfSeed = folder.resolve("s" + seed);
-            Store s = Store.open(folderOfSeed, DISK);
+            Store s = Store.open(folderOfSeed, DISK, BootClock.SYSTEM);
             Path file;
             try (Stream<Path> all = Files.list(folderOfSeed)) {
                 file = all.toList().get(0);
@@ -202,7 +202,7 @@
             out.writeBytes(put);
             out.write(all, to, all.length - to);
             Files.write(file, out.toByteArray());
-            List<Long> found = Store.open(folderOfSeed, DISK).open().stream()
+            List<Long> found = Store.open(folderOfSeed, DISK, BootClock.SYSTEM).open().stream()
                     .filter(o -> o.tries().size() == 1)
                     .map(o -> o.taken().id())
                     .toList();
