--- a/src/main/java/firstair/control/Control.java
+++ b/src/main/java/firstair/control/Control.java
@@ -82,6 +82,8 @@
     private static final double MOST_DOOR_MS = 800; // and the longest: room may come at any time
     private static final double FEWER_PLACES = 0.5; // of our connections there are kept after that,
     private static final double MORE_PLACES = 0.25; // and so many come back with each answer
+    private static final double FIRST_LOCAL_PAUSE_MS = 50; // where this machine could ask for no connection,
+    private static final double MOST_LOCAL_PAUSE_MS = 800; // and the longest: it may be able to at any time
     // Choice among waiting messages.
     private static final double FAILED_COST = 0.2; // cost of an endpoint for each failure in a row
     private static final double LOOKAHEAD_MS = 1500; // how far the loss by waiting is looked at
@@ -225,6 +227,8 @@
     private double stale; // recent share of calls on connections that stood idle and were dead
     private double lost; // recent share of time-outs at endpoints that did not fail before
     private int slotsUsed;
+    private double localUntil = NEVER,
+            localPauseMs = FIRST_LOCAL_PAUSE_MS; // of connections that could not be asked for
     private Share usualShare = Share.ALL; // of destinations of which none was told
     private double wakeAt = FOREVER, askAt = FOREVER; // earliest wake-up asked for; next asking for the list
     private double nextWake; // earliest that this round wants
@@ -470,13 +474,17 @@
         if (order != null) {
             order.out--;
         }
-        if (how == Result.WITHHELD) { // it never was, and is due again as things are now
+        if (!how.counts()) { // it never was, and is due again as things are now
             m.tries--;
             if (--c.items == 0 && c.lane == null) {
                 e.unit.tokens++;
             }
+            if (how == Result.LOCAL_FAILURE) {
+                m.notBefore = afterLocalFailure(now);
+            }
             return;
         }
+        localPauseMs = FIRST_LOCAL_PAUSE_MS;
         e.unit.heard = true;
         if (!Double.isNaN(o.load().limitPerS())) {
             e.unit.limit = o.load().limitPerS();
@@ -522,6 +530,15 @@
         m.notBefore = now + wait + Math.max(0, Math.min(jittered(next), left / 2));
     }
 
+    /** When this machine is likely to be able to ask for connections again: one pause for all that failed together. */
+    private double afterLocalFailure(double now) {
+        if (now >= localUntil) {
+            localUntil = now + jittered(localPauseMs);
+            localPauseMs = Math.min(MOST_LOCAL_PAUSE_MS, localPauseMs * PAUSE_GROWTH);
+        }
+        return localUntil;
+    }
+
     /** What one call tells of its endpoint and its unit. */
     private void judge(double now, Outcome o, Call c, Msg m) {
         Endpoint e = c.e;
--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -39,6 +39,7 @@
     /**
      * How an attempt ended. {@code CROWDED}: the endpoint answered, but took no further connection; nothing ran.
      * {@code WITHHELD}: nothing of it was written, by {@link #mayGo}; it counts as none, and its number is free again.
+     * {@code LOCAL_FAILURE}: the same, by a failure of this machine, which says nothing of the endpoint.
      */
     enum Result {
         OK,
@@ -50,11 +51,20 @@
         RESET,
         CANCELLED,
         NOT_SENT,
-        WITHHELD;
+        WITHHELD,
+        LOCAL_FAILURE;
 
         /** Whether the message may have run: it has not where the call was turned away or never got there. */
         public boolean maybeRan() {
-            return this != FULL && this != CONNECT_FAILED && this != CROWDED && this != NOT_SENT && this != WITHHELD;
+            return switch (this) {
+                case OK, ERROR, TIMEOUT, RESET, CANCELLED -> true;
+                case FULL, CONNECT_FAILED, CROWDED, NOT_SENT, WITHHELD, LOCAL_FAILURE -> false;
+            };
+        }
+
+        /** Whether it counts as an attempt; if not, its number is free again. */
+        public boolean counts() {
+            return this != WITHHELD && this != LOCAL_FAILURE;
         }
     }
 
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -495,10 +495,10 @@
 
     private void ended(Outcome o) {
         Held h = kept.get(o.id());
-        if (h != null && o.result() != Result.WITHHELD) {
+        if (h != null && o.result().counts()) {
             fellows.ended(h.taken.destination(), o);
         }
-        if (o.result() != Result.WITHHELD) {
+        if (o.result().counts()) {
             kept.ended(o, clock.nowMs());
         }
         control.ended(loop.now(), o);
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -447,6 +447,13 @@
             loop.post(() -> ended(expired ? Result.TIMEOUT : maybeArrived ? Result.RESET : Result.CONNECT_FAILED));
         }
 
+        /** Once noted, its number is taken: then it is an attempt that was not made. */
+        @Override
+        public void unasked() {
+            ending = true;
+            loop.post(() -> ended(noted ? Result.NOT_SENT : Result.LOCAL_FAILURE));
+        }
+
         private void answered(double at, boolean reusable, boolean alone) {
             if (over) {
                 return;
--- a/src/main/java/firstair/relay/net/HttpLink.java
+++ b/src/main/java/firstair/relay/net/HttpLink.java
@@ -66,7 +66,11 @@
 
             @Override
             public void failed(Throwable why) {
-                unwritten();
+                if (LocalFailure.is(why)) {
+                    unasked();
+                } else {
+                    unwritten();
+                }
             }
 
             @Override
@@ -158,6 +162,15 @@
         }
     }
 
+    private synchronized void unasked() {
+        if (phase == Phase.CONNECTING) {
+            Exchange over = exchange;
+            exchange = null;
+            close();
+            over.unasked();
+        }
+    }
+
     synchronized void received(byte[] bytes) {
         if (phase == Phase.IDLE) {
             close(); // nothing was asked: this peer is out of step
--- a/src/main/java/firstair/relay/net/Link.java
+++ b/src/main/java/firstair/relay/net/Link.java
@@ -8,7 +8,7 @@
  */
 public interface Link {
     /**
-     * What comes of one request. Exactly one of {@link #done} and {@link #broken} comes, unless it was left; calls
+     * What comes of one request. Exactly one of {@link #done}, {@link #broken} and {@link #unasked} comes, unless it was left; calls
      * come from the selector's thread or from the thread that sends, and must not block.
      */
     interface Exchange {
@@ -46,6 +46,14 @@
          * {@code maybeArrived} unless the last byte was not written.
          */
         void broken(boolean maybeArrived);
+
+        /**
+         * In place of {@link #broken}: the connection could not be asked for, by a failure of this machine that says
+         * nothing of the peer (no descriptor, no buffer, no port, no route).
+         */
+        default void unasked() {
+            broken(false);
+        }
     }
 
     /**
--- a/src/test/java/firstair/relay/faults/SystemCallTest.java
+++ b/src/test/java/firstair/relay/faults/SystemCallTest.java
@@ -86,8 +86,11 @@
     void aLongLocalFailureUsesUpNoAttempt() throws Exception {
         preload.rules(rule("connect", 0, Preload.ALWAYS, Preload.ENETUNREACH, partnerPort()));
         stage.take("m1", "unsafe", 9000);
-        stage.until(stage.now() + 2500);
+        stage.until(stage.now() + 500);
+        int descriptors = stage.node.descriptors();
+        stage.until(stage.now() + 2000);
         assertThat(stage.calls).isEmpty();
+        assertThat(stage.node.descriptors()).as("no descriptor is left behind").isLessThan(descriptors + 5);
         preload.rules();
         double over = stage.now();
         stage.called("m1", 1, over + 1000);
--- a/src/test/native/faults.c
+++ b/src/test/native/faults.c
@@ -4,8 +4,8 @@
  *
  * FAULT_RULES names a file with a rule a line: CALL SKIP COUNT ERROR [PART]. From the moment the file has been written
  * the calls of that name whose address or path contains PART are counted; SKIP of them go through, the COUNT behind
- * them fail with the errno ERROR. An ERROR below 0 delays the call by so many milliseconds instead, and 0 lets a read
- * or write move one byte. WALL_STEP names a file with the seconds by which the wall clock is off.
+ * them fail with the errno ERROR. An ERROR below 0 delays the call by so many milliseconds instead; 0 lets a read or
+ * write of a socket move one byte, and one of a file all but one byte. WALL_STEP names a file with the seconds by which the wall clock is off.
  */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
@@ -74,11 +74,11 @@
     pthread_mutex_lock(&lock);
     int saved = errno;
     reload();
-    for (int i = 0; i < rule_count && error == -1; i++) {
+    for (int i = 0; i < rule_count; i++) {
         struct rule *r = &rules[i];
         if (strcmp(r->call, call) || (r->part[0] && !(what && strstr(what, r->part)))) continue;
         long n = r->seen++;
-        if (n >= r->skip && n < r->skip + r->count) error = r->error;
+        if (n >= r->skip && n < r->skip + r->count && error == -1) error = r->error;
     }
     errno = saved;
     pthread_mutex_unlock(&lock);
@@ -157,11 +157,13 @@
 
 /* ---- reads and writes ---- */
 
+static size_t shorter(int fd, size_t n) { return is_socket(fd) ? 1 : n - 1; }
+
 ssize_t write(int fd, const void *bytes, size_t n) {
     REAL(write);
     long e = transfer_fault(fd, 1);
     if (e > 0) { errno = (int) e; return -1; }
-    return real(fd, bytes, e == 0 && n > 1 ? 1 : n);
+    return real(fd, bytes, e == 0 && n > 1 ? shorter(fd, n) : n);
 }
 ssize_t writev(int fd, const struct iovec *all, int n) {
     REAL(writev);
@@ -173,7 +175,7 @@
     REAL(read);
     long e = transfer_fault(fd, 0);
     if (e > 0) { errno = (int) e; return -1; }
-    return real(fd, bytes, e == 0 && n > 1 ? 1 : n);
+    return real(fd, bytes, e == 0 && n > 1 ? shorter(fd, n) : n);
 }
 
 /* ---- the folder ---- */
