--- a/src/main/java/firstair/Serve.java
+++ b/src/main/java/firstair/Serve.java
@@ -5,6 +5,7 @@
 import firstair.relay.Logs;
 import firstair.relay.Own;
 import firstair.relay.Relay;
+import firstair.relay.store.UnusableFolderException;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
@@ -56,7 +57,7 @@
     }
 
     private static int failed(IOException e) {
-        System.err.println("firstair: " + e);
+        System.err.println("firstair: " + (e instanceof UnusableFolderException ? e.getMessage() : e));
         return 1;
     }
 }
--- a/src/main/java/firstair/relay/Kept.java
+++ b/src/main/java/firstair/relay/Kept.java
@@ -5,7 +5,6 @@
 import firstair.relay.store.Owed;
 import firstair.relay.store.Store;
 import firstair.relay.store.Taken;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -168,6 +167,11 @@
         return store.flush();
     }
 
+    /** Whether the next process will surely not find what a failed {@link #flush} was to write. */
+    boolean certain() {
+        return store.certain();
+    }
+
     /** What this round has taken and not ended. */
     List<Held> fresh() {
         return fresh.stream().filter(h -> held.containsKey(h.taken.id())).toList();
@@ -185,7 +189,7 @@
         fresh.clear();
     }
 
-    void close() throws IOException {
+    void close() {
         store.close();
     }
 }
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -7,7 +7,6 @@
 import firstair.control.Controller.MessageClass;
 import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
-import firstair.control.Controller.Result;
 import firstair.relay.Kept.Held;
 import firstair.relay.clients.Ask;
 import firstair.relay.clients.ClientFilter;
@@ -53,6 +52,7 @@
     private static final int REFUSED = 503;
     private static final int UNKNOWN = 404;
     private static final int GIVEN_UP = 504;
+    private static final int FAILED = 500;
 
     /** What the list tells of an endpoint: its destination, and the most messages of a call. */
     private record Place(int destination, int bundleMax) {}
@@ -618,14 +618,15 @@
     }
 
     /**
-     * The store does not take what this round brought: what came in it is refused, then it is tried again. Calls that
-     * it could not note are not made: after a restart nobody would know of them.
+     * The store does not take what this round brought: what came in it is refused, then it is tried again. Where a part
+     * of a write may have stayed in the file, the next process might send it, and a refusal would promise too much.
+     * Calls that it could not note are not made: after a restart nobody would know of them.
      */
     private boolean unwritten() {
         for (Held h : kept.fresh()) {
             control.withdrawn(loop.now(), h.taken.id());
             kept.over(h.taken.id());
-            h.client.answer(REFUSED, 0);
+            h.client.answer(kept.certain() ? REFUSED : FAILED, 0);
         }
         return kept.flush();
     }
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -3,22 +3,19 @@
 import firstair.relay.Seldom;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.InterruptedIOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
-import java.util.stream.Stream;
 
 /**
  * The messages that the relay owes an end, in memory and in one file that is only appended to. When the file
@@ -27,8 +24,8 @@
  */
 public final class Store {
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
-    private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
-    private static final String DRAFT = "messages.tmp";
+    private static final long READ_PATIENCE_MS = 5000; // a relay has to be ready within 10 s
+    private static final long READ_AGAIN_MS = 50;
     private static final long STEP_TOLD_MS = 1000;
     private static final int SLACK = 8192; // bytes of the room left alone: partly used blocks, the folder
     private static final int PER_MESSAGE = 1024; // bytes kept for the calls and the end of each message
@@ -70,8 +67,8 @@
         }
     }
 
-    private final Path folder;
-    private final long room;
+    private final StateFolder folder;
+    private final long diskBytes;
     private final BootClock clock;
     private final Map<Long, Open> open = new LinkedHashMap<>();
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
@@ -81,60 +78,74 @@
     private long size;
     private long cost;
     private boolean behind; // the file lacks records that could not be written
+    private boolean torn; // the file may hold records of a write that failed
     private final Seldom failures = new Seldom(LOG, Level.SEVERE);
     private boolean told; // that it cannot be written
 
     private Store(Path folder, long diskBytes, BootClock clock) {
         this.clock = clock;
-        this.folder = folder;
-        this.room = diskBytes / 2 - SLACK;
+        this.folder = new StateFolder(folder);
+        this.diskBytes = diskBytes;
     }
 
     /**
-     * Reads what is in the folder and begins a new file with what is still open.
+     * Reads what is in the folder and begins a new file with what is still open. A folder that fails for a moment is
+     * tried again.
      *
      * @param diskBytes bytes that the folder may hold
      * @param clock     what deadlines and times of calls are told by
+     * @throws UnusableFolderException if the folder cannot be used, or goes on failing
      */
     public static Store open(Path folder, long diskBytes, BootClock clock) throws IOException {
         Store store = new Store(folder, diskBytes, clock);
-        Files.createDirectories(folder);
-        Files.deleteIfExists(folder.resolve(DRAFT));
-        List<Path> files = store.files();
-        if (!files.isEmpty()) {
-            store.read(files.get(files.size() - 1));
-        }
-        for (Path old : files.subList(0, Math.max(0, files.size() - 1))) {
-            Files.delete(old); // its successor was whole before it got its name
-        }
+        store.read(folder);
         try {
             store.rewrite();
         } catch (IOException e) {
             // What was read is still owed: serve it, take nothing new, and try again with each round.
             store.behind = true;
-            store.told = store.failures.log("store: cannot write: " + e);
+            store.told = store.failures.log("store: cannot write: " + UnusableFolderException.reason(e));
         }
         return store;
     }
 
-    private static long number(Path p) {
-        Matcher m = NAME.matcher(p.getFileName().toString());
-        return m.matches() ? Long.parseLong(m.group(1)) : -1;
+    private void read(Path of) throws IOException {
+        long end = clock.nowMs() + READ_PATIENCE_MS;
+        while (true) {
+            try {
+                folder.prepare();
+                List<Path> files = folder.generations();
+                if (!files.isEmpty()) {
+                    path = files.get(files.size() - 1);
+                    generation = StateFolder.generation(path);
+                    take(Files.readAllBytes(path));
+                }
+                files.subList(0, Math.max(0, files.size() - 1)).forEach(folder::discard);
+                return;
+            } catch (UnusableFolderException e) {
+                throw e;
+            } catch (IOException e) {
+                if (clock.nowMs() >= end) {
+                    throw UnusableFolderException.failing(of, e);
+                }
+                failures.log("store: cannot read, trying again: " + UnusableFolderException.reason(e));
+                pause();
+            }
+        }
     }
 
-    private List<Path> files() throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.filter(p -> number(p) >= 0)
-                    .sorted((a, b) -> Long.compare(number(a), number(b)))
-                    .toList();
+    private static void pause() throws IOException {
+        try {
+            TimeUnit.MILLISECONDS.sleep(READ_AGAIN_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            throw new InterruptedIOException("told to end while the folder was read");
         }
     }
 
-    private void read(Path from) throws IOException {
-        path = from;
-        generation = number(from);
+    private void take(byte[] file) {
         StoredTimes.Mark[] begun = new StoredTimes.Mark[1];
-        Records.Found found = Records.read(Files.readAllBytes(from), new Records.Reader() {
+        Records.Found found = Records.read(file, new Records.Reader() {
             @Override
             public void taken(Taken t) {
                 open.put(t.id(), new Open(t));
@@ -184,7 +195,7 @@
         }
         open.values().forEach(o -> cost += o.cost());
         if (found.damaged() > 0) {
-            LOG.severe("store: " + found.damaged() + " damaged places in " + from.getFileName() + " passed over");
+            LOG.severe("store: " + found.damaged() + " damaged places in " + path.getFileName() + " passed over");
         }
         if (found.tornBytes() > 0) {
             LOG.info("store: last record was cut off, " + found.tornBytes() + " bytes dropped");
@@ -203,7 +214,7 @@
 
     /** Whether there is room for one more message with so many bytes. */
     public boolean fits(int bodyBytes) {
-        return !behind && cost + bodyBytes + WITHOUT_BODY + PER_MESSAGE <= room;
+        return !behind && cost + bodyBytes + WITHOUT_BODY + PER_MESSAGE <= room();
     }
 
     /** A message is about to be taken on. */
@@ -272,11 +283,10 @@
         byte[] bytes = pending.toByteArray();
         pending.reset();
         try {
-            if (behind || size + bytes.length > room) {
+            if (behind || size + bytes.length > room()) {
                 rewrite();
             } else {
-                append(file, bytes);
-                size += bytes.length;
+                append(bytes);
             }
             if (told) {
                 LOG.info("store: writing again");
@@ -285,67 +295,115 @@
             behind = false;
             return true;
         } catch (IOException e) {
-            told = told || failures.log("store: cannot write: " + e);
+            told = told || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
             behind = true;
             return false;
         }
     }
 
-    private static void append(FileChannel to, byte[] bytes) throws IOException {
+    /**
+     * Whether nothing that a failed {@link #flush} was to write is in a file all the same: then the next start will not
+     * find it.
+     */
+    public boolean certain() {
+        return !torn;
+    }
+
+    private void append(byte[] bytes) throws IOException {
+        try {
+            write(file, bytes);
+            size += bytes.length;
+        } catch (IOException e) {
+            cutBack();
+            throw e;
+        }
+    }
+
+    /** Takes back what a failed write has left behind the last whole record. */
+    private void cutBack() {
+        try {
+            file.truncate(size);
+        } catch (IOException e) {
+            torn = true;
+        }
+    }
+
+    private static void write(FileChannel to, byte[] bytes) throws IOException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         while (buffer.hasRemaining()) {
             to.write(buffer);
         }
     }
 
+    /** Bytes that one file may hold, so that it and its successor fit beside what could not be deleted. */
+    private long room() {
+        return (diskBytes - folder.undeletedBytes()) / 2 - SLACK;
+    }
+
     private void rewrite() throws IOException {
-        Path draft = folder.resolve(DRAFT);
-        long written = 0;
-        FileChannel next = FileChannel.open(
-                draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+        if (folder.undeletedBytes() + size + cost > diskBytes - SLACK) {
+            throw new IOException("no room beside files that cannot be deleted");
+        }
+        FileChannel next = folder.newDraft();
+        Path named = folder.named(generation + 1);
+        long written;
         try {
-            ByteArrayOutputStream block = new ByteArrayOutputStream();
-            block.writeBytes(Records.clock(StoredTimes.Mark.of(clock)));
-            for (Open o : open.values()) {
-                block.writeBytes(Records.taken(o.taken));
-                for (Tried t : o.tries) {
-                    block.writeBytes(Records.called(o.taken.id(), t));
-                }
-                if (o.owed != null) {
-                    block.writeBytes(Records.owed(o.taken.id(), o.owed));
-                }
-                if (block.size() >= SLACK) {
-                    append(next, block.toByteArray());
-                    written += block.size();
-                    block.reset();
-                }
+            written = writeAll(next);
+            folder.publish(named);
+        } catch (IOException e) {
+            close(next);
+            folder.dropDraft();
+            throw e;
+        }
+        // From here on the new file is the one that counts, whatever becomes of the old one.
+        FileChannel before = file;
+        Path old = path;
+        generation++;
+        path = named;
+        file = next;
+        size = written;
+        torn = false;
+        close(before);
+        if (old != null) {
+            folder.discard(old);
+        }
+    }
+
+    private long writeAll(FileChannel next) throws IOException {
+        ByteArrayOutputStream block = new ByteArrayOutputStream();
+        block.writeBytes(Records.clock(StoredTimes.Mark.of(clock)));
+        long written = 0;
+        for (Open o : open.values()) {
+            block.writeBytes(Records.taken(o.taken));
+            for (Tried t : o.tries) {
+                block.writeBytes(Records.called(o.taken.id(), t));
+            }
+            if (o.owed != null) {
+                block.writeBytes(Records.owed(o.taken.id(), o.owed));
             }
-            append(next, block.toByteArray());
-            written += block.size();
-            Path named = folder.resolve("messages-" + (generation + 1) + ".log");
-            Files.move(draft, named, StandardCopyOption.ATOMIC_MOVE);
+            if (block.size() >= SLACK) {
+                write(next, block.toByteArray());
+                written += block.size();
+                block.reset();
+            }
+        }
+        write(next, block.toByteArray());
+        return written + block.size();
+    }
+
+    private static void close(FileChannel file) {
+        try {
             if (file != null) {
                 file.close();
             }
-            if (path != null) {
-                Files.deleteIfExists(path);
-            }
-            generation++;
-            path = named;
-            file = next;
-            size = written;
         } catch (IOException e) {
-            next.close();
-            Files.deleteIfExists(draft);
-            throw e;
+            // nothing is buffered here: what was written is with the system
         }
     }
 
-    /** Closes the file. */
-    public void close() throws IOException {
+    /** Writes what is left to be written and closes the file. */
+    public void close() {
         flush();
-        if (file != null) {
-            file.close();
-        }
+        close(file);
     }
 }
