--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,6 +1,9 @@
 #!/bin/sh
 # Runs one relay within the memory that its configuration allows: sh deploy/run.sh -jar target/firstair.jar serve
 set -eu
+# Until the program has a handler, SIGHUP would end it, and a new configuration may cross a start. Ignored from here on,
+# it ends nothing; the relay looks at its files for changes instead.
+trap '' HUP
 # limits.memory_mb of the file that ROUTER_CONFIG names; where it says nothing, the most that deployments have. Read by
 # the shell alone: a relay may not be allowed to start other programs, and one that can't start is worse than a guess.
 memory=
--- a/src/main/java/firstair/Hangups.java
+++ b/src/main/java/firstair/Hangups.java
@@ -11,10 +11,11 @@
 /**
  * SIGHUP from the first moment of a process on. One that comes while the relay is still starting is kept until it
  * serves: the configuration may have been read just before it was changed, and nobody signals twice. Where the process
- * was started with SIGHUP ignored, changes of the files stand in for it.
+ * was started with SIGHUP ignored, changes of the files stand in for it. The deployment starts it so: before the virtual
+ * machine has taken the signal over, some tenths of a second, its default would end the process.
  */
 final class Hangups {
-    private static final int LOOK_MS = 250; // four times a second: the platform's old place answers for 1.5 s
+    private static final int LOOK_MS = 50; // a notice that is due as the platform moves has 300 ms
 
     private Runnable reload;
     private boolean missed;
@@ -42,7 +43,7 @@
     /** Looks at files for as long as the process lives, and takes each change of one for a signal. */
     void watch(List<Path> files) {
         Logger.getLogger(Hangups.class.getName())
-                .info("started with SIGHUP ignored: the configuration is looked at for changes instead");
+                .fine("SIGHUP is ignored here: the configuration is looked at for changes instead");
         List<String> first = states(files);
         Thread t = new Thread(() -> look(files, first), "files");
         t.setDaemon(true);
--- a/src/test/java/firstair/relay/RelayProcessTest.java
+++ b/src/test/java/firstair/relay/RelayProcessTest.java
@@ -519,6 +519,8 @@
     void atAHangUpItFollowsDiscoveryAndThePlatformAndTouchesNoMessage(boolean ignored) throws Exception {
         if (ignored) {
             node.ignoreHangUps();
+        } else {
+            node.takeSignals();
         }
         LinkedBlockingQueue<StandIn.Request> held = new LinkedBlockingQueue<>();
         behaviour = held::add;
