--- a/src/test/java/firstair/control/RestartTest.java
+++ b/src/test/java/firstair/control/RestartTest.java
@@ -126,4 +126,21 @@
         assertThat(b.givenUp).containsExactly(ran);
         assertThat(b.refused).containsExactly(never);
     }
+
+    /** Its process died with the call out, which may still run: later messages of its key rest as behind a reset. */
+    @Test
+    void aCallThatWasOutRestsItsKey() {
+        MessageClass c = new MessageClass(
+                "c", Controller.Effect.UNSAFE, Controller.Scope.ALL, true, false, 2_000, 0, 10_000, 0, 1, 0.3);
+        Bench b = relay(c);
+        double returned = b.now;
+        long first = b.resume(0, 9_000, new Try("1/0/a", b.now - 100, true));
+        b.resume(0, 9_000);
+        b.decide();
+        assertThat(b.givenUp).containsExactly(first);
+        assertThat(b.sent).isEmpty();
+        b.run(1_000, Result.OK, 10);
+        assertThat(b.sent).hasSize(1).allSatisfy(x -> assertThat(x.at() - returned)
+                .isGreaterThanOrEqualTo(500));
+    }
 }
--- a/src/test/java/firstair/relay/ListClockTest.java
+++ b/src/test/java/firstair/relay/ListClockTest.java
@@ -119,6 +119,12 @@
         assertThat(silence + failing + LATE_MS)
                 .as("a silent watch, a call that fails, a late one")
                 .isLessThan(TOLD_MS - 300);
+        assertThat(silence + 3 * failing)
+                .as("a silent watch and three calls that fail")
+                .isLessThan(TOLD_MS - 200);
+        assertThat(2 * silence + failing)
+                .as("a silent watch, a call that fails, a head with nothing behind it")
+                .isLessThan(TOLD_MS - 150);
         assertThat(2 * silence).as("two watches that fall silent").isLessThan(TOLD_MS - 600);
         assertThat(pause + 3 * failing).as("a pause and three calls that fail").isLessThan(TOLD_MS - 900);
         assertThat(pause + 2 * failing + LATE_MS)
@@ -281,6 +287,14 @@
                 "object endless never",
                 "object nothing pieces",
                 "object slow long",
+                "object nothing nothing nothing",
+                "object never never never",
+                "object slow slow slow",
+                "object reset reset reset",
+                "object half slow never",
+                "object nothing head",
+                "object slow head",
+                "object refuse head",
                 // discovery is back just after a call has been refused, or has begun
                 "refuse slow slow slow",
                 "refuse nothing nothing nothing",
--- a/src/test/java/firstair/relay/endpoints/EndpointsTest.java
+++ b/src/test/java/firstair/relay/endpoints/EndpointsTest.java
@@ -196,6 +196,19 @@
         assertThat(s.accepted()).isEqualTo(1);
     }
 
+    /** Between two sweeps: a relay that is held up for 0.15 s would write where the endpoint may close (row P38). */
+    @Test
+    void anIdleConnectionThatIsDueIsNotUsedBeforeASweepHasSeenIt() throws Exception {
+        StandIn s = endpoint(r -> r.answer(200));
+        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+        double answered = loop.now();
+        while (loop.now() - answered < IDLE_MS + 20) {
+            TimeUnit.MILLISECONDS.sleep(10);
+        }
+        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+        assertThat(s.accepted()).isEqualTo(2);
+    }
+
     @Test
     void aRefusedConnectionNeverRan() throws Exception {
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- /dev/null
+++ b/src/test/java/firstair/relay/faults/SignalTest.java
@@ -0,0 +1,146 @@
+package firstair.relay.faults;
+
+import static firstair.relay.faults.Preload.rule;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstair.relay.standin.Platform;
+import java.nio.file.Path;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Signals twice, in a row, before the relay is ready and amid other trouble (rows P56, P57, S10, S14, M30, M33). */
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class SignalTest {
+    private static final long KILL_MS = 3700; // SIGKILL comes so long behind SIGTERM at the soonest
+
+    @TempDir
+    private Path folder;
+
+    private Stage stage;
+    private Preload preload;
+
+    @BeforeEach
+    void start() throws Exception {
+        stage = new Stage(folder);
+        preload = new Preload(stage.node, folder);
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        stage.close();
+    }
+
+    private void endsInOrder() throws Exception {
+        assertThat(stage.node.ended(KILL_MS)).as("ended before the kill").isTrue();
+        assertThat(stage.node.log()).noneMatch(l -> l.contains("Exception") || l.contains("SEVERE"));
+    }
+
+    /** Two new configurations within 50 ms: the last place is followed, with signals and without. */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void twoHangUpsWithinFiftyMillisecondsFollowTheLast(boolean signals) throws Exception {
+        if (signals) {
+            stage.node.takeSignals();
+        }
+        stage.node.start();
+        stage.behaviour = r -> {};
+        try (Platform second = new Platform(stage.list(2));
+                Platform third = new Platform(stage.list(3))) {
+            double taken = stage.take("m1", "unsafe", 1500);
+            stage.node.discovery(second.hostPort());
+            stage.node.hangUp();
+            TimeUnit.MILLISECONDS.sleep(20);
+            stage.node.discovery(third.hostPort());
+            stage.node.hangUp();
+            String notice = third.notices.poll(3, TimeUnit.SECONDS);
+            assertThat(notice).contains("m1").contains("given_up");
+            assertThat(stage.now() - taken).isLessThan(1500 + 350);
+            assertThat(third.watched()).isTrue();
+        }
+    }
+
+    @Test
+    void toldToEndRightBehindANewConfigurationItDoesBoth() throws Exception {
+        stage.node.start();
+        stage.behaviour = r -> {};
+        try (Platform second = new Platform(stage.list(2))) {
+            stage.take("m1", "safe", 20_000);
+            stage.node.discovery(second.hostPort());
+            stage.node.hangUp();
+            stage.node.terminate();
+            endsInOrder();
+            stage.behaviour = r -> r.answer(200);
+            double again = stage.now();
+            stage.node.start();
+            stage.called("m1", 2, again + 3000);
+        }
+    }
+
+    @Test
+    void toldToEndTwiceItEndsInOrder() throws Exception {
+        stage.node.start();
+        stage.behaviour = r -> {};
+        stage.take("m1", "safe", 20_000);
+        stage.node.terminate();
+        TimeUnit.MILLISECONDS.sleep(300);
+        stage.node.terminate();
+        endsInOrder();
+        stage.behaviour = r -> r.answer(200);
+        double again = stage.now();
+        stage.node.start();
+        stage.called("m1", 2, again + 3000);
+    }
+
+    /** Before it is ready: it ends, by the signal or in order, and what was owed is owed by the next process. */
+    @ParameterizedTest
+    @ValueSource(longs = {20, 100, 200, 300, 400, 600})
+    void toldToEndInTheFirstMomentsItLosesNothing(long afterMs) throws Exception {
+        stage.node.start();
+        stage.behaviour = r -> r.answer(503);
+        double taken = stage.take("m1", "safe", 20_000);
+        stage.node.kill();
+        stage.node.launch();
+        TimeUnit.MILLISECONDS.sleep(afterMs);
+        stage.node.terminate();
+        assertThat(stage.node.ended(KILL_MS)).isTrue();
+        stage.behaviour = r -> r.answer(200);
+        stage.calls.clear();
+        stage.node.start();
+        stage.called("m1", 1, taken + 15_000);
+    }
+
+    @Test
+    void itEndsInTimeThoughEverythingHangs() throws Exception {
+        stage.node.start();
+        stage.behaviour = r -> {};
+        for (int i = 0; i < 12; i++) {
+            stage.take("m" + i, i % 2 == 0 ? "safe" : "unsafe", 20_000);
+        }
+        stage.platform.noticeStatus(503);
+        stage.node.terminate();
+        endsInOrder();
+    }
+
+    @Test
+    void itEndsInTimeThoughItsFolderTakesNothing() throws Exception {
+        stage.node.start();
+        stage.behaviour = r -> r.answer(503);
+        stage.take("m1", "safe", 20_000);
+        preload.rules(rule("file_write", 0, Preload.ALWAYS, Preload.ENOSPC, "messages"));
+        stage.node.terminate();
+        assertThat(stage.node.ended(KILL_MS)).isTrue();
+        assertThat(stage.node.status()).isIn(0, 143);
+        preload.rules();
+        stage.behaviour = r -> r.answer(200);
+        stage.calls.clear();
+        double again = stage.now();
+        stage.node.start();
+        stage.called("m1", 1, again + 3000);
+    }
+}
