--- a/src/main/java/firstair/control/Control.java
+++ b/src/main/java/firstair/control/Control.java
@@ -1,3 +1,4 @@
+// The interface (settings, events, actions) stands in Controller.java, the reasons in docs/design.md.
 package firstair.control;
 
 import java.util.ArrayDeque;
@@ -12,7 +13,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** All decisions of a relay and their state, by Controller.java; docs/design.md says what was added. */
+/** All decisions of a relay and their state; see {@link Controller} and docs/design.md. */
 public final class Control implements Controller {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
     private static final double FOREVER = Double.POSITIVE_INFINITY;
@@ -84,6 +85,7 @@
     private static final double MORE_PLACES = 0.25; // and so many come back with each answer
     private static final double FIRST_LOCAL_PAUSE_MS = 50; // where this machine could ask for no connection,
     private static final double MOST_LOCAL_PAUSE_MS = 800; // and the longest: it may be able to at any time
+    private static final double HELD_UP_MS = 150; // between our clock and our write, at most (operators)
     // Choice among waiting messages.
     private static final double FAILED_COST = 0.2; // cost of an endpoint for each failure in a row
     private static final double LOOKAHEAD_MS = 1500; // how far the loss by waiting is looked at
@@ -93,6 +95,7 @@
     private static final double EARLY_PRICE = 0.3; // try, it costs so much of its worth (operators)
     private static final double ROOM = 0.06; // share of the open messages kept free
     private static final double ASK_AGAIN_MS = 400; // pause before asking for the list again
+    private static final double AFTER_WAITING_MS = 100; // the same where the call had let wait for long
     private static final double TICK_MS = 5; // wake-ups are no closer than this
     private static final double FORGET_MS = 10_000; // what comes back on the list sooner is known
 
@@ -255,6 +258,10 @@
 
     @Override
     public void list(double now, News news, List<Entry> entries) {
+        if (news == News.OVERDUE) {
+            askAt = now + jittered(AFTER_WAITING_MS);
+            return;
+        }
         if (news == News.FAILED) {
             // A failure does not say whether a watch stands, and changes count soon after discovery is back.
             double most = cfg.rules().askEveryMs() > 0 ? cfg.rules().askEveryMs() / 8 : FOREVER;
@@ -326,8 +333,8 @@
         m.dest.taken++;
         m.handedAt = Math.min(now, message.deadlineAt() - m.c.deadlineMs());
         m.notBefore = m.takenAt = now;
-        // A refusal proves that an unsafe message never ran; a relay that died or was silent proves nothing.
-        if (message.fromDeadRelay() || message.again() && m.c.effect() != Effect.UNSAFE) {
+        // A refusal proves that it never ran, whatever its class; a relay that died proves nothing.
+        if (message.fromDeadRelay()) {
             m.doubtAt = m.handedAt; // the earliest send that a history which we never saw can hold
         }
         m.pauses = m.tries = message.tried().size();
@@ -341,7 +348,11 @@
         }
         held.put(message.id(), m);
         if (m.ordered()) {
-            orders.computeIfAbsent(message.key(), k -> new Order()).queue.add(m);
+            Order order = orders.computeIfAbsent(message.key(), k -> new Order());
+            order.queue.add(m);
+            if (message.tried().stream().anyMatch(Try::maybeRan)) {
+                order.restUntil = Math.max(order.restUntil, now + cfg.rules().settleAfterDoubtMs());
+            }
         }
     }
 
@@ -405,7 +416,8 @@
         Call c = a.call;
         Endpoint e = c.e;
         boolean fell = e.down ? !c.trial : e.coldSince > c.sentAt; // no trial, and in no ramp
-        boolean lands = now <= last(m) + usual(m.dest, m.type) / 2; // the connection was part of a call
+        double rest = usual(m.dest, m.type) / 2; // the connection was part of a call
+        boolean lands = now <= m.m.deadlineAt() - rest && now <= repeatable(m) - Math.max(rest, HELD_UP_MS);
         if (m.over || fell || !lands || e.unit.waitUntil > now || !m.active().contains(e)) {
             return 0;
         }
@@ -530,7 +542,7 @@
         m.notBefore = now + wait + Math.max(0, Math.min(jittered(next), left / 2));
     }
 
-    /** When this machine is likely to be able to ask for connections again: one pause for all that failed together. */
+    /** When this machine may be able to ask for connections again: one pause for all that failed together. */
     private double afterLocalFailure(double now) {
         if (now >= localUntil) {
             localUntil = now + jittered(localPauseMs);
@@ -843,8 +855,13 @@
 
     /** Until when a call of it can land in time. */
     private double last(Msg m) {
-        double closes = m.inDoubt() && m.c.effect() == Effect.KEYED ? m.doubtAt + m.c.windowMs() : FOREVER;
-        return Math.min(m.m.deadlineAt(), closes) - usual(m.dest, m.type);
+        double usual = usual(m.dest, m.type);
+        return Math.min(m.m.deadlineAt() - usual, repeatable(m) - Math.max(usual, HELD_UP_MS));
+    }
+
+    /** Until when its destination drops a repeat of what may have run. */
+    private static double repeatable(Msg m) {
+        return m.inDoubt() && m.c.effect() == Effect.KEYED ? m.doubtAt + m.c.windowMs() : FOREVER;
     }
 
     /** When the next trial is due, or the pace lets the next call go. */
--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -80,7 +80,10 @@
         CHANGES,
         COMPLETE,
         STORED,
-        FAILED
+        /** A call for the list failed soon, or what it told has ended. */
+        FAILED,
+        /** A call for the list failed, or has not been answered, after a wait that was pause enough. */
+        OVERDUE
     }
 
     /** A class of message. */
@@ -241,7 +244,7 @@
         void report(String text);
     }
 
-    /** News of the list of endpoints; no entries come with {@link News#FAILED}. */
+    /** News of the list of endpoints; no entries come with {@link News#FAILED} and {@link News#OVERDUE}. */
     void list(double now, News news, List<Entry> entries);
 
     /** A message was handed in; one final answer is owed. */
--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -114,7 +114,8 @@
     // The protocol's own figures, and what follows from them.
     private static final int MAX_BODY = 64 * KIB;
     private static final int MAX_HEAD = 16 * KIB; // many times what clients and endpoints send
-    private static final double LIST_SILENCE_MS = 2500; // lines come every 2 s; twice over is well under 6 s
+    private static final double LIST_SILENCE_MS =
+            2250; // lines come every 2 s; twice, and a call that fails, is under 6 s
     private static final double LIST_ANSWER_MS = 3000; // twice a late connection
     private static final int LIST_CALLS = 3; // out at most beside each other
     private static final double NOTICE_DUE_MS = 300; // after a message's time
--- a/src/main/java/firstair/relay/discovery/Watch.java
+++ b/src/main/java/firstair/relay/discovery/Watch.java
@@ -28,7 +28,7 @@
 
     /** Gets the news, on the loop's thread. */
     public interface Listener {
-        /** {@code listed} is null with {@link News#FAILED}. */
+        /** {@code listed} is null with {@link News#FAILED} and {@link News#OVERDUE}. */
         void news(News news, Listed listed);
     }
 
@@ -106,16 +106,24 @@
     private void failed(Call which, String why) {
         if (calls.contains(which)) {
             leave(which);
-            tell(which, why);
+            tell(which, which.waitedLong() ? News.OVERDUE : News.FAILED, why);
+        }
+    }
+
+    /** What it tells cannot be read: asked again at once, it would hardly tell anything else. */
+    private void unreadable(Call which, String why) {
+        if (calls.contains(which)) {
+            leave(which);
+            tell(which, News.FAILED, why);
         }
     }
 
     /** That a call fails is news once: one that has let wait has been asked for again. */
-    private void tell(Call which, String why) {
+    private void tell(Call which, News news, String why) {
         if (!which.late) {
             which.late = true;
             lost(why);
-            listener.news(News.FAILED, null);
+            listener.news(news, null);
         }
     }
 
@@ -139,7 +147,7 @@
         try {
             listed = Listed.read(text, kinds, zones);
         } catch (IllegalArgumentException e) {
-            failed(from, e.getMessage());
+            unreadable(from, e.getMessage());
             return;
         }
         if (lost) {
@@ -163,6 +171,7 @@
         Link link; // null until it has been opened
         boolean told;
         boolean late; // lets wait for its head, or for the rest of an object; that is news already
+        private final double startedAt = loop.now();
         private boolean doubted;
         private volatile double heardAt = loop.now();
         private volatile boolean begun;
@@ -182,9 +191,14 @@
             link = dialer.open(address, Long.MAX_VALUE, request, this, () -> {});
         }
 
+        /** Whether it took so long over nothing that no further pause is needed before the next one. */
+        private boolean waitedLong() {
+            return !told && loop.now() - startedAt >= limits.listWaitMs() / 2;
+        }
+
         private void waited(boolean still, String what) {
             if (still && calls.contains(this)) {
-                tell(this, what + ", for " + Math.round(limits.listWaitMs()) + " ms");
+                tell(this, News.OVERDUE, what + ", for " + Math.round(limits.listWaitMs()) + " ms");
             }
         }
 
@@ -230,7 +244,7 @@
                     loop.post(() -> loop.after(limits.listWaitMs(), () -> waited(objectAt == began, "half an object")));
                 }
             } catch (IllegalArgumentException e) {
-                loop.post(() -> failed(this, e.getMessage()));
+                loop.post(() -> unreadable(this, e.getMessage()));
             }
         }
 
