--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -186,7 +186,7 @@
     private void open() {
         opening = null;
         try {
-            listener = wire.listen(config.listen(), clients);
+            listener = wire.listen(config.listen(), clients, clients::stays);
         } catch (IOException e) {
             failure = e;
             loop.end();
@@ -435,7 +435,8 @@
 
     private void take(HandIn h) {
         if (h.gone()) {
-            return; // its client waits no more and may hand it in elsewhere
+            h.answer(REFUSED, 0); // its client may hand it in elsewhere; one that has only ended its sending hears it
+            return;
         }
         Held known = kept.of(h.requestId());
         if (known != null) {
--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -40,6 +40,7 @@
     private final HttpParser parser;
     private Phase phase = Phase.OPEN;
     private boolean answering; // a request awaits its answer
+    private boolean inputEnded; // the client sends nothing more, and may still listen
     private boolean last; // no request is taken after this answer
     private boolean draining;
     private boolean served; // a request has been answered
@@ -249,7 +250,7 @@
             return;
         }
         // Clients that ask once and stay, or open one for each request, would take all that clients may have.
-        boolean close = last || draining || crowded.getAsBoolean();
+        boolean close = last || draining || crowded.getAsBoolean() || inputEnded && backlog.length == 0;
         HttpWriter w = HttpWriter.answer(status);
         if (retryAfterMs > 0) {
             w.header("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / MS_PER_S));
@@ -305,7 +306,15 @@
      * the answer with it. The client closes, or a sweep does.
      */
     private void finish() {
-        Wire.endSending(connection, this::close);
+        if (hasEndedSending()) {
+            close(); // nothing unread can be left
+        } else {
+            Wire.endSending(connection, this::close);
+        }
+    }
+
+    private synchronized boolean hasEndedSending() {
+        return inputEnded;
     }
 
     /** From now on it ends with its next answer, and at once if it neither has a request nor is about to. */
@@ -472,7 +481,13 @@
     }
 
     synchronized boolean gone() {
-        return phase != Phase.OPEN;
+        return phase != Phase.OPEN || inputEnded;
+    }
+
+    /** Its client sends nothing more: true if an answer is owed all the same, and then it ends with that. */
+    synchronized boolean endedSending() {
+        inputEnded = true;
+        return phase == Phase.OPEN && answering || phase == Phase.ENDING && unsent > 0;
     }
 
     /** Ends it at once: who does not read its answers must not keep its place until they are written. */
--- a/src/main/java/firstair/relay/clients/ClientFilter.java
+++ b/src/main/java/firstair/relay/clients/ClientFilter.java
@@ -6,6 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.attributes.Attribute;
 import org.glassfish.grizzly.filterchain.BaseFilter;
@@ -83,6 +84,12 @@
         return ctx.getStopAction();
     }
 
+    /** A client has ended its sending: whether its connection stays for an answer that is owed. */
+    public boolean stays(Connection<?> connection) {
+        ClientConnection client = CLIENT.get(connection);
+        return client != null && client.endedSending();
+    }
+
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
         ClientConnection client = CLIENT.get(ctx.getConnection());
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -274,6 +274,11 @@
             Idle rests = null;
             for (Iterator<Idle> all = kept.descendingIterator(); all.hasNext(); ) {
                 Idle last = all.next();
+                if (now - last.since() >= limits.idleMs()) {
+                    all.remove(); // a sweep would have ended it: the endpoint may do so at any moment
+                    last.link().leave();
+                    continue;
+                }
                 if (now - last.since() < limits.restMs()) {
                     rests = last; // what is still to come behind its last answer must not be taken for the next one
                     continue;
--- a/src/main/java/firstair/relay/net/Wire.java
+++ b/src/main/java/firstair/relay/net/Wire.java
@@ -6,6 +6,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
+import java.util.function.Predicate;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
@@ -32,6 +33,7 @@
     private final TCPNIOTransport transport;
     private final FilterChain links;
     private final int maxHead;
+    private final int readBuffer;
 
     /** Starts the selector thread. */
     public Wire(Limits limits) throws IOException {
@@ -50,6 +52,7 @@
                 .setReuseAddress(true)
                 .build();
         maxHead = limits.maxHead();
+        readBuffer = limits.readBuffer();
         links = chain(new LinkFilter());
         transport.start();
     }
@@ -61,10 +64,19 @@
                 .build();
     }
 
-    /** Listens; each connection is served by the filter. */
-    public Connection<?> listen(InetSocketAddress at, Filter filter) throws IOException {
+    /**
+     * Listens; each connection is served by the filter.
+     *
+     * @param stays whether a connection whose peer has ended its sending is still owed something, on the selector's
+     *     thread
+     */
+    public Connection<?> listen(InetSocketAddress at, Filter filter, Predicate<Connection<?>> stays)
+            throws IOException {
         return TCPNIOBindingHandler.builder(transport)
-                .processor(chain(filter))
+                .processor(FilterChainBuilder.stateless()
+                        .add(new HalfCloseFilter(readBuffer, stays))
+                        .add(filter)
+                        .build())
                 .build()
                 .bind(at);
     }
