--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # build, test, lint and run; see README.md
-.PHONY: build test lint run soak histories sites clean
+.PHONY: build test lint run soak restarts histories sites clean
 
 build:
 	mvn -q -B -DskipTests package
@@ -18,7 +18,11 @@
 
 # Ten minutes of a relay under a platform that moves and fails; status 0 if every promise was kept.
 soak: build
-	java -cp 'target/firstair.jar:target/lib/*' firstair.kit.soak.Soak --seconds 600
+	java -jar target/firstair.jar soak --seconds 600
+
+# Fifty relays, one after another and two at a time, under series of signals, kills and starts; status 0 if every rule was kept.
+restarts: build
+	java -jar target/firstair.jar restarts --seeds 50
 
 # A thousand histories of fleets under faults, in memory; status 0 if every invariant held after every event.
 histories: build
--- a/src/main/java/firstair/Hangups.java
+++ b/src/main/java/firstair/Hangups.java
@@ -5,7 +5,6 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
 
 /**
@@ -15,8 +14,8 @@
  * machine has taken the signal over, some tenths of a second, its default would end the process.
  */
 final class Hangups {
-    private static final int LOOK_MS = 50; // a notice that is due as the platform moves has 300 ms
-
+    private List<Path> files = List.of(); // that are looked at
+    private List<String> before = List.of();
     private Runnable reload;
     private boolean missed;
 
@@ -40,29 +39,20 @@
         }
     }
 
-    /** Looks at files for as long as the process lives, and takes each change of one for a signal. */
-    void watch(List<Path> files) {
+    /** From now on {@link #look} takes each change of a file for a signal. */
+    void watch(List<Path> changing) {
         Logger.getLogger(Hangups.class.getName())
                 .fine("SIGHUP is ignored here: the configuration is looked at for changes instead");
-        List<String> first = states(files);
-        Thread t = new Thread(() -> look(files, first), "files");
-        t.setDaemon(true);
-        t.start();
+        before = states(changing);
+        files = changing;
     }
 
-    private void look(List<Path> files, List<String> first) {
-        List<String> before = first;
-        try {
-            while (true) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                List<String> now = states(files);
-                if (!now.equals(before)) {
-                    before = now;
-                    signal();
-                }
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+    /** Looks whether a file has changed; to be called several times a second, on one thread. */
+    void look() {
+        List<String> now = states(files);
+        if (!now.equals(before)) {
+            before = now;
+            new Thread(this::signal, "hangup").start(); // to read it may take a second
         }
     }
 
--- /dev/null
+++ b/src/main/java/firstair/kit/soak/RestartSoakCommand.java
@@ -0,0 +1,53 @@
+package firstair.kit.soak;
+
+import firstair.cli.Part;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** Runs soaks with restarts. */
+@Command(
+        name = "restarts",
+        mixinStandardHelpOptions = true,
+        showDefaultValues = true,
+        description = {
+            "Holds relays to the rules over series of signals, kills and starts, on loopback, one relay a seed.",
+            "Status 0 if every rule was kept; a breach begins with its row of docs/terms-audit.md."
+        })
+public final class RestartSoakCommand implements Part {
+    @Option(names = "--seeds", defaultValue = "50", description = "how many runs")
+    private int seeds;
+
+    @Option(names = "--from", defaultValue = "1", description = "the first seed")
+    private long from;
+
+    @Option(names = "--seconds", defaultValue = "40", description = "how long messages are handed in, in each run")
+    private double seconds;
+
+    @Option(names = "--side-by-side", defaultValue = "2", description = "runs at a time")
+    private int sideBySide;
+
+    @Override
+    public Integer call() throws Exception {
+        ExecutorService pool = Executors.newFixedThreadPool(sideBySide);
+        List<Future<RestartSoak.Result>> all = new ArrayList<>();
+        for (long seed = from; seed < from + seeds; seed++) {
+            RestartSoak soak = new RestartSoak(seed, seconds);
+            all.add(pool.submit(soak::run));
+        }
+        pool.shutdown();
+        int broken = 0;
+        for (Future<RestartSoak.Result> f : all) {
+            RestartSoak.Result r = f.get();
+            System.out.println(r);
+            r.verdicts().forEach(v -> System.out.println("  " + v));
+            broken += r.verdicts().isEmpty() ? 0 : 1;
+        }
+        System.out.println(broken + " of " + seeds + " broken");
+        return broken == 0 ? 0 : 1;
+    }
+}
--- a/src/main/java/firstair/kit/standin/MovingPlatform.java
+++ b/src/main/java/firstair/kit/standin/MovingPlatform.java
@@ -57,7 +57,7 @@
     private final Map<Fault, AtomicInteger> drawn = new EnumMap<>(Fault.class);
     private final List<StandIn.Request> watches = new ArrayList<>();
     private final AtomicInteger posts = new AtomicInteger();
-    private final String list;
+    private String list;
     private StandIn place;
     private Fault before = Fault.NONE;
 
@@ -99,6 +99,33 @@
                 TimeUnit.MILLISECONDS);
     }
 
+    /**
+     * The list changes: who asks from now on gets all of it, and who watches gets the changes.
+     *
+     * @param whole   the list, a JSON object on one line
+     * @param changes what is new in it, likewise
+     */
+    public void change(String whole, String changes) {
+        synchronized (watches) {
+            list = whole;
+            watches.removeIf(w -> !written(w, changes));
+        }
+    }
+
+    private static boolean written(StandIn.Request watch, String line) {
+        try {
+            chunk(watch, line);
+            return true;
+        } catch (IOException e) {
+            return false; // its relay has left
+        }
+    }
+
+    /** The first notice of each message that had one, by the messages' ids. */
+    public Map<String, Notice> notices() {
+        return Map.copyOf(notices);
+    }
+
     /** The first notice of a message, or null. */
     public Notice notice(String message) {
         return notices.get(message);
@@ -131,7 +158,11 @@
         } else if (!r.target().startsWith("/api/targets")) {
             r.answer(404);
         } else {
-            r.answer(200, list.getBytes(StandardCharsets.UTF_8));
+            String whole;
+            synchronized (watches) {
+                whole = list;
+            }
+            r.answer(200, whole.getBytes(StandardCharsets.UTF_8));
         }
     }
 
@@ -199,14 +230,7 @@
 
     private void emptyLines() {
         synchronized (watches) {
-            watches.removeIf(w -> {
-                try {
-                    chunk(w, "");
-                    return false;
-                } catch (IOException e) {
-                    return true; // its relay has left
-                }
-            });
+            watches.removeIf(w -> !written(w, ""));
         }
     }
 
--- a/src/main/java/firstair/kit/standin/StandIn.java
+++ b/src/main/java/firstair/kit/standin/StandIn.java
@@ -15,6 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
 
 /**
  * A small HTTP/1.1 server that plays a peer, on a loopback port of its own: one thread a connection, one handler for
@@ -69,6 +70,7 @@
     private final Handler handler;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private final AtomicInteger accepted = new AtomicInteger();
+    private volatile Consumer<Socket> whenEnded = s -> {};
 
     /** Listens on a free port of the loopback address. */
     public StandIn(Handler handler) throws IOException {
@@ -112,6 +114,7 @@
         } catch (IOException e) {
             // the other side has left, or the handler has
         } finally {
+            whenEnded.accept(s);
             open.remove(s);
         }
     }
@@ -149,6 +152,11 @@
         server.close();
     }
 
+    /** Tells each connection that the other side has ended, or whose handler has failed. */
+    public void whenEnded(Consumer<Socket> told) {
+        whenEnded = told;
+    }
+
     /** Connections that came so far. */
     public int accepted() {
         return accepted.get();
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -34,8 +34,6 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
@@ -79,8 +77,10 @@
     private final List<Send> sends = new ArrayList<>(); // asked for in this round
     private final Seldom overdues = new Seldom(LOG, Level.SEVERE);
     private final Object reloading = new Object();
+    private final Rereading rereading;
     private final CountDownLatch ended = new CountDownLatch(1);
     private double returnedAt = Double.NEGATIVE_INFINITY; // when this process took up what the last one left
+    private Runnable swept = () -> {};
     private boolean listen;
     private boolean unlisted; // just started, and what discovery pushes has not come yet
     private Connection<?> listener;
@@ -111,6 +111,7 @@
         own = config.own();
         limits = config.limits().tuned(own);
         loop = new Loop(limits.roundMs());
+        rereading = new Rereading(() -> limits.reloadMs(), limits.sweepMs());
         List<MessageClass> all = config.settings().classes();
         for (int i = 0; i < all.size(); i++) {
             classes.put(all.get(i).name(), i);
@@ -169,7 +170,7 @@
             // first moment on: before it has come we call nobody, unless it takes too long.
             listen = true;
             unlisted = true;
-            loop.after(limits.openMs(), () -> unlisted = false);
+            loop.after(limits.listWaitMs(), () -> unlisted = false);
         }
         resume();
         round();
@@ -220,27 +221,9 @@
      */
     public void reload(Supplier<Config> read, Supplier<Values> ours) {
         synchronized (reloading) { // the last of several signals must win
-            again(read, next -> loop.post(() -> moved(next)), "configuration");
-            again(ours, next -> loop.post(() -> tuned(next)), "settings"); // behind it: discovery has moved by now
-        }
-    }
-
-    private <T> void again(Supplier<T> read, Consumer<T> use, String name) {
-        long end = System.nanoTime() + (long) (limits.reloadMs() * 1e6);
-        while (true) {
-            List<String> why;
-            try {
-                use.accept(read.get());
-                return;
-            } catch (ConfigException e) {
-                why = e.lines();
-            } catch (RuntimeException e) {
-                why = List.of(name + ": " + e);
-            }
-            if (System.nanoTime() > end || !paused()) {
-                why.forEach(l -> LOG.warning(l + "; the " + name + " read before stays"));
-                return;
-            }
+            rereading.until(read, next -> loop.post(() -> moved(next)), "configuration");
+            rereading.until(
+                    ours, next -> loop.post(() -> tuned(next)), "settings"); // behind it: discovery has moved by now
         }
     }
 
@@ -256,16 +239,6 @@
         own = next;
     }
 
-    private boolean paused() {
-        try {
-            TimeUnit.MILLISECONDS.sleep((long) limits.sweepMs());
-            return true;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return false;
-        }
-    }
-
     private void moved(Config next) {
         if (!next.limits().equals(config.limits())
                 || !next.settings().equals(config.settings())
@@ -355,8 +328,14 @@
         }
     }
 
+    /** Runs a short task with each sweep, some ten times a second; to be told before {@link #run}. */
+    public void eachSweep(Runnable task) {
+        swept = task;
+    }
+
     private void sweep() {
         loop.after(limits.sweepMs(), this::sweep); // first, so that a fault in one sweep is not the end of all
+        swept.run();
         clients.sweep();
         endpoints.sweep();
         notices.sweep();
@@ -525,6 +504,7 @@
 
     private void news(News news, Listed listed) {
         if (listed == null) {
+            unlisted = false; // what discovery has cannot be had for now
             control.list(loop.now(), news, List.of());
             return;
         }
