--- a/src/main/java/firstair/Hangups.java
+++ b/src/main/java/firstair/Hangups.java
@@ -10,7 +10,7 @@
 /**
  * SIGHUP from the first moment of a process on. One that comes while the relay is still starting is kept until it
  * serves: the configuration may have been read just before it was changed, and nobody signals twice. Where the process
- * was started with SIGHUP ignored, changes of the files stand in for it. The deployment starts it so: before the virtual
+ * was started with SIGHUP ignored, changes of the files stand in for it. The deployment starts it so: until the virtual
  * machine has taken the signal over, some tenths of a second, its default would end the process.
  */
 final class Hangups {
--- a/src/main/java/firstair/kit/soak/Partners.java
+++ b/src/main/java/firstair/kit/soak/Partners.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** The endpoints of a soak: good ones, and such that hang, fail, tell to wait, drain, take several, or are not there. */
+/** The endpoints of a soak: good ones, and such that hang, fail, tell to wait, drain or are not there. */
 final class Partners implements AutoCloseable {
     private static final int HANGS = 4;
     private static final int DRAINS = 5;
--- a/src/main/java/firstair/relay/net/Link.java
+++ b/src/main/java/firstair/relay/net/Link.java
@@ -8,8 +8,8 @@
  */
 public interface Link {
     /**
-     * What comes of one request. Exactly one of {@link #done}, {@link #broken} and {@link #unasked} comes, unless it was left; calls
-     * come from the selector's thread or from the thread that sends, and must not block.
+     * What comes of one request. Exactly one of {@link #done}, {@link #broken} and {@link #unasked} comes, unless
+     * it was left; calls come from the selector's thread or from the thread that sends, and must not block.
      */
     interface Exchange {
         /**
--- a/src/main/java/firstair/relay/store/StateFolder.java
+++ b/src/main/java/firstair/relay/store/StateFolder.java
@@ -16,7 +16,8 @@
 
 /**
  * The files of a {@link Store} in the folder that lasts: generations, of which the highest counts, and a draft that
- * becomes the next one by its name. A file that is no longer needed and cannot be deleted is emptied, and deleted later.
+ * becomes the next one by its name. A file that is no longer needed and cannot be deleted is emptied, and deleted
+ * later.
  */
 final class StateFolder {
     private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
--- a/src/test/java/firstair/control/WindowMarginTest.java
+++ b/src/test/java/firstair/control/WindowMarginTest.java
@@ -12,7 +12,7 @@
     private static final double WINDOW_MS = 5000; // of Bench.KEYED
     private static final double HELD_UP_MS = 150;
 
-    /** A relay that knows calls to take 10 ms, with a keyed message that may have run; returns when it was first sent. */
+    /** A relay that knows calls to take 10 ms, with a keyed message that may have run. */
     private static Bench inDoubt() {
         Bench b = new Bench(Bench.settings(Bench.KEYED)).endpoints("1/0/a");
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/firstair/relay/faults/LimitsOfMessagesTest.java
+++ b/src/test/java/firstair/relay/faults/LimitsOfMessagesTest.java
@@ -194,7 +194,7 @@
         }
     }
 
-    /** Behind a long quiet time all connections are dead; the next message that must not be repeated goes all the same. */
+    /** Behind a long quiet time all connections are dead; what must not be repeated goes all the same. */
     @Test
     void behindALongQuietTimeNothingIsLost() throws Exception {
         stage.node.adjust(c -> c.replace("\"connIdle\":10000.0", "\"connIdle\":1000.0"));
