--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -294,18 +294,7 @@
     private void drain() {
         LOG.info("draining, " + kept.size() + " messages held");
         fellows.leave();
-        loop.after(limits.drainAcceptMs(), () -> {
-            ready = false;
-            closing = true;
-            if (opening != null) { // told to end before clients could come
-                opening.cancel();
-                opening = null;
-            }
-            if (listener != null) {
-                listener.closeSilently();
-            }
-            clients.drain();
-        });
+        loop.after(limits.drainAcceptMs(), this::stopListening);
         // What is held would wait for the next process, seconds from now: it is sent for as long as it can be answered.
         loop.after(limits.drainCallsMs(), () -> resting = true);
         loop.after(limits.drainMs(), () -> {
@@ -315,6 +304,28 @@
         });
     }
 
+    /**
+     * Takes no further connection, and only then ends those that clients have: they come again at once, and whom the
+     * system takes by then for a listener that nobody serves any more is reset without an answer.
+     */
+    private void stopListening() {
+        ready = false;
+        if (opening != null) { // told to end before clients could come
+            opening.cancel();
+            opening = null;
+        }
+        if (listener == null) {
+            drainClients();
+        } else {
+            Wire.unlisten(listener, () -> loop.post(() -> loop.after(limits.restMs(), this::drainClients)));
+        }
+    }
+
+    private void drainClients() {
+        closing = true;
+        clients.drain();
+    }
+
     /**
      * Ends the loop, but first the clients' connections: a request that comes in between, or that has been read and
      * waits behind what this round does, would find nobody. What they still bring is taken as before.
--- a/src/main/java/firstair/relay/net/Wire.java
+++ b/src/main/java/firstair/relay/net/Wire.java
@@ -23,6 +23,7 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 import org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
+import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
@@ -30,6 +31,8 @@
 
 /** The transport that all sockets of the relay share: one selector thread, whose filters never block. */
 public final class Wire implements Dialer {
+    private static final int MOST_WAITING = 64; // connections that may wait to be accepted as the listener closes
+
     private final TCPNIOTransport transport;
     private final FilterChain links;
     private final int maxHead;
@@ -81,6 +84,27 @@
                 .bind(at);
     }
 
+    /**
+     * Takes no connection any more. Who closed the listener elsewhere would leave it to the selector to let go of it,
+     * at its next event: until then the system goes on to take connections, which are reset then. So what waits is
+     * accepted first, and the listener closed, on the selector's thread.
+     *
+     * @param then told on that thread; what is handed to it from then on runs behind the end of the listener
+     */
+    public static void unlisten(Connection<?> listener, Runnable then) {
+        between(listener, () -> {
+            try {
+                for (int waiting = 0; waiting < MOST_WAITING; waiting++) {
+                    ((TCPNIOServerConnection) listener).onAccept();
+                }
+            } catch (IOException e) {
+                // it is closed next
+            }
+            listener.closeSilently();
+            then.run();
+        });
+    }
+
     @Override
     public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
         return new HttpLink(this, maxHead, to, maxBody, request, first, closedIdle);
