--- a/src/test/java/firstair/relay/faults/SystemCallTest.java
+++ b/src/test/java/firstair/relay/faults/SystemCallTest.java
@@ -118,6 +118,7 @@
                 rule("sock_write", 0, Preload.ALWAYS, Preload.SHORT, ""),
                 rule("file_write", 0, Preload.ALWAYS, Preload.SHORT, "messages"));
         allDeliveredOnce(dozen("unsafe"), stage.now() + 4000);
+        stage.until(stage.now() + 1500); // killed before it has read an answer, it could not know of the delivery
         preload.rules();
         stage.node.kill();
         stage.node.start();
