--- a/src/main/java/firstair/relay/Own.java
+++ b/src/main/java/firstair/relay/Own.java
@@ -105,7 +105,7 @@
                         MIN,
                         false,
                         "discovery must have begun an answer; after a third of it another call goes beside it")
-                .item("silence", Kind.DURATION, "2.5s", 100, 10 * MIN, false, "a watch that says nothing is dead")
+                .item("silence", Kind.DURATION, "2.25s", 100, 10 * MIN, false, "a watch that says nothing is dead")
                 .item(
                         "line",
                         Kind.SIZE,
