--- a/src/test/java/firstair/relay/faults/ClockStepTest.java
+++ b/src/test/java/firstair/relay/faults/ClockStepTest.java
@@ -2,39 +2,24 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.nio.file.Path;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The wall clock is stepped by seconds or an hour; deadlines and windows are spans of real time (rows C1 to C5). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class ClockStepTest {
+class ClockStepTest extends FaultTest {
     private static final double DOWN_MS = 600; // a restart comes so long behind the kill
     private static final double NOTICE_MS = 350; // a notice is in time so long behind its message's time
 
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
     private Preload preload;
 
     @BeforeEach
     void start() throws Exception {
-        stage = new Stage(folder);
         preload = new Preload(stage.node, folder);
         stage.node.start();
     }
 
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
     private void restart(long step) throws Exception {
         stage.node.kill();
         double killed = stage.now();
--- a/src/test/java/firstair/relay/faults/HangupAtStartTest.java
+++ b/src/test/java/firstair/relay/faults/HangupAtStartTest.java
@@ -5,32 +5,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A new configuration that crosses a start ends no process (rows S11, D1). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class HangupAtStartTest {
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
-
-    @BeforeEach
-    void start() throws Exception {
-        stage = new Stage(folder);
-    }
-
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
+class HangupAtStartTest extends FaultTest {
     @ParameterizedTest
     @ValueSource(longs = {20, 50, 100, 150, 200, 300, 400})
     void aSignalInTheFirstMomentsEndsNothing(long afterMs) throws Exception {
--- a/src/test/java/firstair/relay/faults/LimitsOfMessagesTest.java
+++ b/src/test/java/firstair/relay/faults/LimitsOfMessagesTest.java
@@ -7,41 +7,20 @@
 import java.io.InputStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Messages, answers and settings at their smallest and largest (rows P1, P4, P17, P25, P26, S4, S9, M26, M27, B10). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class LimitsOfMessagesTest {
+class LimitsOfMessagesTest extends FaultTest {
     private static final int MOST_BODY = 64 * 1024;
 
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
-
-    @BeforeEach
-    void start() throws Exception {
-        stage = new Stage(folder);
-    }
-
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
     @ParameterizedTest
     @CsvSource({"0, 202", "65536, 202", "65537, 413"})
     void aBodyHoldsSixtyFourKibibytes(int bytes, int status) throws Exception {
--- a/src/test/java/firstair/relay/faults/MomentsTest.java
+++ b/src/test/java/firstair/relay/faults/MomentsTest.java
@@ -3,39 +3,20 @@
 import static firstair.relay.faults.Preload.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.nio.file.Path;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 
 /** The relay is held up for 0.15 s between reading its clock and writing to an endpoint (rows R9, R17, M34, P38). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class MomentsTest {
+class MomentsTest extends FaultTest {
     private static final int HELD_UP_MS = 150;
 
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
     private Preload preload;
 
     @BeforeEach
     void start() throws Exception {
-        stage = new Stage(folder);
         preload = new Preload(stage.node, folder);
     }
 
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
-    private String partnerPort() {
-        return ":" + stage.partner.address().getPort();
-    }
-
     /** From now on each write to the partner comes so late behind its decision. */
     private void holdUp() throws Exception {
         preload.rules(rule("sock_write", 0, Preload.ALWAYS, -HELD_UP_MS, partnerPort()));
--- a/src/test/java/firstair/relay/faults/SickFolderTest.java
+++ b/src/test/java/firstair/relay/faults/SickFolderTest.java
@@ -6,37 +6,23 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The folder that lasts fails, for a moment or for good (rows D9, D14, D15, C16, C17, R22). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class SickFolderTest {
+class SickFolderTest extends FaultTest {
     private static final int FAILED = 1;
 
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
     private Preload preload;
 
     @BeforeEach
     void start() throws Exception {
-        stage = new Stage(folder);
         preload = new Preload(stage.node, folder);
     }
 
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
     /** What was taken on is still owed, whichever call of the start fails, once or a few times. */
     @ParameterizedTest
     @CsvSource({
@@ -55,8 +41,8 @@
     })
     void aCallThatFailsForAMomentDoesNotEndTheStart(String call, int times, String part) throws Exception {
         stage.node.start();
-        stage.behaviour = r -> r.answer(503);
-        double taken = stage.take("m1", "unsafe", 15_000);
+        // Killed before it has stored how its call ended, it would rightly give an unsafe message up.
+        double taken = stage.answered("m1", "unsafe", 15_000, r -> r.answer(429, "Retry-After: 3"));
         stage.node.kill();
         if (call.equals("unlink")) {
             Files.writeString(stage.node.state().resolve("messages.tmp"), "half a draft");
@@ -70,6 +56,12 @@
         assertThat(stage.node.lines()).noneMatch(l -> l.contains("Exception"));
     }
 
+    /** What is stored next belongs to the next message, whose call is noted with it: its connection is kept and rested. */
+    private void deliver(String id) throws Exception {
+        stage.answered(id, "safe", 5000, r -> r.answer(200));
+        stage.until(stage.now() + 100);
+    }
+
     /** In the state's place, or in that of one of its files, stands what cannot be used: one line says what to do. */
     @ParameterizedTest
     @ValueSource(strings = {"state", "state/messages.tmp/x", "state/messages-5.log/x"})
@@ -90,9 +82,7 @@
     @Test
     void aRefusedMessageIsNotRevivedByTheNextProcess() throws Exception {
         stage.node.start();
-        stage.take("first", "safe", 5000); // its connection is kept, so that the next call is noted at once
-        stage.called("first", 1, stage.now() + 2000);
-        stage.until(stage.now() + 100);
+        deliver("first");
         preload.rules(
                 rule("file_write", 0, 1, Preload.SHORT, "messages"),
                 rule("file_write", 1, Preload.ALWAYS, Preload.ENOSPC, "messages"));
@@ -109,9 +99,7 @@
     @Test
     void whatMayHaveStayedInTheFileIsNotRefused() throws Exception {
         stage.node.start();
-        stage.take("first", "safe", 5000);
-        stage.called("first", 1, stage.now() + 2000);
-        stage.until(stage.now() + 100);
+        deliver("first");
         preload.rules(
                 rule("file_write", 0, 1, Preload.SHORT, "messages"),
                 rule("file_write", 1, Preload.ALWAYS, Preload.EIO, "messages"),
--- a/src/test/java/firstair/relay/faults/SignalTest.java
+++ b/src/test/java/firstair/relay/faults/SignalTest.java
@@ -8,41 +8,26 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Signals twice, in a row, before the relay is ready and amid other trouble (rows P56, P57, S10, S14, M30, M33). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class SignalTest {
+class SignalTest extends FaultTest {
     private static final long KILL_MS = 3700; // SIGKILL comes so long behind SIGTERM at the soonest
 
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
     private Preload preload;
 
     @BeforeEach
     void start() throws Exception {
-        stage = new Stage(folder);
         preload = new Preload(stage.node, folder);
     }
 
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
     private void endsInOrder() throws Exception {
         assertThat(stage.node.ended(KILL_MS)).as("ended before the kill").isTrue();
         assertThat(stage.node.log()).noneMatch(l -> l.contains("Exception") || l.contains("SEVERE"));
--- a/src/test/java/firstair/relay/faults/Stage.java
+++ b/src/test/java/firstair/relay/faults/Stage.java
@@ -7,9 +7,12 @@
 import firstair.kit.run.Node;
 import firstair.kit.standin.StandIn;
 import firstair.relay.standin.Platform;
+import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
 /** A relay as a process beside one partner and the platform; what these see is kept with its time. */
@@ -95,6 +98,36 @@
         return before;
     }
 
+    /**
+     * Has a message called and its call answered, and waits until the relay has stored how that call ended; returns the
+     * moment before the message was taken on.
+     */
+    double answered(String id, String type, long timeoutMs, StandIn.Handler answer) throws Exception {
+        CountDownLatch looked = new CountDownLatch(1);
+        behaviour = r -> {
+            await(looked);
+            answer.handle(r);
+        };
+        double before = take(id, type, timeoutMs);
+        called(id, 1, now() + 2000);
+        long bytes = Files.size(node.file());
+        behaviour = answer;
+        looked.countDown();
+        while (Files.size(node.file()) == bytes) {
+            assertThat(now()).as("end of a call of %s", id).isLessThan(before + 5000);
+            TimeUnit.MILLISECONDS.sleep(5);
+        }
+        return before;
+    }
+
+    private static void await(CountDownLatch latch) throws IOException {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new IOException(e);
+        }
+    }
+
     List<Call> callsOf(String id) {
         return calls.stream().filter(c -> c.id().equals(id)).toList();
     }
--- a/src/test/java/firstair/relay/faults/SystemCallTest.java
+++ b/src/test/java/firstair/relay/faults/SystemCallTest.java
@@ -3,49 +3,30 @@
 import static firstair.relay.faults.Preload.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** System calls of a relay fail for a moment in the ways that Linux documents; all rules hold (rows C10 to C16). */
-@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class SystemCallTest {
+class SystemCallTest extends FaultTest {
     private static final int MESSAGES = 12;
     private static final long TIME_MS = 5000;
 
-    @TempDir
-    private Path folder;
-
-    private Stage stage;
     private Preload preload;
 
     @BeforeEach
     void start() throws Exception {
-        stage = new Stage(folder);
         preload = new Preload(stage.node, folder);
         stage.node.start();
     }
 
-    @AfterEach
-    void stop() throws Exception {
-        stage.close();
-    }
-
-    private String partnerPort() {
-        return ":" + stage.partner.address().getPort();
-    }
-
     /** Hands in a dozen messages that must not be repeated, all at once; each is taken on. */
     private List<String> dozen(String type) throws Exception {
         List<String> ids = new ArrayList<>();
