--- a/src/test/java/firstair/relay/faults/SignalTest.java
+++ b/src/test/java/firstair/relay/faults/SignalTest.java
@@ -57,6 +57,39 @@
         }
     }
 
+    /**
+     * The old place takes no new connection from the moment of the change, and a notice has 0.3 s: it must not wait for
+     * the next of the looks that are taken at the configuration anyway.
+     */
+    @Test
+    void aNoticeThatIsDueWhileTheOldPlaceRefusesIsAtTheNewOneAtOnce() throws Exception {
+        stage.node.start();
+        Platform place = stage.platform;
+        List<Double> tookMs = new ArrayList<>();
+        for (int move = 0; move < 9; move++) {
+            Platform next = new Platform(stage.list(2 + move));
+            stage.behaviour = r -> r.answer(200); // so that the partner is held to be well
+            stage.take("w" + move, "safe", 5000);
+            stage.called("w" + move, 1, stage.now() + 3000);
+            stage.behaviour = r -> {};
+            double taken = stage.take("m" + move, "unsafe", 500);
+            stage.until(taken + 480);
+            place.close();
+            stage.until(taken + 600 + 11 * move); // it is overdue 0.8 s behind its taking
+            stage.node.discovery(next.hostPort());
+            double changed = stage.now();
+            stage.node.write();
+            assertThat(next.notices.poll(3, TimeUnit.SECONDS)).contains("m" + move);
+            tookMs.add(stage.now() - changed);
+            stage.node.signalHangUp();
+            place = next;
+        }
+        place.close();
+        assertThat(tookMs.stream().sorted().toList().get(tookMs.size() / 2))
+                .as("half of %s", tookMs)
+                .isLessThan(35);
+    }
+
     @Test
     void toldToEndRightBehindANewConfigurationItDoesBoth() throws Exception {
         stage.node.start();
