--- a/src/main/java/firstair/kit/soak/KeepAliveClient.java
+++ b/src/main/java/firstair/kit/soak/KeepAliveClient.java
@@ -18,6 +18,10 @@
     private static final int ANSWER_MS = 400;
     private static final int LEAST_TIME_MS = 300;
     private static final int TIMES_MS = 3700;
+    private static final int LONG_TIME_MS = 10_000; // longer than any end takes
+    private static final int LONG_ONE_IN = 8; // messages have so long a time
+    private static final int REST_MS = 60; // between connecting and the first request, at most
+    private static final int RESTS_ONE_IN = 3; // new connections rest
     private static final int PAUSE_MS = 150;
     private static final int STATUS_AT = 9;
 
@@ -57,7 +61,7 @@
 
     private void handIn(String id) throws InterruptedException {
         Effect effect = Effect.values()[random.nextInt(Effect.values().length)];
-        int timeout = LEAST_TIME_MS + random.nextInt(TIMES_MS);
+        int timeout = random.nextInt(LONG_ONE_IN) == 0 ? LONG_TIME_MS : LEAST_TIME_MS + random.nextInt(TIMES_MS);
         int destination = 1 + random.nextInt(Partners.DESTINATIONS);
         String type = effect.name().toLowerCase(Locale.ROOT);
         String key = effect == Effect.KEYED ? "k" + id : null;
@@ -79,6 +83,9 @@
             socket.connect(relay, ANSWER_MS);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(ANSWER_MS);
+            if (random.nextInt(RESTS_ONE_IN) == 0) {
+                TimeUnit.MILLISECONDS.sleep(random.nextInt(REST_MS));
+            }
             return true;
         } catch (IOException e) {
             close();
@@ -101,6 +108,7 @@
         try {
             status = status(socket.getInputStream());
         } catch (SocketTimeoutException e) {
+            seen.unanswered.incrementAndGet();
             close(); // it waits no longer, and may hand it in elsewhere: what becomes of it counts for nothing
             return false;
         } catch (IOException e) {
--- a/src/main/java/firstair/kit/soak/Observations.java
+++ b/src/main/java/firstair/kit/soak/Observations.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.atomic.AtomicInteger;
 
 /**
  * What the peers of a relay saw, each with its time in milliseconds on one monotonic clock. The relay's own log is no
@@ -94,6 +95,7 @@
     final ConcurrentLinkedQueue<Drained> drained = new ConcurrentLinkedQueue<>();
     final ConcurrentLinkedQueue<Restart> restarts = new ConcurrentLinkedQueue<>();
     final ConcurrentLinkedQueue<Fault> faults = new ConcurrentLinkedQueue<>();
+    final AtomicInteger unanswered = new AtomicInteger(); // requests that had no answer when their clients left
 
     private final long origin = System.nanoTime();
 
--- a/src/main/java/firstair/kit/soak/RestartSoak.java
+++ b/src/main/java/firstair/kit/soak/RestartSoak.java
@@ -17,6 +17,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
+import java.util.Set;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
@@ -35,21 +36,32 @@
     private static final int HELD_UP_MS = 150;
     private static final int MOVED_MS = 4000;
     private static final int LAST_ENDS_MS = 6000; // behind the last message
+    private static final Set<Integer> IN_ORDER = Set.of(0, 128 + 15); // by itself, or by SIGTERM
     private static final int CROWD = 150;
     private static final int CROWD_SOCKETS = 256;
 
     /** What came of one run. */
-    record Result(long seed, List<String> verdicts, int handIns, int taken, int calls, int notices, int restarts) {
+    record Result(
+            long seed,
+            List<String> verdicts,
+            int handIns,
+            int taken,
+            int unanswered,
+            int calls,
+            int notices,
+            int restarts) {
         /** A line for people. */
         @Override
         public String toString() {
             return String.format(
                     Locale.ROOT,
-                    "seed %d: %s, %d hand-ins, %d taken, %d calls, %d notices, %d restarts",
+                    "seed %d: %s, %d hand-ins, %d taken, %d without an answer in 400 ms, %d calls, %d notices,"
+                            + " %d restarts",
                     seed,
                     verdicts.isEmpty() ? "kept" : "BROKEN",
                     handIns,
                     taken,
+                    unanswered,
                     calls,
                     notices,
                     restarts);
@@ -121,6 +133,7 @@
                 verdicts,
                 seen.handIns.size(),
                 taken,
+                seen.unanswered.get(),
                 seen.calls.size(),
                 seen.notices.size(),
                 seen.restarts.size());
@@ -198,6 +211,9 @@
         }
         double endedByItself = seen.now();
         boolean there = !node.ended(0);
+        if (!there && !IN_ORDER.contains(node.status())) {
+            seen.faults.add(new Fault("P57", "ended with status " + node.status() + " when it was told to"));
+        }
         node.kill();
         double ended = there ? seen.now() : endedByItself; // a kill takes its time where cores are busy
         TimeUnit.MILLISECONDS.sleep(DOWN_MS);
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -317,7 +317,7 @@
         if (listener == null) {
             drainClients();
         } else {
-            Wire.unlisten(listener, () -> loop.post(() -> loop.after(limits.restMs(), this::drainClients)));
+            wire.unlisten(listener, () -> loop.post(() -> loop.after(limits.restMs(), this::drainClients)));
         }
     }
 
--- a/src/main/java/firstair/relay/net/Wire.java
+++ b/src/main/java/firstair/relay/net/Wire.java
@@ -7,6 +7,8 @@
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
 import java.util.function.Predicate;
+import java.util.logging.Level;
+import java.util.logging.Logger;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
@@ -31,12 +33,13 @@
 
 /** The transport that all sockets of the relay share: one selector thread, whose filters never block. */
 public final class Wire implements Dialer {
-    private static final int MOST_WAITING = 64; // connections that may wait to be accepted as the listener closes
+    private static final Logger LOG = Logger.getLogger(Wire.class.getName());
 
     private final TCPNIOTransport transport;
     private final FilterChain links;
     private final int maxHead;
     private final int readBuffer;
+    private final int backlog;
 
     /** Starts the selector thread. */
     public Wire(Limits limits) throws IOException {
@@ -56,6 +59,7 @@
                 .build();
         maxHead = limits.maxHead();
         readBuffer = limits.readBuffer();
+        backlog = limits.backlog();
         links = chain(new LinkFilter());
         transport.start();
     }
@@ -85,18 +89,24 @@
     }
 
     /**
-     * Takes no connection any more. Who closed the listener elsewhere would leave it to the selector to let go of it,
-     * at its next event: until then the system goes on to take connections, which are reset then. So what waits is
-     * accepted first, and the listener closed, on the selector's thread.
+     * Takes no connection any more. The system resets whatever it has taken by the moment of the close and we have not
+     * accepted. So the selector lets go of the listener first: while it is registered, its close would wait for the
+     * selector's next event. Then all that waits is accepted, and the close follows the last look at once.
      *
-     * @param then told on that thread; what is handed to it from then on runs behind the end of the listener
+     * @param then told on the selector's thread; what is handed to it from then on runs behind the end of the listener
      */
-    public static void unlisten(Connection<?> listener, Runnable then) {
+    public void unlisten(Connection<?> listener, Runnable then) {
         between(listener, () -> {
+            TCPNIOServerConnection server = (TCPNIOServerConnection) listener;
             try {
-                for (int waiting = 0; waiting < MOST_WAITING; waiting++) {
-                    ((TCPNIOServerConnection) listener).onAccept();
+                server.getSelectionKey().cancel();
+                server.getSelectorRunner().getSelector().selectNow();
+                for (int looks = 0;
+                        looks <= backlog;
+                        looks++) { // one look may find nothing, and the next one something
+                    accept(server);
                 }
+                server.getChannel().close();
             } catch (IOException e) {
                 // it is closed next
             }
@@ -105,6 +115,15 @@
         });
     }
 
+    /** Accepts a connection if one waits. One that fails, as it may for a moment, must not keep out those behind it. */
+    private static void accept(TCPNIOServerConnection server) {
+        try {
+            server.onAccept();
+        } catch (IOException e) {
+            LOG.log(Level.FINE, "an accept failed as the listener closes", e);
+        }
+    }
+
     @Override
     public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
         return new HttpLink(this, maxHead, to, maxBody, request, first, closedIdle);
