--- a/src/main/java/firstair/Serve.java
+++ b/src/main/java/firstair/Serve.java
@@ -40,7 +40,7 @@
         } catch (IOException e) {
             return failed(e);
         }
-        relay.eachSweep(hangups::look);
+        relay.lookForChanges(hangups::look);
         hangups.serving(() -> relay.reload(() -> Config.read(env), () -> Own.read(env)));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -20,6 +20,7 @@
  * @param idleMs          until an unused connection to an endpoint is closed
  * @param haltMs          how long the other side may take to end a call that was given up
  * @param sweepMs         how often idle and slow connections are looked for
+ * @param lookMs          how often a changed configuration is looked for while a notice waits for a lost platform
  * @param emptyMs         how long a destination without endpoints is still taken for one
  * @param answerMs        until an answer that has begun must be whole
  * @param restMs          how long a connection that carried an answer is left alone before the next call
@@ -55,6 +56,7 @@
         double idleMs,
         double haltMs,
         double sweepMs,
+        double lookMs,
         double emptyMs,
         double answerMs,
         double restMs,
@@ -138,6 +140,7 @@
     private static final double IDLE_GUARD_MS = 200; // closed so long before the endpoint may close it
     private static final double HALT_MS = 50; // several times the way to an endpoint and back
     private static final double SWEEP_MS = 100; // half of the guard
+    private static final double LOOK_MS = 20; // a fifteenth of the time that a notice has
     private static final double EMPTY_MS = 30_000; // longer than any message lives
     private static final double ANSWER_MS = 200; // answers are a packet or two, written at once
     private static final double REST_MS = 20; // what belongs to an answer comes with it or right behind
@@ -183,6 +186,7 @@
                 Math.max(idle / 2, idle - IDLE_GUARD_MS),
                 HALT_MS,
                 SWEEP_MS,
+                LOOK_MS,
                 EMPTY_MS,
                 ANSWER_MS,
                 REST_MS,
@@ -243,6 +247,7 @@
                 idleMs,
                 own.number("endpoints.halt", haltMs),
                 sweepMs,
+                lookMs,
                 own.number("endpoints.empty", emptyMs),
                 own.number("endpoints.answer", answerMs),
                 own.number("endpoints.rest", restMs),
@@ -291,6 +296,7 @@
                 idleMs,
                 haltMs,
                 sweepMs,
+                lookMs,
                 emptyMs,
                 answerMs,
                 restMs,
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -80,7 +80,8 @@
     private final Rereading rereading;
     private final CountDownLatch ended = new CountDownLatch(1);
     private double returnedAt = Double.NEGATIVE_INFINITY; // when this process took up what the last one left
-    private Runnable swept = () -> {};
+    private Runnable lookForChanges = () -> {};
+    private boolean looking; // for a new place of the platform, though it is not time for a sweep
     private boolean listen;
     private boolean unlisted; // just started, and what discovery pushes has not come yet
     private Connection<?> listener;
@@ -120,7 +121,8 @@
         kept = new Kept(store);
         wire = new Wire(limits);
         endpoints = new Endpoints(wire, limits, loop, new Calls());
-        notices = new Notices(wire, limits, loop, config.discovery(), new Random(config.seed()), store::over);
+        notices = new Notices(
+                wire, limits, loop, config.discovery(), new Random(config.seed()), store::over, this::platformLost);
         Listed known = config.known();
         watch = new Watch(
                 wire,
@@ -339,14 +341,30 @@
         }
     }
 
-    /** Runs a short task with each sweep, some ten times a second; to be told before {@link #run}. */
-    public void eachSweep(Runnable task) {
-        swept = task;
+    /**
+     * Where nobody signals that the configuration has changed: a short task that looks whether it has, run with each
+     * sweep, and more often while a notice waits for a platform that cannot be reached. To be told before {@link #run}.
+     */
+    public void lookForChanges(Runnable task) {
+        lookForChanges = task;
+    }
+
+    /** The platform may have moved, which is told by a change of the configuration, and notices have little time. */
+    private void platformLost() {
+        if (looking || !notices.pressing()) {
+            return;
+        }
+        looking = true;
+        lookForChanges.run();
+        loop.after(limits.lookMs(), () -> {
+            looking = false;
+            platformLost();
+        });
     }
 
     private void sweep() {
         loop.after(limits.sweepMs(), this::sweep); // first, so that a fault in one sweep is not the end of all
-        swept.run();
+        lookForChanges.run();
         clients.sweep();
         endpoints.sweep();
         notices.sweep();
--- a/src/main/java/firstair/relay/platform/NoticePlan.java
+++ b/src/main/java/firstair/relay/platform/NoticePlan.java
@@ -84,6 +84,7 @@
     private double quietUntil = Double.NEGATIVE_INFINITY; // after a failure of the place
     private double okAt = Double.NEGATIVE_INFINITY;
     private double pause;
+    private boolean failing; // the place, since it last confirmed
     private int late; // overdue since the platform last confirmed
     private double latestMs; // by how much at most a notice confirmed since then was
 
@@ -182,6 +183,7 @@
     void moved() {
         List.copyOf(out).forEach(this::slow);
         quietUntil = Double.NEGATIVE_INFINITY;
+        failing = false;
         pause = limits.pauseMs();
         owed.values().forEach(n -> n.notBefore = Double.NEGATIVE_INFINITY);
     }
@@ -208,6 +210,7 @@
         }
         if (status == OK) {
             okAt = now;
+            failing = false;
             pause = limits.pauseMs();
             quietUntil = Double.NEGATIVE_INFINITY;
             List<Long> confirmed = new ArrayList<>();
@@ -223,14 +226,23 @@
             unreadable(p, now);
         } else if (p.fresh && okAt < p.startedAt) {
             // The place itself is in trouble, not one old connection of ours: leave it alone for a little.
-            boolean urgent = owed.values().stream().anyMatch(n -> n.dueAt > now);
-            pause = Math.min(pause, urgent ? limits.urgentPauseMs() : limits.pauseMostMs());
+            failing = true;
+            pause = Math.min(pause, urgent(now) ? limits.urgentPauseMs() : limits.pauseMostMs());
             quietUntil = now + jittered(pause);
             pause *= GROWTH;
         }
         return List.of();
     }
 
+    private boolean urgent(double now) {
+        return owed.values().stream().anyMatch(n -> n.dueAt > now);
+    }
+
+    /** Whether the place has not answered since it failed, and a notice can still be in time. */
+    boolean pressing(double now) {
+        return failing && urgent(now);
+    }
+
     /** One notice among them cannot be read, or the connection is spoilt: halves are tried, so it holds up no other. */
     private void unreadable(Post p, double now) {
         int half = Math.max(1, p.notices.size() / 2);
--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -33,6 +33,7 @@
     private Limits.Notices limits;
     private final Loop loop;
     private final LongConsumer confirmed;
+    private final Runnable unreachable;
     private final NoticePlan plan;
     private final Map<NoticePlan.Post, Post> out = new HashMap<>();
     private InetSocketAddress address;
@@ -43,20 +44,27 @@
     private final Seldom faults = new Seldom(LOG, Level.SEVERE);
     private boolean told; // that notices are overdue
 
-    /** @param confirmed told of each message whose notice has been confirmed */
+    /**
+     * Nothing is owed at first.
+     *
+     * @param confirmed   told of each message whose notice has been confirmed
+     * @param unreachable told when a connection for notices broke or never came up
+     */
     public Notices(
             Dialer dialer,
             Limits limits,
             Loop loop,
             InetSocketAddress address,
             RandomGenerator random,
-            LongConsumer confirmed) {
+            LongConsumer confirmed,
+            Runnable unreachable) {
         this.dialer = dialer;
         this.maxBody = limits.maxBody();
         this.limits = limits.notices();
         this.loop = loop;
         this.address = address;
         this.confirmed = confirmed;
+        this.unreachable = unreachable;
         this.plan = new NoticePlan(limits.notices(), random);
     }
 
@@ -100,6 +108,11 @@
         return plan.owed();
     }
 
+    /** Whether posts have failed of late while a notice can still be in time. */
+    public boolean pressing() {
+        return plan.pressing(loop.now());
+    }
+
     /** Posts what is owed, as the plan has it; called at the end of each round. */
     public void flush() {
         NoticePlan.Post surplus = plan.surplus();
@@ -219,7 +232,10 @@
 
         @Override
         public void broken(boolean maybeArrived) {
-            loop.post(() -> end(NoticePlan.NONE, false));
+            loop.post(() -> {
+                end(NoticePlan.NONE, false);
+                unreachable.run();
+            });
         }
     }
 }
--- a/src/test/java/firstair/relay/standin/ShortTimes.java
+++ b/src/test/java/firstair/relay/standin/ShortTimes.java
@@ -36,6 +36,7 @@
                 idleMs,
                 haltMs,
                 l.sweepMs(),
+                l.lookMs(),
                 l.emptyMs(),
                 l.answerMs(),
                 l.restMs(),
