--- /dev/null
+++ b/src/test/java/firstair/relay/faults/HeldUpTest.java
@@ -0,0 +1,154 @@
+package firstair.relay.faults;
+
+import static firstair.relay.faults.Preload.rule;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The relay is held up for 0.15 s between reading its clock and writing to an endpoint (rows R9, R17, M34, P38). */
+class HeldUpTest extends FaultTest {
+    private static final int HELD_UP_MS = 150;
+
+    private Preload preload;
+
+    @BeforeEach
+    void start() throws Exception {
+        preload = new Preload(stage.node, folder);
+    }
+
+    /** From now on each write to the partner comes so late behind its decision. */
+    private void holdUp() throws Exception {
+        preload.rules(rule("sock_write", 0, Preload.ALWAYS, -HELD_UP_MS, partnerPort()));
+    }
+
+    @Test
+    void everyRepeatOfAKeyedMessageArrivesInsideItsWindow() throws Exception {
+        double window = 1500;
+        stage.node.adjust(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
+        stage.node.start();
+        for (int i = 0; i < 4; i++) {
+            preload.rules();
+            stage.behaviour = r -> r.answer(200); // so that the endpoint is held to be well
+            stage.take("w" + i, "safe", 5000);
+            stage.called("w" + i, 1, stage.now() + 3000);
+            stage.behaviour = r -> r.answer(500);
+            String id = "k" + i;
+            stage.take(id, "keyed", 10_000);
+            stage.called(id, 1, stage.now() + 3000);
+            stage.behaviour = r -> r.answer(429, "Retry-After: 0.05");
+            holdUp();
+            stage.notice(id, stage.now() + 4000);
+            double first = stage.callsOf(id).get(0).atMs();
+            assertThat(stage.callsOf(id))
+                    .allSatisfy(c -> assertThat(c.atMs() - first).isLessThan(window));
+        }
+    }
+
+    /** A drain that is told while a call is held up is kept: its grace covers the pause, and no further call goes. */
+    @Test
+    void aDrainThatIsToldWhileACallIsHeldUpIsKept() throws Exception {
+        stage.node.start();
+        stage.take("warm", "safe", 5000);
+        stage.called("warm", 1, stage.now() + 2000);
+        holdUp();
+        for (int i = 0; i < 8; i++) {
+            stage.handIn("m" + i, "safe", 2000);
+        }
+        double told = stage.now();
+        stage.platform.tell(
+                firstair.relay.standin.Platform.list(2, false, "s1 7 " + stage.partner.hostPort() + " draining"));
+        stage.until(told + 1500);
+        assertThat(stage.calls).allSatisfy(c -> assertThat(c.atMs() - told).isLessThan(250 + HELD_UP_MS));
+    }
+
+    /** Two connections to the partner are kept: each carried a call while the other one was out. */
+    private void keepTwoConnections(String id) throws Exception {
+        CountDownLatch both = new CountDownLatch(2);
+        stage.behaviour = r -> {
+            both.countDown();
+            Stage.await(both);
+            r.answer(200);
+        };
+        stage.take(id + "a", "safe", 12_000);
+        stage.take(id + "b", "safe", 12_000);
+        stage.called(id + "a", 1, stage.now() + 3000);
+        stage.called(id + "b", 1, stage.now() + 3000);
+        stage.until(stage.now() + 100); // longer than a connection rests behind its answer
+    }
+
+    /** A call of {@code id} is out, and is turned away with a wait of 0.7 s once the latch is open. */
+    private CountDownLatch callToBeTurnedAway(String id) throws Exception {
+        CountDownLatch turnAway = new CountDownLatch(1);
+        stage.behaviour = r -> {
+            Stage.await(turnAway);
+            r.answer(429, "Retry-After: 0.7");
+        };
+        double taken = stage.take(id, "safe", 9000);
+        stage.called(id, 1, taken + 5000);
+        return turnAway;
+    }
+
+    private void notCalledBefore(String id, double atMs) throws Exception {
+        stage.until(atMs);
+        assertThat(stage.callsOf(id)).allSatisfy(c -> assertThat(c.atMs()).isGreaterThan(atMs));
+    }
+
+    /** Between a decision and its write the store is slow, and another answer of the same partner tells a wait. */
+    @Test
+    void aWaitThatIsToldWhileADecisionIsStoredIsKept() throws Exception {
+        for (int i = 0; i < 3; i++) {
+            stage.node.start();
+            keepTwoConnections("w" + i);
+            CountDownLatch turnAway = callToBeTurnedAway("m" + i);
+            preload.rules(rule("file_write", 0, 1, -HELD_UP_MS, "messages"));
+            String id = "n" + i;
+            Thread client = new Thread(() -> {
+                try {
+                    stage.handIn(id, "safe", 9000);
+                } catch (Exception e) {
+                    throw new IllegalStateException(e);
+                }
+            });
+            client.start();
+            stage.until(stage.now() + 40);
+            double told = stage.now();
+            turnAway.countDown();
+            client.join();
+            notCalledBefore(id, told + 650);
+            stage.behaviour = r -> r.answer(200);
+            stage.called(id, 1, told + 5000);
+            stage.node.kill(); // refusals have cut its pace
+        }
+    }
+
+    /** The whole process is held up; behind that a message and a wait are there to be read, in whatever order. */
+    @Test
+    void aWaitThatIsToldWhileTheProcessIsStoppedIsKept() throws Exception {
+        for (int i = 0; i < 5; i++) {
+            stage.node.start();
+            keepTwoConnections("w" + i);
+            try (Socket client = new Socket()) {
+                client.connect(stage.node.address());
+                CountDownLatch turnAway = callToBeTurnedAway("m" + i);
+                String id = "n" + i;
+                stage.node.signal("STOP");
+                double stopped = stage.now();
+                client.getOutputStream()
+                        .write((stage.node.handInText(id, "safe", 9000, "dest=7", null, 1) + "x")
+                                .getBytes(StandardCharsets.US_ASCII));
+                double told = stage.now();
+                turnAway.countDown();
+                stage.until(stopped + HELD_UP_MS);
+                stage.node.signal("CONT");
+                notCalledBefore(id, told + 650);
+                stage.behaviour = r -> r.answer(200);
+                stage.called(id, 1, told + 5000);
+                stage.node.kill();
+            }
+        }
+    }
+}
--- a/src/test/java/firstair/relay/faults/Stage.java
+++ b/src/test/java/firstair/relay/faults/Stage.java
@@ -120,7 +120,8 @@
         return before;
     }
 
-    private static void await(CountDownLatch latch) throws IOException {
+    /** Waits for as long as it takes, as a handler may. */
+    static void await(CountDownLatch latch) throws IOException {
         try {
             latch.await();
         } catch (InterruptedException e) {
