--- a/src/main/java/firstair/relay/Loop.java
+++ b/src/main/java/firstair/relay/Loop.java
@@ -16,6 +16,8 @@
 public final class Loop {
     private static final Seldom FAULTS = new Seldom(Logger.getLogger(Loop.class.getName()), Level.SEVERE);
     private static final double NS_PER_MS = 1e6;
+    private static final double HELD_UP_MS = 40; // many times what a round takes
+    private static final long CATCH_UP_MS = 10; // for another thread to read what has come meanwhile
 
     /** Something to be run at a time; it can be called off. */
     public final class Timer {
@@ -44,6 +46,7 @@
     private final double roundMs;
     private final long origin = System.nanoTime();
     private long numbers;
+    private boolean behind; // this thread was held up, and has not caught up yet
     private volatile boolean ended;
 
     /** @param roundMs least time between two rounds */
@@ -74,12 +77,30 @@
         post(() -> {});
     }
 
+    /** Whether this thread, or the whole process, was held up since a moment of {@link #now}. */
+    boolean heldUpSince(double atMs) {
+        return now() - atMs > HELD_UP_MS;
+    }
+
+    /**
+     * Has the next round wait a little. What peers have sent while the process was held up is there to be read: to
+     * decide before it has become events would be to decide by what is long over.
+     */
+    void catchUp() {
+        behind = true;
+        post(() -> {});
+    }
+
     /** Runs events until {@link #end}; {@code round} closes each round. */
     public void run(Runnable round) throws InterruptedException {
         List<Runnable> batch = new ArrayList<>();
         double last = Double.NEGATIVE_INFINITY;
         while (!ended) {
             Runnable first = await();
+            if (behind || lateForTimers()) {
+                TimeUnit.MILLISECONDS.sleep(CATCH_UP_MS);
+                behind = false;
+            }
             // Events that come close together share a round, as they do in the settings' smallest step of time.
             double rest = last + roundMs - now();
             if (rest > 0) {
@@ -102,6 +123,11 @@
         }
     }
 
+    private boolean lateForTimers() {
+        Timer next = timers.peek();
+        return next != null && heldUpSince(next.at);
+    }
+
     private Runnable await() throws InterruptedException {
         Timer next = timers.peek();
         if (next == null) {
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -82,6 +82,7 @@
     private double returnedAt = Double.NEGATIVE_INFINITY; // when this process took up what the last one left
     private Runnable lookForChanges = () -> {};
     private boolean looking; // for a new place of the platform, though it is not time for a sweep
+    private boolean postponed; // the last round's calls, since it was held up
     private boolean listen;
     private boolean unlisted; // just started, and what discovery pushes has not come yet
     private Connection<?> listener;
@@ -570,6 +571,7 @@
     // ---- the round ----
 
     private void round() {
+        double begunAt = loop.now();
         fellows.refresh();
         if (resting) {
             endpoints.withhold(); // the next process finds them untried
@@ -611,7 +613,7 @@
         });
         boolean written = kept.flush() || unwritten();
         kept.confirm();
-        endpoints.write(id -> written && kept.get(id) != null);
+        write(written, begunAt);
         notices.flush();
         if (opening != null && notices.owed() == 0 && !unlisted) {
             opening.cancel();
@@ -627,6 +629,21 @@
         }
     }
 
+    /**
+     * Writes the calls that this round has decided, unless they are old by now: where the store or the system has held
+     * the round up, peers may have told a wait or a drain meanwhile. That is read first, and the calls are asked about in
+     * the next round, once.
+     */
+    private void write(boolean written, double begunAt) {
+        postponed = !postponed && loop.heldUpSince(begunAt);
+        if (postponed) {
+            endpoints.postpone();
+            loop.catchUp();
+        } else {
+            endpoints.write(id -> written && kept.get(id) != null);
+        }
+    }
+
     /**
      * The store does not take what this round brought: what came in it is refused, then it is tried again. Where a part
      * of a write may have stayed in the file, the next process might send it, and a refusal would promise too much.
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -140,6 +140,11 @@
         }
     }
 
+    /** Leaves what is {@link #ready} and noted to the next round, whose {@link #ask} comes first. */
+    public void postpone() {
+        up.forEach(c -> c.noted = true);
+    }
+
     /** Abandons the wait for one message; its call ends with its last message. */
     public void cancel(long id, int attempt) {
         for (Call c : List.copyOf(calls)) {
