--- a/src/main/java/firstair/kit/soak/Judge.java
+++ b/src/main/java/firstair/kit/soak/Judge.java
@@ -201,7 +201,7 @@
 
     private void restarts() {
         for (Restart r : restarts) {
-            if (r.told() && r.endedMs() - r.firstMs() > KILL_MS + CROSSING_MS) {
+            if (r.told() && r.endedMs() - r.firstMs() >= KILL_MS) { // the kill comes then, and ends it at once
                 breach("P56", "told to end at %.0f, it was there at the kill", r.firstMs());
             }
             if (r.readyMs() - r.launchedMs() > READY_MS) {
