--- a/src/test/java/firstair/cli/CliTest.java
+++ b/src/test/java/firstair/cli/CliTest.java
@@ -10,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.logging.Logger;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -27,6 +28,9 @@
 
     @BeforeEach
     void listen() {
+        // The log's handler keeps the stream that stands when it is made, with the first line that is logged: a test
+        // that is the first of its process would find its lines among those of the command.
+        assertThat(Logger.getLogger("").getHandlers()).isNotEmpty();
         System.setOut(new PrintStream(told, true, StandardCharsets.UTF_8));
         System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
     }
--- a/src/test/java/firstair/relay/faults/Preload.java
+++ b/src/test/java/firstair/relay/faults/Preload.java
@@ -47,8 +47,9 @@
 
     private static synchronized Path library() throws Exception {
         if (library == null) {
-            Path made = Path.of("target", "native", "faults.so").toAbsolutePath();
-            Files.createDirectories(made.getParent());
+            Path folder = Path.of("target", "native").toAbsolutePath();
+            Files.createDirectories(folder);
+            Path made = Files.createTempFile(folder, "faults", ".so"); // tests of other virtual machines make their own
             Process gcc = new ProcessBuilder(
                             "gcc",
                             "-shared",
