--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -631,8 +631,8 @@
 
     /**
      * Writes the calls that this round has decided, unless they are old by now: where the store or the system has held
-     * the round up, peers may have told a wait or a drain meanwhile. That is read first, and the calls are asked about in
-     * the next round, once.
+     * the round up, peers may have told a wait or a drain meanwhile. That is read first, and the calls are asked about
+     * in the next round, once.
      */
     private void write(boolean written, double begunAt) {
         postponed = !postponed && loop.heldUpSince(begunAt);
--- a/src/test/java/firstair/relay/faults/SickFolderTest.java
+++ b/src/test/java/firstair/relay/faults/SickFolderTest.java
@@ -56,7 +56,7 @@
         assertThat(stage.node.lines()).noneMatch(l -> l.contains("Exception"));
     }
 
-    /** What is stored next belongs to the next message, whose call is noted with it: its connection is kept and rested. */
+    /** What is stored next belongs to the next message; its call is noted with it, since a connection is kept. */
     private void deliver(String id) throws Exception {
         stage.answered(id, "safe", 5000, r -> r.answer(200));
         stage.until(stage.now() + 100);
--- a/src/test/java/firstair/relay/faults/SystemCallTest.java
+++ b/src/test/java/firstair/relay/faults/SystemCallTest.java
@@ -86,6 +86,18 @@
         allDeliveredOnce(dozen("unsafe"), from + 2000);
     }
 
+    /** The listener needs a socket too, and a start that is refused is a crash. */
+    @ParameterizedTest
+    @CsvSource({"socket, 10, 23", "socket, 12, 23", "socket, 16, 105", "socket, 24, 24"})
+    void aSocketThatCannotBeHadForAMomentEndsNoStart(String call, int times, int error) throws Exception {
+        stage.node.kill();
+        preload.rules(rule(call, 0, times, error, ""));
+        stage.node.start();
+        double ready = stage.now();
+        stage.take("m1", "unsafe", TIME_MS);
+        stage.called("m1", 1, ready + 3000);
+    }
+
     @Test
     void interruptedWaitsAreNotNoticed() throws Exception {
         preload.rules(rule("epoll_wait", 0, 50, Preload.EINTR, ""));
