--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -24,8 +24,10 @@
 import firstair.relay.store.Store;
 import firstair.relay.store.Taken;
 import java.io.IOException;
+import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -51,6 +53,8 @@
     private static final int UNKNOWN = 404;
     private static final int GIVEN_UP = 504;
     private static final int FAILED = 500;
+    private static final double LISTEN_PATIENCE_MS = 5000; // a relay has to be ready within 10 s
+    private static final double LISTEN_AGAIN_MS = 50;
 
     /** What the list tells of an endpoint: its destination, and the most messages of a call. */
     private record Place(int destination, int bundleMax) {}
@@ -87,6 +91,7 @@
     private boolean unlisted; // just started, and what discovery pushes has not come yet
     private Connection<?> listener;
     private Loop.Timer opening; // until clients may come
+    private Loop.Timer listenAgain; // where the system had no socket for the listener
     private Values own; // in force
     private IOException failure;
     private String takenUp;
@@ -192,8 +197,13 @@
         try {
             listener = wire.listen(config.listen(), clients, clients::stays);
         } catch (IOException e) {
-            failure = e;
-            loop.end();
+            if (e instanceof BindException || loop.now() > LISTEN_PATIENCE_MS) {
+                failure = e;
+                loop.end();
+            } else {
+                FAULTS.log("cannot listen, trying again: " + e.getMessage());
+                listenAgain = loop.after(LISTEN_AGAIN_MS, this::open);
+            }
             return;
         }
         ready = true;
@@ -313,10 +323,12 @@
      */
     private void stopListening() {
         ready = false;
-        if (opening != null) { // told to end before clients could come
-            opening.cancel();
-            opening = null;
+        for (Loop.Timer early : Arrays.asList(opening, listenAgain)) { // told to end before clients could come
+            if (early != null) {
+                early.cancel();
+            }
         }
+        opening = null;
         if (listener == null) {
             drainClients();
         } else {
