--- a/src/test/java/firstair/relay/store/StoreClockTest.java
+++ b/src/test/java/firstair/relay/store/StoreClockTest.java
@@ -45,6 +45,20 @@
         }
     }
 
+    /** Clients may give up to fifteen digits of milliseconds (row P5). */
+    @Test
+    void aDeadlineThatIsDecadesAwayIsNoTimeOfTheWall() throws IOException {
+        for (long left : new long[] {1_000_000_000_000L, 999_999_999_999_999L}) {
+            Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
+            s.taken(new Taken(1, "r1", "order", 7, null, 500_000 + left, false, false, new byte[3]));
+            s.flush();
+            s.close();
+            assertThat(reopened("one", 506_000, WALL + 6_000).taken().deadlineAt())
+                    .isEqualTo(500_000 + left);
+            Files.delete(folder.resolve("messages-2.log"));
+        }
+    }
+
     @Test
     void afterABootWhatMayHaveRunIsLongAgoAndNoDeadlineIsFurtherThanItWas() throws IOException {
         for (long step : new long[] {0, -3_600_000}) {
