--- a/src/main/java/firstair/relay/store/StoredTimes.java
+++ b/src/main/java/firstair/relay/store/StoredTimes.java
@@ -7,7 +7,7 @@
  * deadline is at most as far away as it was when the file was begun.
  */
 final class StoredTimes {
-    /** Times from here on are Unix times of the earlier form: no machine is up for thirty years. */
+    /** In a file without a mark, times from here on are Unix times: no machine is up for so long. */
     private static final long UNIX_TIMES_FROM = 1_000_000_000_000L;
 
     /** Longer ago than any window lasts. */
@@ -47,7 +47,7 @@
 
     /** A deadline on the present clock. */
     long deadlineAt(long stored) {
-        if (stored >= UNIX_TIMES_FROM) {
+        if (mark == null && stored >= UNIX_TIMES_FROM) {
             return now.nowMs + (stored - now.wallMs);
         }
         if (sameBoot() || mark == null) {
@@ -59,6 +59,6 @@
 
     /** The moment of a call on the present clock. */
     long sentAt(long stored) {
-        return sameBoot() && stored < UNIX_TIMES_FROM ? stored : now.nowMs - LONG_AGO_MS;
+        return sameBoot() ? stored : now.nowMs - LONG_AGO_MS;
     }
 }
