--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -21,6 +21,9 @@
  * @param haltMs          how long the other side may take to end a call that was given up
  * @param sweepMs         how often idle and slow connections are looked for
  * @param lookMs          how often a changed configuration is looked for while a notice waits for a lost platform
+ * @param heldUpMs        so far behind its time, a round was held up and decides by what is over
+ * @param catchUpMs       what such a round waits, for what has come meanwhile to be read
+ * @param listenMs        how long a start tries to listen where the system has no socket for it
  * @param emptyMs         how long a destination without endpoints is still taken for one
  * @param answerMs        until an answer that has begun must be whole
  * @param restMs          how long a connection that carried an answer is left alone before the next call
@@ -57,6 +60,9 @@
         double haltMs,
         double sweepMs,
         double lookMs,
+        double heldUpMs,
+        double catchUpMs,
+        double listenMs,
         double emptyMs,
         double answerMs,
         double restMs,
@@ -141,6 +147,9 @@
     private static final double HALT_MS = 50; // several times the way to an endpoint and back
     private static final double SWEEP_MS = 100; // half of the guard
     private static final double LOOK_MS = 20; // a fifteenth of the time that a notice has
+    private static final double HELD_UP_MS = 40; // many times what a round takes
+    private static final double CATCH_UP_MS = 10; // another thread reads hundreds of sockets in it
+    private static final double LISTEN_MS = 5000; // a relay has to be ready within 10 s
     private static final double EMPTY_MS = 30_000; // longer than any message lives
     private static final double ANSWER_MS = 200; // answers are a packet or two, written at once
     private static final double REST_MS = 20; // what belongs to an answer comes with it or right behind
@@ -187,6 +196,9 @@
                 HALT_MS,
                 SWEEP_MS,
                 LOOK_MS,
+                HELD_UP_MS,
+                CATCH_UP_MS,
+                LISTEN_MS,
                 EMPTY_MS,
                 ANSWER_MS,
                 REST_MS,
@@ -248,6 +260,9 @@
                 own.number("endpoints.halt", haltMs),
                 sweepMs,
                 lookMs,
+                heldUpMs,
+                catchUpMs,
+                listenMs,
                 own.number("endpoints.empty", emptyMs),
                 own.number("endpoints.answer", answerMs),
                 own.number("endpoints.rest", restMs),
@@ -297,6 +312,9 @@
                 haltMs,
                 sweepMs,
                 lookMs,
+                heldUpMs,
+                catchUpMs,
+                listenMs,
                 emptyMs,
                 answerMs,
                 restMs,
--- a/src/main/java/firstair/relay/Loop.java
+++ b/src/main/java/firstair/relay/Loop.java
@@ -16,8 +16,6 @@
 public final class Loop {
     private static final Seldom FAULTS = new Seldom(Logger.getLogger(Loop.class.getName()), Level.SEVERE);
     private static final double NS_PER_MS = 1e6;
-    private static final double HELD_UP_MS = 40; // many times what a round takes
-    private static final long CATCH_UP_MS = 10; // for another thread to read what has come meanwhile
 
     /** Something to be run at a time; it can be called off. */
     public final class Timer {
@@ -44,14 +42,24 @@
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.<Timer>comparingDouble(t -> t.at).thenComparingLong(t -> t.number));
     private final double roundMs;
+    private final double heldUpMs;
+    private final double catchUpMs;
     private final long origin = System.nanoTime();
     private long numbers;
     private boolean behind; // this thread was held up, and has not caught up yet
     private volatile boolean ended;
 
-    /** @param roundMs least time between two rounds */
-    public Loop(double roundMs) {
+    /**
+     * Nothing runs before {@link #run}.
+     *
+     * @param roundMs   least time between two rounds
+     * @param heldUpMs  so far behind its time a round was held up
+     * @param catchUpMs what it waits then, for other threads to read what has come meanwhile
+     */
+    public Loop(double roundMs, double heldUpMs, double catchUpMs) {
         this.roundMs = roundMs;
+        this.heldUpMs = heldUpMs;
+        this.catchUpMs = catchUpMs;
     }
 
     /** Milliseconds since this loop was made, on a clock that only advances. */
@@ -79,7 +87,7 @@
 
     /** Whether this thread, or the whole process, was held up since a moment of {@link #now}. */
     boolean heldUpSince(double atMs) {
-        return now() - atMs > HELD_UP_MS;
+        return now() - atMs > heldUpMs;
     }
 
     /**
@@ -98,7 +106,7 @@
         while (!ended) {
             Runnable first = await();
             if (behind || lateForTimers()) {
-                TimeUnit.MILLISECONDS.sleep(CATCH_UP_MS);
+                TimeUnit.NANOSECONDS.sleep((long) (catchUpMs * NS_PER_MS));
                 behind = false;
             }
             // Events that come close together share a round, as they do in the settings' smallest step of time.
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -53,8 +53,6 @@
     private static final int UNKNOWN = 404;
     private static final int GIVEN_UP = 504;
     private static final int FAILED = 500;
-    private static final double LISTEN_PATIENCE_MS = 5000; // a relay has to be ready within 10 s
-    private static final double LISTEN_AGAIN_MS = 50;
 
     /** What the list tells of an endpoint: its destination, and the most messages of a call. */
     private record Place(int destination, int bundleMax) {}
@@ -117,7 +115,7 @@
         this.config = config;
         own = config.own();
         limits = config.limits().tuned(own);
-        loop = new Loop(limits.roundMs());
+        loop = new Loop(limits.roundMs(), limits.heldUpMs(), limits.catchUpMs());
         rereading = new Rereading(() -> limits.reloadMs(), limits.sweepMs());
         List<MessageClass> all = config.settings().classes();
         for (int i = 0; i < all.size(); i++) {
@@ -197,12 +195,12 @@
         try {
             listener = wire.listen(config.listen(), clients, clients::stays);
         } catch (IOException e) {
-            if (e instanceof BindException || loop.now() > LISTEN_PATIENCE_MS) {
+            if (e instanceof BindException || loop.now() > limits.listenMs()) {
                 failure = e;
                 loop.end();
             } else {
                 FAULTS.log("cannot listen, trying again: " + e.getMessage());
-                listenAgain = loop.after(LISTEN_AGAIN_MS, this::open);
+                listenAgain = loop.after(limits.sweepMs(), this::open);
             }
             return;
         }
--- a/src/test/java/firstair/relay/SeldomTest.java
+++ b/src/test/java/firstair/relay/SeldomTest.java
@@ -42,7 +42,7 @@
     @Test
     void aLoopThatFailsInEachEventDoesNotFillTheLog() throws Exception {
         try (LogLines faults = new LogLines(Loop.class)) {
-            Loop loop = new Loop(0);
+            Loop loop = new Loop(0, Double.POSITIVE_INFINITY, 0);
             for (int i = 0; i < 50; i++) {
                 loop.post(() -> {
                     throw new IllegalStateException("again");
--- a/src/test/java/firstair/relay/faults/ManyStartsTest.java
+++ b/src/test/java/firstair/relay/faults/ManyStartsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Relays that were killed together start together, each with a full folder (rows D12, M3). The operators' case is seventy
- * of a hundred: {@code -Dstarts=70}, by hand.
+ * Relays that were killed together start together, each with a full folder (rows D12, M3). The operators' case is
+ * seventy of a hundred: {@code -Dstarts=70}, by hand.
  */
 class ManyStartsTest extends FaultTest {
     private static final int STARTS = Integer.getInteger("starts", 8);
--- a/src/test/java/firstair/relay/standin/LoopThread.java
+++ b/src/test/java/firstair/relay/standin/LoopThread.java
@@ -8,7 +8,7 @@
 
     /** Starts one; {@code round} closes each round. */
     public static Loop start(Runnable round) {
-        Loop loop = new Loop(0);
+        Loop loop = new Loop(0, Double.POSITIVE_INFINITY, 0);
         Thread t = new Thread(
                 () -> {
                     try {
