--- a/src/main/java/firstair/Serve.java
+++ b/src/main/java/firstair/Serve.java
@@ -3,8 +3,8 @@
 import firstair.relay.Config;
 import firstair.relay.ConfigException;
 import firstair.relay.Logs;
-import firstair.relay.Own;
 import firstair.relay.Relay;
+import firstair.relay.TunableSettings;
 import firstair.relay.store.UnusableFolderException;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -25,7 +25,7 @@
         Hangups hangups = new Hangups();
         // Before anything else: a relay that is still starting must not end by it, nor miss a change of its files.
         if (!Signals.onHangup(hangups::signal)) {
-            hangups.watch(Stream.of("ROUTER_CONFIG", Own.FILE)
+            hangups.watch(Stream.of("ROUTER_CONFIG", TunableSettings.FILE)
                     .filter(env::containsKey)
                     .map(env::get)
                     .map(Path::of)
@@ -33,7 +33,7 @@
         }
         Relay relay;
         try {
-            relay = new Relay(Config.read(env).with(Own.read(env)));
+            relay = new Relay(Config.read(env).with(TunableSettings.read(env)));
         } catch (ConfigException e) {
             e.lines().forEach(l -> System.err.println("firstair: " + l));
             return 2;
@@ -41,7 +41,7 @@
             return failed(e);
         }
         relay.lookForChanges(hangups::look);
-        hangups.serving(() -> relay.reload(() -> Config.read(env), () -> Own.read(env)));
+        hangups.serving(() -> relay.reload(() -> Config.read(env), () -> TunableSettings.read(env)));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/src/main/java/firstair/cli/ConfigCommand.java
+++ b/src/main/java/firstair/cli/ConfigCommand.java
@@ -5,7 +5,7 @@
 import firstair.relay.Config;
 import firstair.relay.HostPort;
 import firstair.relay.Limits;
-import firstair.relay.Own;
+import firstair.relay.TunableSettings;
 import firstair.relay.fleet.FleetConfig;
 import java.io.PrintWriter;
 import java.lang.reflect.RecordComponent;
@@ -63,7 +63,7 @@
                         ? "none"
                         : c.known().entries().size() + " endpoints, version "
                                 + c.known().version()));
-        for (Item i : Own.schema().items()) {
+        for (Item i : TunableSettings.schema().items()) {
             Values.Value v = c.own().value(i.path());
             out.println(i.path() + " = "
                     + (v == null
@@ -94,7 +94,7 @@
 
     /** The reference page, {@code docs/configuration.md}. */
     static String page() {
-        return Own.schema()
+        return TunableSettings.schema()
                 .reference(
                         """
                 # Settings of ours
@@ -116,7 +116,7 @@
 
     private static Config read(Files files) {
         Map<String, String> env = files.over(System.getenv());
-        Config c = Config.read(env).with(Own.read(env));
+        Config c = Config.read(env).with(TunableSettings.read(env));
         FleetConfig.of(c.own(), c); // as serve does: what cannot be used ends here
         return c;
     }
--- a/src/main/java/firstair/cli/Files.java
+++ b/src/main/java/firstair/cli/Files.java
@@ -1,6 +1,6 @@
 package firstair.cli;
 
-import firstair.relay.Own;
+import firstair.relay.TunableSettings;
 import java.util.HashMap;
 import java.util.Map;
 import picocli.CommandLine.Option;
@@ -39,9 +39,9 @@
             all.put("ROUTER_STATE", state);
         }
         if (settings != null) {
-            all.put(Own.FILE, settings);
+            all.put(TunableSettings.FILE, settings);
         }
-        set.forEach((name, value) -> all.put(Own.FLAG + name, value));
+        set.forEach((name, value) -> all.put(TunableSettings.FLAG + name, value));
         return all;
     }
 
--- a/src/main/java/firstair/relay/Config.java
+++ b/src/main/java/firstair/relay/Config.java
@@ -6,7 +6,7 @@
 import com.google.gson.JsonParser;
 import firstair.config.Values;
 import firstair.control.Controller;
-import firstair.relay.discovery.Listed;
+import firstair.relay.discovery.EndpointList;
 import firstair.relay.discovery.Zones;
 import firstair.settings.Contradictions;
 import firstair.settings.Facts;
@@ -36,7 +36,7 @@
         long seed,
         Limits limits,
         Controller.Settings settings,
-        Listed known,
+        EndpointList known,
         List<String> kinds,
         Zones zones,
         Values own) {
@@ -122,12 +122,12 @@
         return root.getAsJsonObject(name);
     }
 
-    private static Listed known(JsonObject root, List<String> kinds, Zones zones) {
+    private static EndpointList known(JsonObject root, List<String> kinds, Zones zones) {
         if (!root.has("known") || root.get("known").isJsonNull()) {
             return null;
         }
         try {
-            return Listed.read(object(root, "known"), kinds, zones);
+            return EndpointList.read(object(root, "known"), kinds, zones);
         } catch (IllegalArgumentException e) {
             throw new ConfigException("known", e.getMessage());
         }
--- a/src/main/java/firstair/relay/Rereading.java
+++ b/src/main/java/firstair/relay/ConfigReloader.java
@@ -11,8 +11,8 @@
  * Reads a file again while the relay serves. One that cannot be used may be one that is still being written: it is read
  * again for a little, and one that stays so changes nothing.
  */
-final class Rereading {
-    private static final Logger LOG = Logger.getLogger(Rereading.class.getName());
+final class ConfigReloader {
+    private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
     private static final double NS_PER_MS = 1e6;
 
     private final DoubleSupplier patienceMs;
@@ -24,7 +24,7 @@
      * @param patienceMs for how long a file that cannot be used is read again
      * @param pauseMs    between two readings
      */
-    Rereading(DoubleSupplier patienceMs, double pauseMs) {
+    ConfigReloader(DoubleSupplier patienceMs, double pauseMs) {
         this.patienceMs = patienceMs;
         this.pauseMs = (long) pauseMs;
     }
--- a/src/main/java/firstair/relay/Fellows.java
+++ b/src/main/java/firstair/relay/FleetPeers.java
@@ -3,16 +3,16 @@
 import firstair.control.Controller.Lane;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Share;
-import firstair.relay.clients.Ask;
+import firstair.relay.clients.BookingRequest;
 import java.util.Set;
 
 /**
  * The other relays of a fleet, as far as this one's messages go: what it may do is asked, what it did is told. Where
  * relays do not talk it is {@link #NONE}, which imposes nothing and loads nothing. On the loop's thread only.
  */
-public interface Fellows {
+public interface FleetPeers {
     /** Nobody to talk to. */
-    Fellows NONE = new Fellows() {};
+    FleetPeers NONE = new FleetPeers() {};
 
     /** What follows for our own decisions. */
     interface Listener {
@@ -22,7 +22,7 @@
         /** What others say of an endpoint. */
         void warned(String endpoint, double waitUntil, double avoidUntil);
 
-        /** Zones of held messages may have changed: {@link Fellows#terms} is to be asked again. */
+        /** Zones of held messages may have changed: {@link FleetPeers#terms} is to be asked again. */
         void confine();
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** Somebody asks for a booking, where {@link #books}. */
-    default void ask(Ask ask) {}
+    default void ask(BookingRequest ask) {}
 
     /** Our process is about to end: what others could use goes back at once. */
     default void leave() {}
--- a/src/main/java/firstair/relay/Kept.java
+++ b/src/main/java/firstair/relay/HeldMessages.java
@@ -1,10 +1,10 @@
 package firstair.relay;
 
 import firstair.control.Controller.Outcome;
-import firstair.relay.clients.HandIn;
-import firstair.relay.store.Owed;
+import firstair.relay.clients.Submission;
+import firstair.relay.store.OwedNotice;
 import firstair.relay.store.Store;
-import firstair.relay.store.Taken;
+import firstair.relay.store.StoredMessage;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -16,16 +16,16 @@
  * The messages that this relay has taken and that are not over: found by its own numbers and by the clients' ids, and
  * noted in the store before anybody hears that they are taken. On the loop's thread only.
  */
-final class Kept {
+final class HeldMessages {
     private static final int ACCEPTED = 202;
 
     /** A message that is not over; {@code client} until it has been answered. */
     static final class Held {
-        final Taken taken;
+        final StoredMessage taken;
         final double deadlineAt;
-        HandIn client;
+        Submission client;
 
-        Held(Taken taken, double deadlineAt, HandIn client) {
+        Held(StoredMessage taken, double deadlineAt, Submission client) {
             this.taken = taken;
             this.deadlineAt = deadlineAt;
             this.client = client;
@@ -38,7 +38,7 @@
     private final List<Held> fresh = new ArrayList<>(); // taken in this round, not answered yet
     private long nextId;
 
-    Kept(Store store) {
+    HeldMessages(Store store) {
         this.store = store;
         nextId = store.lastId() + 1;
     }
@@ -58,14 +58,14 @@
     }
 
     /** Takes up what the last process left. */
-    Held resume(Taken taken, double deadlineAt) {
+    Held resume(StoredMessage taken, double deadlineAt) {
         Held one = new Held(taken, deadlineAt, null);
         hold(one);
         return one;
     }
 
     /** Takes a new one; it is stored and its client answered with the end of the round. */
-    void take(Taken taken, HandIn client) {
+    void take(StoredMessage taken, Submission client) {
         Held one = new Held(taken, client.deadlineAt(), client);
         hold(one);
         fresh.add(one);
@@ -131,7 +131,7 @@
     }
 
     /** A notice is owed, and nothing else. */
-    void owed(long id, Owed notice) {
+    void owed(long id, OwedNotice notice) {
         store.owed(id, notice);
     }
 
@@ -180,7 +180,7 @@
     /** Tells the clients of what this round has taken, which is stored by now. */
     void confirm() {
         for (Held h : fresh) {
-            HandIn client = h.client;
+            Submission client = h.client;
             h.client = null;
             if (client != null && held.containsKey(h.taken.id())) {
                 client.answer(ACCEPTED, 0);
--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -109,7 +109,7 @@
             int bytes,
             int posts) {}
 
-    /** A line of the log that others can bring about at will comes once in so long; see {@link Seldom}. */
+    /** A line of the log that others can bring about at will comes once in so long; see {@link RateLimitedLogger}. */
     static final double SAME_LINE_MS = 60_000;
 
     private static final int KIB = 1024;
@@ -238,7 +238,7 @@
         return listAnswerMs / LIST_CALLS;
     }
 
-    /** These limits with what an installation sets of its own; {@link Own#schema} tells what it may. */
+    /** These limits with what an installation sets of its own; {@link TunableSettings#schema} tells what it may. */
     public Limits tuned(Values own) {
         if (own.isEmpty()) {
             return this;
--- a/src/main/java/firstair/relay/Loop.java
+++ b/src/main/java/firstair/relay/Loop.java
@@ -14,7 +14,8 @@
  * came, then the timers that are due, and then the round ends once for all of them.
  */
 public final class Loop {
-    private static final Seldom FAULTS = new Seldom(Logger.getLogger(Loop.class.getName()), Level.SEVERE);
+    private static final RateLimitedLogger FAULTS =
+            new RateLimitedLogger(Logger.getLogger(Loop.class.getName()), Level.SEVERE);
     private static final double NS_PER_MS = 1e6;
 
     /** Something to be run at a time; it can be called off. */
--- a/src/main/java/firstair/relay/Seldom.java
+++ b/src/main/java/firstair/relay/RateLimitedLogger.java
@@ -9,7 +9,7 @@
  * then on one a minute at most, which tells how many were left out before it. Each is one line of bounded length,
  * whatever others have put into it.
  */
-public final class Seldom {
+public final class RateLimitedLogger {
     private static final int MOST_CHARS = 300; // a sentence and what it quotes
 
     private final Logger log;
@@ -19,12 +19,12 @@
     private long leftOut;
 
     /** Lines of one kind; whoever writes them keeps this. */
-    public Seldom(Logger log, Level level) {
+    public RateLimitedLogger(Logger log, Level level) {
         this(log, level, () -> System.nanoTime() / 1e6);
     }
 
     /** @param clock milliseconds that only advance */
-    public Seldom(Logger log, Level level, DoubleSupplier clock) {
+    public RateLimitedLogger(Logger log, Level level, DoubleSupplier clock) {
         this.log = log;
         this.level = level;
         this.clock = clock;
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -7,12 +7,12 @@
 import firstair.control.Controller.MessageClass;
 import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
-import firstair.relay.Kept.Held;
-import firstair.relay.clients.Ask;
+import firstair.relay.HeldMessages.Held;
+import firstair.relay.clients.BookingRequest;
 import firstair.relay.clients.ClientFilter;
-import firstair.relay.clients.Desk;
-import firstair.relay.clients.HandIn;
-import firstair.relay.discovery.Listed;
+import firstair.relay.clients.RequestHandler;
+import firstair.relay.clients.Submission;
+import firstair.relay.discovery.EndpointList;
 import firstair.relay.discovery.Watch;
 import firstair.relay.endpoints.Endpoints;
 import firstair.relay.endpoints.Item;
@@ -20,9 +20,9 @@
 import firstair.relay.net.Wire;
 import firstair.relay.platform.Notices;
 import firstair.relay.store.BootClock;
-import firstair.relay.store.Owed;
+import firstair.relay.store.OwedNotice;
 import firstair.relay.store.Store;
-import firstair.relay.store.Taken;
+import firstair.relay.store.StoredMessage;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
@@ -43,11 +43,11 @@
 
 /**
  * One relay: hands events to the decisions, carries out what they ask for, and keeps what it owes. Everything
- * but {@link Desk} runs on the loop's thread.
+ * but {@link RequestHandler} runs on the loop's thread.
  */
-public final class Relay implements Controller.Actions, Desk, Fellows.Listener {
+public final class Relay implements Controller.Actions, RequestHandler, FleetPeers.Listener {
     private static final Logger LOG = Logger.getLogger(Relay.class.getName());
-    private static final Seldom FAULTS = new Seldom(LOG, Level.SEVERE);
+    private static final RateLimitedLogger FAULTS = new RateLimitedLogger(LOG, Level.SEVERE);
     private static final int ACCEPTED = 202;
     private static final int REFUSED = 503;
     private static final int UNKNOWN = 404;
@@ -66,20 +66,20 @@
     private final Loop loop;
     private final BootClock clock = BootClock.SYSTEM;
     private final Wire wire;
-    private final Kept kept;
+    private final HeldMessages kept;
     private final Endpoints endpoints;
     private final Watch watch;
     private final Notices notices;
     private final ClientFilter clients;
     private final Controller control;
-    private final Fellows fellows;
+    private final FleetPeers fellows;
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Place> places = new HashMap<>(); // endpoints by their ids
     private final Map<Integer, Double> destinations = new HashMap<>(); // when each last had an endpoint
     private final List<Send> sends = new ArrayList<>(); // asked for in this round
-    private final Seldom overdues = new Seldom(LOG, Level.SEVERE);
+    private final RateLimitedLogger overdues = new RateLimitedLogger(LOG, Level.SEVERE);
     private final Object reloading = new Object();
-    private final Rereading rereading;
+    private final ConfigReloader rereading;
     private final CountDownLatch ended = new CountDownLatch(1);
     private double returnedAt = Double.NEGATIVE_INFINITY; // when this process took up what the last one left
     private Runnable lookForChanges = () -> {};
@@ -116,18 +116,18 @@
         own = config.own();
         limits = config.limits().tuned(own);
         loop = new Loop(limits.roundMs(), limits.heldUpMs(), limits.catchUpMs());
-        rereading = new Rereading(() -> limits.reloadMs(), limits.sweepMs());
+        rereading = new ConfigReloader(() -> limits.reloadMs(), limits.sweepMs());
         List<MessageClass> all = config.settings().classes();
         for (int i = 0; i < all.size(); i++) {
             classes.put(all.get(i).name(), i);
         }
         Store store = Store.open(config.state(), limits.diskBytes(), clock);
-        kept = new Kept(store);
+        kept = new HeldMessages(store);
         wire = new Wire(limits);
         endpoints = new Endpoints(wire, limits, loop, new Calls());
         notices = new Notices(
                 wire, limits, loop, config.discovery(), new Random(config.seed()), store::over, this::platformLost);
-        Listed known = config.known();
+        EndpointList known = config.known();
         watch = new Watch(
                 wire,
                 limits,
@@ -141,7 +141,7 @@
         control = decisions.of(config.settings(), config.seed(), this);
         boolean fleet = config.settings().limits().peers()
                 || !own.text("fleet.name", "").isEmpty();
-        fellows = fleet ? FleetDriver.of(config, own, loop, this) : Fellows.NONE;
+        fellows = fleet ? FleetDriver.of(config, own, loop, this) : FleetPeers.NONE;
     }
 
     /** Serves until {@link #stop}. */
@@ -243,7 +243,7 @@
         if (next.isEmpty() && own.isEmpty()) {
             return;
         }
-        Own.changes(own, next).forEach(LOG::info);
+        TunableSettings.changes(own, next).forEach(LOG::info);
         Limits all = config.limits().tuned(next);
         notices.tune(all.notices());
         limits = limits.reloaded(all);
@@ -266,11 +266,11 @@
     /** What the last process had not ended: what is owed by now, and what goes on with its history. */
     private void resume() {
         double now = loop.now();
-        Seldom unknown = new Seldom(LOG, Level.WARNING); // a line for all of them
+        RateLimitedLogger unknown = new RateLimitedLogger(LOG, Level.WARNING); // a line for all of them
         returnedAt = now;
         long bootNow = clock.nowMs();
         for (Store.Open o : kept.left()) {
-            Taken t = o.taken();
+            StoredMessage t = o.taken();
             if (o.owed() != null) {
                 notices.add(
                         t.id(), t.requestId(), o.owed(), now + limits.notices().returnMs());
@@ -295,9 +295,9 @@
     }
 
     /** What binds a held message beyond its class. */
-    private void bind(Taken t) {
+    private void bind(StoredMessage t) {
         if (t.tenant() != null || t.booking() != null) {
-            Fellows.Admission a = fellows.terms(t.tenant(), t.className(), t.destination(), t.booking());
+            FleetPeers.Admission a = fellows.terms(t.tenant(), t.className(), t.destination(), t.booking());
             control.terms(loop.now(), t.id(), a.zones(), a.lane());
         }
     }
@@ -427,7 +427,7 @@
     }
 
     @Override
-    public void handIn(HandIn h) {
+    public void handIn(Submission h) {
         if (over) {
             h.answer(REFUSED, 0);
             return;
@@ -443,7 +443,7 @@
     }
 
     /** Nothing has been sent for it yet: its client is refused, and nobody keeps a part of it. */
-    private void untaken(HandIn h) {
+    private void untaken(Submission h) {
         Held known = kept.of(h.requestId());
         if (known != null && known.client == h) {
             kept.untake(known.taken.id());
@@ -452,7 +452,7 @@
         h.answer(REFUSED, 0);
     }
 
-    private void take(HandIn h) {
+    private void take(Submission h) {
         if (h.gone()) {
             h.answer(REFUSED, 0); // its client may hand it in elsewhere; one that has only ended its sending hears it
             return;
@@ -477,12 +477,12 @@
         }
         double now = loop.now();
         MessageClass c = config.settings().classes().get(h.messageClass());
-        Fellows.Admission may = fellows.admit(h.tenant(), c.name(), h.destination(), h.booking());
+        FleetPeers.Admission may = fellows.admit(h.tenant(), c.name(), h.destination(), h.booking());
         if (may.status() != 0) {
             h.answer(may.status(), may.afterMs(), may.reason());
             return;
         }
-        Taken t = new Taken(
+        StoredMessage t = new StoredMessage(
                 kept.nextId(),
                 h.requestId(),
                 c.name(),
@@ -542,7 +542,7 @@
         }
     }
 
-    private void news(News news, Listed listed) {
+    private void news(News news, EndpointList listed) {
         if (listed == null) {
             unlisted = false; // what discovery has cannot be had for now
             control.list(loop.now(), news, List.of());
@@ -710,16 +710,16 @@
 
     @Override
     public void refuse(long id, double afterMs) {
-        end(id, REFUSED, new Owed(true, afterMs));
+        end(id, REFUSED, new OwedNotice(true, afterMs));
     }
 
     @Override
     public void giveUp(long id) {
-        end(id, GIVEN_UP, new Owed(false, 0));
+        end(id, GIVEN_UP, new OwedNotice(false, 0));
     }
 
     /** A message that its client has not been told of yet is answered there, any other one by a notice. */
-    private void end(long id, int status, Owed notice) {
+    private void end(long id, int status, OwedNotice notice) {
         Held h = kept.release(id);
         if (h == null) {
             return;
@@ -779,7 +779,7 @@
     }
 
     @Override
-    public void ask(Ask ask) {
+    public void ask(BookingRequest ask) {
         loop.post(() -> fellows.ask(ask));
     }
 }
--- a/src/main/java/firstair/relay/Own.java
+++ b/src/main/java/firstair/relay/TunableSettings.java
@@ -18,7 +18,7 @@
  * for each value ({@code FIRSTAIR_PLATFORM_ANSWER}), and flags before both. Where none is given, nothing of this is
  * loaded and the limits stand as the deployment has them.
  */
-public final class Own {
+public final class TunableSettings {
     /** The variable that names the file. */
     public static final String FILE = "FIRSTAIR_SETTINGS";
     /** How the variables begin that set a value each. */
@@ -30,7 +30,7 @@
     private static final double MIN = 60 * S;
     private static final double KIB = 1024;
 
-    private Own() {}
+    private TunableSettings() {}
 
     /** What can be set. */
     public static Schema schema() {
--- a/src/main/java/firstair/relay/clients/Ask.java
+++ b/src/main/java/firstair/relay/clients/BookingRequest.java
@@ -3,13 +3,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** A question about a booking, or a request for one, and the way to answer it. */
-public final class Ask {
+public final class BookingRequest {
     private final ClientConnection connection;
     private final String method;
     private final String booking;
     private final byte[] body;
 
-    Ask(ClientConnection connection, String method, String booking, byte[] body) {
+    BookingRequest(ClientConnection connection, String method, String booking, byte[] body) {
         this.connection = connection;
         this.method = method;
         this.booking = booking;
--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -1,7 +1,7 @@
 package firstair.relay.clients;
 
 import firstair.relay.Limits;
-import firstair.relay.Seldom;
+import firstair.relay.RateLimitedLogger;
 import firstair.relay.http.Collector;
 import firstair.relay.http.Head;
 import firstair.relay.http.HttpException;
@@ -19,7 +19,7 @@
 /** One client's connection: its requests one after another, each answered before the next is looked at. */
 final class ClientConnection {
     private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
-    private static final Seldom FAULTS = new Seldom(LOG, Level.SEVERE);
+    private static final RateLimitedLogger FAULTS = new RateLimitedLogger(LOG, Level.SEVERE);
     private static final double MS_PER_S = 1000;
     private static final int ID_CHARS = 128;
     private static final int AHEAD = 16; // requests sent before their turn; clients send one at a time
@@ -35,7 +35,7 @@
 
     private final Connection<?> connection;
     private final Limits limits;
-    private final Desk desk;
+    private final RequestHandler desk;
     private final BooleanSupplier crowded;
     private final HttpParser parser;
     private Phase phase = Phase.OPEN;
@@ -53,7 +53,7 @@
     private long discarded; // bytes that came after a refusal
 
     /** @param crowded whether clients hold so many connections that none is to be kept without need */
-    ClientConnection(Connection<?> connection, Limits limits, Desk desk, BooleanSupplier crowded) {
+    ClientConnection(Connection<?> connection, Limits limits, RequestHandler desk, BooleanSupplier crowded) {
         this.connection = connection;
         this.limits = limits;
         this.desk = desk;
@@ -165,7 +165,7 @@
         } else if (!word(booking)) {
             answer(404, 0);
         } else {
-            desk.ask(new Ask(this, head.method(), booking, body));
+            desk.ask(new BookingRequest(this, head.method(), booking, body));
         }
     }
 
@@ -188,7 +188,7 @@
             return;
         }
         String retry = String.valueOf(head.header("client-retry")).trim().toLowerCase(Locale.ROOT);
-        desk.handIn(new HandIn(
+        desk.handIn(new Submission(
                 this,
                 id,
                 type,
--- a/src/main/java/firstair/relay/clients/ClientFilter.java
+++ b/src/main/java/firstair/relay/clients/ClientFilter.java
@@ -19,12 +19,12 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.client");
 
     private final Limits limits;
-    private final Desk desk;
+    private final RequestHandler desk;
     private final Set<ClientConnection> open = ConcurrentHashMap.newKeySet();
     private volatile boolean draining;
 
     /** Serves clients on behalf of a desk. */
-    public ClientFilter(Limits limits, Desk desk) {
+    public ClientFilter(Limits limits, RequestHandler desk) {
         this.limits = limits;
         this.desk = desk;
     }
--- a/src/main/java/firstair/relay/clients/Desk.java
+++ b/src/main/java/firstair/relay/clients/RequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** What the client side needs to know of the relay. */
-public interface Desk {
+public interface RequestHandler {
     /** Now, on the clock of deadlines. */
     double now();
 
@@ -17,7 +17,7 @@
     boolean keyed(int messageClass);
 
     /** A well-formed message has come; it is answered later, from another thread. */
-    void handIn(HandIn message);
+    void handIn(Submission message);
 
     /** Whether bookings can be asked for here. */
     default boolean asks() {
@@ -25,7 +25,7 @@
     }
 
     /** Somebody asks for a booking, where {@link #asks}; it is answered later, from another thread. */
-    default void ask(Ask ask) {
+    default void ask(BookingRequest ask) {
         throw new IllegalStateException("bookings are off");
     }
 }
--- a/src/main/java/firstair/relay/clients/HandIn.java
+++ b/src/main/java/firstair/relay/clients/Submission.java
@@ -1,7 +1,7 @@
 package firstair.relay.clients;
 
 /** A message that a client has handed in, and the way to answer it. */
-public final class HandIn {
+public final class Submission {
     private final ClientConnection connection;
     private final String requestId;
     private final int messageClass;
@@ -14,7 +14,7 @@
     private final String tenant;
     private final String booking;
 
-    HandIn(
+    Submission(
             ClientConnection connection,
             String requestId,
             int messageClass,
--- a/src/main/java/firstair/relay/discovery/Listed.java
+++ b/src/main/java/firstair/relay/discovery/EndpointList.java
@@ -23,12 +23,12 @@
  *
  * @param addresses where this relay reaches each endpoint, by its id
  */
-public record Listed(long version, boolean full, List<Entry> entries, Map<String, InetSocketAddress> addresses) {
+public record EndpointList(long version, boolean full, List<Entry> entries, Map<String, InetSocketAddress> addresses) {
 
     private static final int MOST_CHARS = 200; // of what is told of a fault: it may quote all that was read
 
     /** Reads one JSON text, and by the letter: what is no JSON is told as an {@link IllegalArgumentException}. */
-    public static Listed read(String text, List<String> kinds, Zones zones) {
+    public static EndpointList read(String text, List<String> kinds, Zones zones) {
         JsonReader reader = new JsonReader(new StringReader(text));
         reader.setStrictness(Strictness.STRICT);
         JsonObject object;
@@ -44,7 +44,7 @@
     }
 
     /** Reads a list; kinds and zones are told by name and numbered as the settings number them. */
-    public static Listed read(JsonObject object, List<String> kinds, Zones zones) {
+    public static EndpointList read(JsonObject object, List<String> kinds, Zones zones) {
         try {
             List<Entry> entries = new ArrayList<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
@@ -65,7 +65,7 @@
                         state));
             }
             boolean full = !object.has("full") || object.get("full").getAsBoolean();
-            return new Listed(member(object, "version").getAsLong(), full, entries, addresses);
+            return new EndpointList(member(object, "version").getAsLong(), full, entries, addresses);
         } catch (IllegalArgumentException | IllegalStateException | UnsupportedOperationException e) {
             throw bad("not a list of endpoints: ", e);
         }
--- a/src/main/java/firstair/relay/discovery/Watch.java
+++ b/src/main/java/firstair/relay/discovery/Watch.java
@@ -4,7 +4,7 @@
 import firstair.relay.HostPort;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.Seldom;
+import firstair.relay.RateLimitedLogger;
 import firstair.relay.http.Head;
 import firstair.relay.http.HttpWriter;
 import firstair.relay.net.Dialer;
@@ -29,7 +29,7 @@
     /** Gets the news, on the loop's thread. */
     public interface Listener {
         /** {@code listed} is null with {@link News#FAILED} and {@link News#OVERDUE}. */
-        void news(News news, Listed listed);
+        void news(News news, EndpointList listed);
     }
 
     private final Dialer dialer;
@@ -41,7 +41,7 @@
     private final Listener listener;
     private long version;
     private final List<Call> calls = new ArrayList<>(); // out
-    private final Seldom losses = new Seldom(LOG, Level.WARNING);
+    private final RateLimitedLogger losses = new RateLimitedLogger(LOG, Level.WARNING);
     private boolean lost; // and told so in the log
 
     /** @param version version of the list held, or -1 */
@@ -143,9 +143,9 @@
         if (!calls.contains(from)) {
             return;
         }
-        Listed listed;
+        EndpointList listed;
         try {
-            listed = Listed.read(text, kinds, zones);
+            listed = EndpointList.read(text, kinds, zones);
         } catch (IllegalArgumentException e) {
             unreadable(from, e.getMessage());
             return;
--- a/src/main/java/firstair/relay/fleet/FleetDriver.java
+++ b/src/main/java/firstair/relay/fleet/FleetDriver.java
@@ -19,9 +19,9 @@
 import firstair.fleet.talk.Envelope;
 import firstair.relay.Config;
 import firstair.relay.ConfigException;
-import firstair.relay.Fellows;
+import firstair.relay.FleetPeers;
 import firstair.relay.Loop;
-import firstair.relay.clients.Ask;
+import firstair.relay.clients.BookingRequest;
 import firstair.relay.discovery.Zones;
 import firstair.relay.store.LedgerFile;
 import java.io.IOException;
@@ -40,7 +40,7 @@
  * Drives one {@link Fleet}: its sockets, clocks, files and the way to the relay. It decides nothing. All methods run
  * on the loop's thread.
  */
-public final class FleetDriver implements Fellows, Fleet.Actions {
+public final class FleetDriver implements FleetPeers, Fleet.Actions {
     private static final Logger LOG = Logger.getLogger(FleetDriver.class.getName());
     private static final String INCARNATION = "incarnation";
     private static final double TOLD_AGAIN_MS = 60_000;
@@ -70,7 +70,7 @@
      * @throws ConfigException if the settings cannot be used
      * @throws IOException     if the address or the folder cannot be had
      */
-    public static Fellows of(Config config, Values own, Loop loop, Listener listener) throws IOException {
+    public static FleetPeers of(Config config, Values own, Loop loop, Listener listener) throws IOException {
         FleetConfig fleet = FleetConfig.of(own, config);
         if (fleet == null) {
             return NONE;
@@ -319,7 +319,7 @@
     }
 
     @Override
-    public void ask(Ask ask) {
+    public void ask(BookingRequest ask) {
         try {
             if (ask.method().equals("GET")) {
                 ask.answer(200, 0, shown(ask.booking()));
@@ -350,7 +350,7 @@
     }
 
     /** The request with what its method and path say. */
-    private static byte[] text(Ask ask) {
+    private static byte[] text(BookingRequest ask) {
         JsonObject o = new JsonObject();
         try {
             JsonElement read =
@@ -374,7 +374,7 @@
     private static final Set<String> NAMELESS =
             Set.of("\"limit\"", "\"set-team\"", "\"set-destination\"", "\"set-rules\"");
 
-    private static void answer(Ask ask, firstair.fleet.ledger.Outcome outcome) {
+    private static void answer(BookingRequest ask, firstair.fleet.ledger.Outcome outcome) {
         if (outcome instanceof firstair.fleet.ledger.Outcome.Agreed agreed) {
             String booking = new String(agreed.result(), StandardCharsets.UTF_8);
             ask.answer(200, 0, booking.isEmpty() ? "{}" : booking);
@@ -385,7 +385,7 @@
         }
     }
 
-    private static void answer(Ask ask, Fault fault) {
+    private static void answer(BookingRequest ask, Fault fault) {
         double after = fault instanceof Fault.NotNow n ? n.afterMs() : 0;
         ask.answer(
                 fault instanceof Fault.NotNow ? NOT_NOW : status(fault.code()),
--- a/src/main/java/firstair/relay/net/HttpLink.java
+++ b/src/main/java/firstair/relay/net/HttpLink.java
@@ -1,6 +1,6 @@
 package firstair.relay.net;
 
-import firstair.relay.Seldom;
+import firstair.relay.RateLimitedLogger;
 import firstair.relay.http.Head;
 import firstair.relay.http.HttpException;
 import firstair.relay.http.HttpParser;
@@ -14,7 +14,8 @@
 
 /** A {@link Link} that speaks HTTP/1.1 over a connection of Grizzly's. */
 final class HttpLink implements Link {
-    private static final Seldom FAULTS = new Seldom(Logger.getLogger(HttpLink.class.getName()), Level.SEVERE);
+    private static final RateLimitedLogger FAULTS =
+            new RateLimitedLogger(Logger.getLogger(HttpLink.class.getName()), Level.SEVERE);
 
     private enum Phase {
         CONNECTING,
--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -4,12 +4,12 @@
 import firstair.relay.HostPort;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.Seldom;
+import firstair.relay.RateLimitedLogger;
 import firstair.relay.http.Head;
 import firstair.relay.http.HttpWriter;
 import firstair.relay.net.Dialer;
 import firstair.relay.net.Link;
-import firstair.relay.store.Owed;
+import firstair.relay.store.OwedNotice;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -39,9 +39,9 @@
     private InetSocketAddress address;
     private Link idle;
     private Loop.Timer again;
-    private final Seldom delays = new Seldom(LOG, Level.WARNING);
-    private final Seldom answers = new Seldom(LOG, Level.WARNING);
-    private final Seldom faults = new Seldom(LOG, Level.SEVERE);
+    private final RateLimitedLogger delays = new RateLimitedLogger(LOG, Level.WARNING);
+    private final RateLimitedLogger answers = new RateLimitedLogger(LOG, Level.WARNING);
+    private final RateLimitedLogger faults = new RateLimitedLogger(LOG, Level.SEVERE);
     private boolean told; // that notices are overdue
 
     /**
@@ -73,7 +73,7 @@
      *
      * @param dueAt until when it is in time, on the loop's clock
      */
-    public void add(long id, String requestId, Owed notice, double dueAt) {
+    public void add(long id, String requestId, OwedNotice notice, double dueAt) {
         JsonObject o = new JsonObject();
         o.addProperty("message", requestId);
         o.addProperty("outcome", notice.handedBack() ? "handed_back" : "given_up");
--- a/src/main/java/firstair/relay/store/Owed.java
+++ b/src/main/java/firstair/relay/store/OwedNotice.java
@@ -6,4 +6,4 @@
  * @param handedBack the message is handed back; otherwise given up
  * @param afterMs    when its client should come again, 0 to say nothing of it
  */
-public record Owed(boolean handedBack, double afterMs) {}
+public record OwedNotice(boolean handedBack, double afterMs) {}
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -19,13 +19,13 @@
 
     /** Gets what the records say. */
     interface Reader {
-        void taken(Taken taken);
+        void taken(StoredMessage taken);
 
-        void called(long id, Tried tried);
+        void called(long id, StoredAttempt tried);
 
         void ended(long id, int attempt, boolean maybeRan);
 
-        void owed(long id, Owed owed);
+        void owed(long id, OwedNotice owed);
 
         void over(long id);
 
@@ -50,7 +50,7 @@
 
     private Records() {}
 
-    static byte[] taken(Taken t) {
+    static byte[] taken(StoredMessage t) {
         return record(Type.TAKEN, t.id(), out -> {
             out.writeUTF(t.requestId());
             out.writeUTF(t.className());
@@ -69,7 +69,7 @@
         });
     }
 
-    static byte[] called(long id, Tried t) {
+    static byte[] called(long id, StoredAttempt t) {
         return record(Type.CALLED, id, out -> {
             out.writeUTF(t.endpoint());
             out.writeLong(t.sentAt());
@@ -84,7 +84,7 @@
         });
     }
 
-    static byte[] owed(long id, Owed o) {
+    static byte[] owed(long id, OwedNotice o) {
         return record(Type.OWED, id, out -> {
             out.writeBoolean(o.handedBack());
             out.writeDouble(o.afterMs());
@@ -203,7 +203,7 @@
                     byte[] body = in.readNBytes(in.readInt());
                     String tenant = in.available() > 0 ? in.readUTF() : "";
                     String booking = in.available() > 0 ? in.readUTF() : "";
-                    reader.taken(new Taken(
+                    reader.taken(new StoredMessage(
                             id,
                             requestId,
                             className,
@@ -216,9 +216,9 @@
                             tenant.isEmpty() ? null : tenant,
                             booking.isEmpty() ? null : booking));
                 }
-                case CALLED -> reader.called(id, new Tried(in.readUTF(), in.readLong(), in.readBoolean()));
+                case CALLED -> reader.called(id, new StoredAttempt(in.readUTF(), in.readLong(), in.readBoolean()));
                 case ENDED -> reader.ended(id, in.readInt(), in.readBoolean());
-                case OWED -> reader.owed(id, new Owed(in.readBoolean(), in.readDouble()));
+                case OWED -> reader.owed(id, new OwedNotice(in.readBoolean(), in.readDouble()));
                 case OVER -> reader.over(id);
                 case CLOCK -> reader.clock(new StoredTimes.Mark(in.readUTF(), in.readLong(), in.readLong()));
                 default -> throw new IllegalStateException(type.name());
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -1,6 +1,6 @@
 package firstair.relay.store;
 
-import firstair.relay.Seldom;
+import firstair.relay.RateLimitedLogger;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InterruptedIOException;
@@ -33,33 +33,33 @@
 
     /** A message that is not over, and what is known of it. */
     public static final class Open {
-        private Taken taken;
-        private final List<Tried> tries = new ArrayList<>();
-        private Owed owed;
+        private StoredMessage taken;
+        private final List<StoredAttempt> tries = new ArrayList<>();
+        private OwedNotice owed;
         private int callBytes; // of the records of its calls
 
-        private Open(Taken taken) {
+        private Open(StoredMessage taken) {
             this.taken = taken;
         }
 
         /** The message; without its bytes once only its notice is owed. */
-        public Taken taken() {
+        public StoredMessage taken() {
             return taken;
         }
 
         /** The calls made so far. */
-        public List<Tried> tries() {
+        public List<StoredAttempt> tries() {
             return List.copyOf(tries);
         }
 
         /** The notice that is owed, or null. */
-        public Owed owed() {
+        public OwedNotice owed() {
             return owed;
         }
 
         private void convert(StoredTimes times) {
             taken = taken.withDeadlineAt(times.deadlineAt(taken.deadlineAt()));
-            tries.replaceAll(t -> new Tried(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
+            tries.replaceAll(t -> new StoredAttempt(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
         }
 
         private int cost() {
@@ -79,7 +79,7 @@
     private long cost;
     private boolean behind; // the file lacks records that could not be written
     private boolean torn; // the file may hold records of a write that failed
-    private final Seldom failures = new Seldom(LOG, Level.SEVERE);
+    private final RateLimitedLogger failures = new RateLimitedLogger(LOG, Level.SEVERE);
     private boolean told; // that it cannot be written
 
     private Store(Path folder, long diskBytes, BootClock clock) {
@@ -147,12 +147,12 @@
         StoredTimes.Mark[] begun = new StoredTimes.Mark[1];
         Records.Found found = Records.read(file, new Records.Reader() {
             @Override
-            public void taken(Taken t) {
+            public void taken(StoredMessage t) {
                 open.put(t.id(), new Open(t));
             }
 
             @Override
-            public void called(long id, Tried t) {
+            public void called(long id, StoredAttempt t) {
                 Open o = open.get(id);
                 if (o != null) {
                     o.tries.add(t);
@@ -164,13 +164,13 @@
             public void ended(long id, int attempt, boolean maybeRan) {
                 Open o = open.get(id);
                 if (o != null && attempt >= 0 && attempt < o.tries.size()) {
-                    Tried t = o.tries.get(attempt);
-                    o.tries.set(attempt, new Tried(t.endpoint(), t.sentAt(), maybeRan));
+                    StoredAttempt t = o.tries.get(attempt);
+                    o.tries.set(attempt, new StoredAttempt(t.endpoint(), t.sentAt(), maybeRan));
                 }
             }
 
             @Override
-            public void owed(long id, Owed owed) {
+            public void owed(long id, OwedNotice owed) {
                 Open o = open.get(id);
                 if (o != null) {
                     o.owed = owed;
@@ -218,7 +218,7 @@
     }
 
     /** A message is about to be taken on. */
-    public void taken(Taken t) {
+    public void taken(StoredMessage t) {
         Open o = new Open(t);
         open.put(t.id(), o);
         cost += o.cost();
@@ -234,7 +234,7 @@
     /** A call is about to be written; returns its number among the calls of the message. */
     public int called(long id, String endpoint, long sentAt) {
         Open o = open.get(id);
-        Tried t = new Tried(endpoint, sentAt, true);
+        StoredAttempt t = new StoredAttempt(endpoint, sentAt, true);
         byte[] record = Records.called(id, t);
         cost -= o.cost();
         o.tries.add(t);
@@ -248,14 +248,14 @@
     public void ended(long id, int attempt, boolean maybeRan) {
         Open o = open.get(id);
         if (o != null && attempt < o.tries.size()) {
-            Tried t = o.tries.get(attempt);
-            o.tries.set(attempt, new Tried(t.endpoint(), t.sentAt(), maybeRan));
+            StoredAttempt t = o.tries.get(attempt);
+            o.tries.set(attempt, new StoredAttempt(t.endpoint(), t.sentAt(), maybeRan));
             pending.writeBytes(Records.ended(id, attempt, maybeRan));
         }
     }
 
     /** The message has ended and a notice of it is owed; its bytes are no longer needed. */
-    public void owed(long id, Owed owed) {
+    public void owed(long id, OwedNotice owed) {
         Open o = open.get(id);
         if (o != null) {
             cost -= o.cost();
@@ -375,7 +375,7 @@
         long written = 0;
         for (Open o : open.values()) {
             block.writeBytes(Records.taken(o.taken));
-            for (Tried t : o.tries) {
+            for (StoredAttempt t : o.tries) {
                 block.writeBytes(Records.called(o.taken.id(), t));
             }
             if (o.owed != null) {
--- a/src/main/java/firstair/relay/store/Tried.java
+++ b/src/main/java/firstair/relay/store/StoredAttempt.java
@@ -6,4 +6,4 @@
  * @param sentAt   when, by {@link BootClock#nowMs}
  * @param maybeRan unless its outcome is known and proves that it never ran
  */
-public record Tried(String endpoint, long sentAt, boolean maybeRan) {}
+public record StoredAttempt(String endpoint, long sentAt, boolean maybeRan) {}
--- a/src/main/java/firstair/relay/store/Taken.java
+++ b/src/main/java/firstair/relay/store/StoredMessage.java
@@ -14,7 +14,7 @@
  * @param tenant     whose it is, or null
  * @param booking    what it draws on, or null
  */
-public record Taken(
+public record StoredMessage(
         long id,
         String requestId,
         String className,
@@ -28,7 +28,7 @@
         String booking) {
 
     /** One of no tenant and on no booking. */
-    public Taken(
+    public StoredMessage(
             long id,
             String requestId,
             String className,
@@ -41,12 +41,13 @@
         this(id, requestId, className, destination, key, deadlineAt, again, fromDead, body, null, null);
     }
 
-    Taken withDeadlineAt(long at) {
-        return new Taken(id, requestId, className, destination, key, at, again, fromDead, body, tenant, booking);
+    StoredMessage withDeadlineAt(long at) {
+        return new StoredMessage(
+                id, requestId, className, destination, key, at, again, fromDead, body, tenant, booking);
     }
 
-    Taken withoutBody() {
-        return new Taken(
+    StoredMessage withoutBody() {
+        return new StoredMessage(
                 id, requestId, className, destination, key, deadlineAt, again, fromDead, new byte[0], tenant, booking);
     }
 }
--- a/src/test/java/firstair/cli/ReferenceTest.java
+++ b/src/test/java/firstair/cli/ReferenceTest.java
@@ -6,7 +6,7 @@
 import firstair.config.Read;
 import firstair.config.Values;
 import firstair.relay.Limits;
-import firstair.relay.Own;
+import firstair.relay.TunableSettings;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -24,11 +24,11 @@
     void usualValuesAreWhatHoldsWithoutThem() {
         Map<String, String> usual = new HashMap<>();
         Map<String, String> origins = new HashMap<>();
-        for (Item i : Own.schema().items()) {
+        for (Item i : TunableSettings.schema().items()) {
             usual.put(i.path(), i.usual());
             origins.put(i.path(), "test");
         }
-        Values all = Read.texts(usual, origins, Own.schema()).values();
+        Values all = Read.texts(usual, origins, TunableSettings.schema()).values();
         Limits l = Limits.of(0, 0, 256_000_000, 0, 0, 0);
         assertThat(l.tuned(all)).isEqualTo(l);
         assertThat(l.tuned(Values.NONE)).isSameAs(l);
@@ -37,12 +37,12 @@
     @Test
     void everyItemReachesALimit() {
         Limits l = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-        for (Item i : Own.schema().items()) {
+        for (Item i : TunableSettings.schema().items()) {
             if (i.path().startsWith("fleet.")) {
                 continue; // FleetConfigTest has these
             }
             String other = i.kind().write(i.kind().read(i.usual()) == i.most() ? i.least() : i.most());
-            Values one = Read.texts(Map.of(i.path(), other), Map.of(i.path(), "test"), Own.schema())
+            Values one = Read.texts(Map.of(i.path(), other), Map.of(i.path(), "test"), TunableSettings.schema())
                     .values();
             assertThat(l.tuned(one)).as(i.path()).isNotEqualTo(l);
         }
@@ -51,7 +51,7 @@
     @Test
     void theFileUnderDeployCanBeUsedAndChangesNothing() throws Exception {
         Path file = Path.of("deploy", "settings.toml");
-        Read r = Read.toml("settings.toml", Files.readAllBytes(file), Own.schema());
+        Read r = Read.toml("settings.toml", Files.readAllBytes(file), TunableSettings.schema());
         assertThat(r.faults()).isEmpty();
         Limits l = Limits.of(0, 0, 64_000_000, 0, 0, 0);
         assertThat(l.tuned(r.values())).isEqualTo(l);
--- a/src/test/java/firstair/relay/EndTest.java
+++ b/src/test/java/firstair/relay/EndTest.java
@@ -82,7 +82,7 @@
                             .with(Read.texts(
                                             SHORT,
                                             Map.of("drain.accept", "test", "drain.calls", "test", "drain.end", "test"),
-                                            Own.schema())
+                                            TunableSettings.schema())
                                     .values()),
                     this::slow);
             Thread serving = new Thread(() -> {
--- a/src/test/java/firstair/relay/FaultsTest.java
+++ b/src/test/java/firstair/relay/FaultsTest.java
@@ -19,7 +19,7 @@
 import firstair.relay.standin.FaultyDialer;
 import firstair.relay.standin.LoopThread;
 import firstair.relay.standin.Platform;
-import firstair.relay.store.Owed;
+import firstair.relay.store.OwedNotice;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -82,10 +82,10 @@
                     new Random(1),
                     confirmed::add,
                     () -> {});
-            loop.post(() -> made[0].add(1, "r1", new Owed(false, 0), loop.now() + 300));
+            loop.post(() -> made[0].add(1, "r1", new OwedNotice(false, 0), loop.now() + 300));
             assertThat(next(confirmed)).isEqualTo(1);
             loop.post(() -> made[0].move(later.address()));
-            loop.post(() -> made[0].add(2, "r2", new Owed(false, 0), loop.now() + 300));
+            loop.post(() -> made[0].add(2, "r2", new OwedNotice(false, 0), loop.now() + 300));
             assertThat(next(confirmed)).isEqualTo(2);
             assertThat(later.accepted()).isPositive();
         }
--- a/src/test/java/firstair/relay/SeldomTest.java
+++ b/src/test/java/firstair/relay/RateLimitedLoggerTest.java
@@ -8,10 +8,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class SeldomTest {
-    private final LogLines lines = new LogLines(SeldomTest.class);
+class RateLimitedLoggerTest {
+    private final LogLines lines = new LogLines(RateLimitedLoggerTest.class);
     private double now = 1000;
-    private final Seldom seldom = new Seldom(Logger.getLogger(SeldomTest.class.getName()), Level.WARNING, () -> now);
+    private final RateLimitedLogger seldom =
+            new RateLimitedLogger(Logger.getLogger(RateLimitedLoggerTest.class.getName()), Level.WARNING, () -> now);
 
     @AfterEach
     void stop() {
--- a/src/test/java/firstair/relay/clients/ClientFilterTest.java
+++ b/src/test/java/firstair/relay/clients/ClientFilterTest.java
@@ -26,7 +26,7 @@
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ClientFilterTest {
     /** Takes whatever comes. */
-    private static final class Taking implements Desk {
+    private static final class Taking implements RequestHandler {
         volatile double now;
 
         @Override
@@ -50,7 +50,7 @@
         }
 
         @Override
-        public void handIn(HandIn message) {
+        public void handIn(Submission message) {
             message.answer(202, 0);
         }
     }
--- a/src/test/java/firstair/relay/clients/ClosingTest.java
+++ b/src/test/java/firstair/relay/clients/ClosingTest.java
@@ -46,8 +46,8 @@
     private static final String WHOLE = HEAD + "x";
 
     /** Takes what comes, at once or when the test says so. */
-    private static final class Taking implements Desk {
-        final BlockingQueue<HandIn> waiting = new LinkedBlockingQueue<>();
+    private static final class Taking implements RequestHandler {
+        final BlockingQueue<Submission> waiting = new LinkedBlockingQueue<>();
         final AtomicInteger taken = new AtomicInteger();
         volatile boolean holding;
         volatile double now;
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public void handIn(HandIn message) {
+        public void handIn(Submission message) {
             taken.incrementAndGet();
             if (holding) {
                 waiting.add(message);
@@ -370,7 +370,7 @@
             released.countDown();
             assertThat(answer(all.get(FEW))).isEqualTo("503");
             for (int i = 0; i < FEW; i++) {
-                HandIn h = desk.waiting.take();
+                Submission h = desk.waiting.take();
                 assertThat(h.gone()).isFalse();
                 h.answer(202, 0);
             }
@@ -440,7 +440,7 @@
             String all = WHOLE + ASK.repeat(5 * limits.maxHead() / ASK.length());
             send(s, all);
             Await.until("all read", () -> read.get() >= all.length() || closed.get() > 0);
-            HandIn h = desk.waiting.take();
+            Submission h = desk.waiting.take();
             assertThat(h.gone()).isFalse();
             h.answer(202, 0);
             assertThat(answers(s)).containsExactly("202");
@@ -569,10 +569,10 @@
                 Socket next = client()) {
             send(s, WHOLE);
             leaving.step.of(s);
-            HandIn h = desk.waiting.take();
+            Submission h = desk.waiting.take();
             Await.until("gone", h::gone);
             send(next, WHOLE);
-            HandIn other = desk.waiting.take();
+            Submission other = desk.waiting.take();
             h.answer(503, 0);
             other.answer(503, 0);
             assertThat(answer(next)).isEqualTo("503");
@@ -606,7 +606,7 @@
         desk.holding = true;
         try (Socket s = client()) {
             send(s, WHOLE + WHOLE);
-            HandIn first = desk.waiting.take();
+            Submission first = desk.waiting.take();
             filter.refuse();
             first.answer(status, 0);
             assertThat(answers(s)).containsExactly("503");
--- a/src/test/java/firstair/relay/discovery/ListedTest.java
+++ b/src/test/java/firstair/relay/discovery/EndpointListTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ListedTest {
+class EndpointListTest {
     private static final List<String> KINDS = List.of("m1", "m2");
     private static final Zones ZONES = new Zones(List.of("a", "b"));
 
     @Test
     void namesBecomeTheSettingsNumbers() {
-        Listed l = Listed.read(
+        EndpointList l = EndpointList.read(
                 "{\"version\":41,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:90\","
                         + "\"zone\":\"b\",\"kind\":\"m2\",\"cell\":3,\"state\":\"draining\","
                         + "\"weight\":1.5,\"started_ms\":0},"
@@ -36,7 +36,7 @@
     @Test
     void zonesWithoutANumberInTheSettingsAreToldApart() {
         Zones zones = new Zones(List.of("a"));
-        assertThat(List.of("x", "a", "y", "x", "b").stream().map(z -> Listed.read(
+        assertThat(List.of("x", "a", "y", "x", "b").stream().map(z -> EndpointList.read(
                                 "{\"version\":1,"
                                         + "\"servers\":[{"
                                         + "\"id\":\"s\",\"addr\":\"127.0.0.1:90\","
@@ -69,6 +69,6 @@
                 "{\"version\":1,\"servers\":[{\"id\":\"s\",\"addr\":\"x:1\",\"cell\":1,\"state\":\"odd\"}]}"
             })
     void whatIsNotAListIsToldFromOne(String text) {
-        assertThatThrownBy(() -> Listed.read(text, KINDS, ZONES)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> EndpointList.read(text, KINDS, ZONES)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/firstair/relay/discovery/WatchTest.java
+++ b/src/test/java/firstair/relay/discovery/WatchTest.java
@@ -41,7 +41,7 @@
 class WatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private record Told(News news, Listed listed) {}
+    private record Told(News news, EndpointList listed) {}
 
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
     private Limits limits;
--- a/src/test/java/firstair/relay/endpoints/CallCrossingsTest.java
+++ b/src/test/java/firstair/relay/endpoints/CallCrossingsTest.java
@@ -7,7 +7,7 @@
 import firstair.control.Controller.Result;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.Own;
+import firstair.relay.TunableSettings;
 import firstair.relay.net.Wire;
 import firstair.relay.standin.Await;
 import firstair.relay.standin.LoopThread;
@@ -60,7 +60,10 @@
     @BeforeEach
     void start() throws IOException {
         limits = ShortTimes.ofCalls(HALT_MS, 5_000, IDLE_MS, 10)
-                .tuned(Read.texts(Map.of("endpoints.answer", "1s"), Map.of("endpoints.answer", "test"), Own.schema())
+                .tuned(Read.texts(
+                                Map.of("endpoints.answer", "1s"),
+                                Map.of("endpoints.answer", "test"),
+                                TunableSettings.schema())
                         .values()); // a test may get little of a core
         wire = new Wire(limits);
         selector = new SelectorGate(wire);
--- a/src/test/java/firstair/relay/fleet/FleetConfigTest.java
+++ b/src/test/java/firstair/relay/fleet/FleetConfigTest.java
@@ -11,7 +11,7 @@
 import firstair.kit.run.Node;
 import firstair.relay.Config;
 import firstair.relay.ConfigException;
-import firstair.relay.Own;
+import firstair.relay.TunableSettings;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -57,7 +57,7 @@
     private static Values values(Map<String, String> texts) {
         Map<String, String> origins = new HashMap<>();
         texts.keySet().forEach(k -> origins.put(k, "test"));
-        Read r = Read.texts(texts, origins, Own.schema());
+        Read r = Read.texts(texts, origins, TunableSettings.schema());
         assertThat(r.faults()).isEmpty();
         return r.values();
     }
@@ -110,7 +110,9 @@
                 + "bookings = true\nfirst = true\n");
         Config c = config();
         FleetConfig f = FleetConfig.of(
-                Own.read(Map.of(Own.FILE, folder.resolve("settings.toml").toString())), c);
+                TunableSettings.read(Map.of(
+                        TunableSettings.FILE, folder.resolve("settings.toml").toString())),
+                c);
         assertThat(f.setup())
                 .isEqualTo(new Setup(
                         "f", "b", "west", List.of("c", "a", "b"), List.of("a", "b", "c"), 100, 1000, 200, 0.02, 0.4));
@@ -126,7 +128,7 @@
     @Test
     void usualValuesAreThoseOfTheSchema() throws Exception {
         FleetConfig briefly = fleet();
-        Own.schema().items().stream()
+        TunableSettings.schema().items().stream()
                 .filter(i -> i.path().startsWith("fleet."))
                 .forEach(i -> set.putIfAbsent(i.path(), i.usual()));
         assertThat(fleet()).isEqualTo(briefly);
@@ -177,7 +179,7 @@
                 Files.writeString(folder.resolve("c.toml"), CONTRACTS).toString(),
                 "calendars",
                 Files.writeString(folder.resolve("k.toml"), CALENDARS).toString()));
-        for (Item i : Own.schema().items()) {
+        for (Item i : TunableSettings.schema().items()) {
             if (i.path().startsWith("fleet.")) {
                 assertThat(i.atReload()).as(i.path()).isFalse();
                 String before = set.put(i.path(), others.get(i.path().substring("fleet.".length())));
--- a/src/test/java/firstair/relay/platform/NoticesTest.java
+++ b/src/test/java/firstair/relay/platform/NoticesTest.java
@@ -8,7 +8,7 @@
 import firstair.relay.net.Wire;
 import firstair.relay.standin.LogLines;
 import firstair.relay.standin.LoopThread;
-import firstair.relay.store.Owed;
+import firstair.relay.store.OwedNotice;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
@@ -55,7 +55,7 @@
     void aPlatformThatConfirmsNothingDoesNotFillTheLog() throws Exception {
         platform(r -> r.answer(calls.get() <= 12 ? 503 : 204));
         try (LogLines lines = new LogLines(Notices.class)) {
-            loop.post(() -> notices.add(1, "r1", new Owed(false, 0), loop.now() + 20_000));
+            loop.post(() -> notices.add(1, "r1", new OwedNotice(false, 0), loop.now() + 20_000));
             assertThat(confirmed.poll(20, TimeUnit.SECONDS)).isEqualTo(1);
             assertThat(calls.get()).isGreaterThan(12);
             assertThat(lines.beginning("platform answered a notice with 503")).hasSize(1);
@@ -72,7 +72,7 @@
     }
 
     private void owe(long id, boolean handedBack, double afterMs) {
-        loop.post(() -> notices.add(id, "r" + id, new Owed(handedBack, afterMs), loop.now() + 300));
+        loop.post(() -> notices.add(id, "r" + id, new OwedNotice(handedBack, afterMs), loop.now() + 300));
     }
 
     private <T> T next(BlockingQueue<T> queue) throws InterruptedException {
@@ -116,8 +116,8 @@
     void oneThatCannotBeReadHoldsUpNoOther() throws Exception {
         platform(r -> r.answer(new String(r.body(), StandardCharsets.UTF_8).contains("r1") ? 400 : 204));
         loop.post(() -> {
-            notices.add(1, "r1", new Owed(false, 0), loop.now() + 300);
-            notices.add(2, "r2", new Owed(false, 0), loop.now() + 300);
+            notices.add(1, "r1", new OwedNotice(false, 0), loop.now() + 300);
+            notices.add(2, "r2", new OwedNotice(false, 0), loop.now() + 300);
         });
         assertThat(next(confirmed)).isEqualTo(2);
     }
--- a/src/test/java/firstair/relay/store/StoreClockTest.java
+++ b/src/test/java/firstair/relay/store/StoreClockTest.java
@@ -28,7 +28,7 @@
     /** A file begun at 500,000 on the clock of boot one, with a message that has until 520,000. */
     private void leave() throws IOException {
         Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
-        s.taken(new Taken(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
+        s.taken(new StoredMessage(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
         s.called(1, "e1", 505_000);
         s.flush();
         s.close();
@@ -40,7 +40,7 @@
             leave();
             Store.Open o = reopened("one", 506_000, WALL + 6_000 + step);
             assertThat(o.taken().deadlineAt()).isEqualTo(520_000);
-            assertThat(o.tries()).containsExactly(new Tried("e1", 505_000, true));
+            assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 505_000, true));
             Files.delete(folder.resolve("messages-2.log"));
         }
     }
@@ -50,7 +50,7 @@
     void aDeadlineThatIsDecadesAwayIsNoTimeOfTheWall() throws IOException {
         for (long left : new long[] {1_000_000_000_000L, 999_999_999_999_999L}) {
             Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
-            s.taken(new Taken(1, "r1", "order", 7, null, 500_000 + left, false, false, new byte[3]));
+            s.taken(new StoredMessage(1, "r1", "order", 7, null, 500_000 + left, false, false, new byte[3]));
             s.flush();
             s.close();
             assertThat(reopened("one", 506_000, WALL + 6_000).taken().deadlineAt())
@@ -76,7 +76,7 @@
     @Test
     void whereTheSystemDoesNotNameItsBootItIsAnotherOne() throws IOException {
         Store s = Store.open(folder, DISK, new Clocks("", 500_000, WALL));
-        s.taken(new Taken(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
+        s.taken(new StoredMessage(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
         s.called(1, "e1", 505_000);
         s.flush();
         assertThat(reopened("", 506_000, WALL + 6_000).tries().get(0).sentAt()).isLessThan(0);
@@ -86,10 +86,10 @@
     void aFileOfAnEarlierProgramHasTheWallsTimes() throws IOException {
         Files.write(
                 folder.resolve("messages-3.log"),
-                Records.taken(new Taken(1, "r1", "order", 7, null, WALL + 20_000, false, false, new byte[3])));
+                Records.taken(new StoredMessage(1, "r1", "order", 7, null, WALL + 20_000, false, false, new byte[3])));
         Files.write(
                 folder.resolve("messages-3.log"),
-                Records.called(1, new Tried("e1", WALL + 5_000, true)),
+                Records.called(1, new StoredAttempt("e1", WALL + 5_000, true)),
                 java.nio.file.StandardOpenOption.APPEND);
         Store.Open o = reopened("one", 900_000, WALL + 6_000);
         assertThat(o.taken().deadlineAt()).isEqualTo(900_000 + 14_000);
--- a/src/test/java/firstair/relay/store/StoreTest.java
+++ b/src/test/java/firstair/relay/store/StoreTest.java
@@ -19,8 +19,8 @@
     @TempDir
     private Path folder;
 
-    private static Taken message(long id, int bytes) {
-        return new Taken(
+    private static StoredMessage message(long id, int bytes) {
+        return new StoredMessage(
                 id, "r" + id, "order", 7, id % 2 == 0 ? null : "key" + id, 1_000 + id, false, true, new byte[bytes]);
     }
 
@@ -58,7 +58,7 @@
 
         Store.Open o = only(reopened());
         assertThat(o.taken()).usingRecursiveComparison().isEqualTo(message(3, 5));
-        assertThat(o.tries()).containsExactly(new Tried("e1", 11, false), new Tried("e2", 12, true));
+        assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 11, false), new StoredAttempt("e2", 12, true));
         assertThat(o.owed()).isNull();
     }
 
@@ -78,10 +78,10 @@
     void aNoticeIsOwedWithoutTheBytes() throws IOException {
         Store s = reopened();
         s.taken(message(1, 5_000));
-        s.owed(1, new Owed(true, 250));
+        s.owed(1, new OwedNotice(true, 250));
         s.flush();
         Store.Open o = only(reopened());
-        assertThat(o.owed()).isEqualTo(new Owed(true, 250));
+        assertThat(o.owed()).isEqualTo(new OwedNotice(true, 250));
         assertThat(o.taken().body()).isEmpty();
     }
 
@@ -170,7 +170,7 @@
         }
         Store.Open o = only(reopened());
         assertThat(o.taken().id()).isEqualTo(1);
-        assertThat(o.tries()).containsExactly(new Tried("e1", 11, true));
+        assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 11, true));
     }
 
     /** Whatever is spoilt in between, cut away or put in: each message whose records are whole is there. */
