--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -21,7 +21,6 @@
     private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
     private static final RateLimitedLogger FAULTS = new RateLimitedLogger(LOG, Level.SEVERE);
     private static final double MS_PER_S = 1000;
-    private static final int ID_CHARS = 128;
     private static final int AHEAD = 16; // requests sent before their turn; clients send one at a time
     private static final byte[] NOTHING = new byte[0];
     private static final String BOOKINGS = "/-/bookings/";
@@ -35,7 +34,7 @@
 
     private final Connection<?> connection;
     private final Limits limits;
-    private final RequestHandler desk;
+    private final RequestHandler requests;
     private final BooleanSupplier crowded;
     private final HttpParser parser;
     private Phase phase = Phase.OPEN;
@@ -53,12 +52,12 @@
     private long discarded; // bytes that came after a refusal
 
     /** @param crowded whether clients hold so many connections that none is to be kept without need */
-    ClientConnection(Connection<?> connection, Limits limits, RequestHandler desk, BooleanSupplier crowded) {
+    ClientConnection(Connection<?> connection, Limits limits, RequestHandler requests, BooleanSupplier crowded) {
         this.connection = connection;
         this.limits = limits;
-        this.desk = desk;
+        this.requests = requests;
         this.crowded = crowded;
-        this.quietSince = desk.now();
+        this.quietSince = requests.now();
         this.begunAt = quietSince;
         this.parser = new HttpParser(HttpParser.Kind.REQUEST, limits.maxHead(), limits.maxBody(), new Collector() {
             @Override
@@ -120,7 +119,7 @@
         try {
             while (at < bytes.length && !answering && phase == Phase.OPEN) {
                 if (served && parser.between()) {
-                    begunAt = desk.now();
+                    begunAt = requests.now();
                 }
                 at += parser.feed(bytes, at, bytes.length - at);
                 // Hundreds fit into one read, and all others would wait while they are answered.
@@ -138,7 +137,7 @@
         answering = true;
         last |= !head.keepAlive();
         switch (head.path()) {
-            case "/-/ready" -> answer(!head.method().equals("GET") ? 405 : desk.ready() ? 200 : 503, 0);
+            case "/-/ready" -> answer(!head.method().equals("GET") ? 405 : requests.ready() ? 200 : 503, 0);
             case "/api" -> {
                 if (!head.method().equals("POST")) {
                     answer(405, 0);
@@ -149,7 +148,7 @@
                 }
             }
             default -> {
-                if (head.path().startsWith(BOOKINGS) && desk.asks()) {
+                if (head.path().startsWith(BOOKINGS) && requests.asks()) {
                     ask(head, body);
                 } else {
                     answer(404, 0);
@@ -162,71 +161,20 @@
         String booking = head.path().substring(BOOKINGS.length());
         if (!ASKED.contains(head.method())) {
             answer(405, 0);
-        } else if (!word(booking)) {
+        } else if (!SubmissionFields.isWord(booking)) {
             answer(404, 0);
         } else {
-            desk.ask(new BookingRequest(this, head.method(), booking, body));
+            requests.ask(new BookingRequest(this, head.method(), booking, body));
         }
     }
 
     private void handIn(Head head, byte[] body) {
-        String id = head.header("request-id");
-        Integer type = desk.classes().get(String.valueOf(head.header("request-class")));
-        String key = head.header("idempotency-key");
-        long time = whole(head.header("request-timeout-ms"));
-        String addressing = head.header("x-addressing");
-        long destination = whole(part(addressing, "dest="));
-        boolean badKey = key == null ? type != null && desk.keyed(type) : !word(key);
-        if (id == null
-                || !word(id)
-                || type == null
-                || time < 0
-                || destination < 0
-                || destination > Integer.MAX_VALUE
-                || badKey) {
+        SubmissionFields fields = SubmissionFields.read(head, requests);
+        if (fields == null) {
             answer(400, 0);
-            return;
-        }
-        String retry = String.valueOf(head.header("client-retry")).trim().toLowerCase(Locale.ROOT);
-        desk.handIn(new Submission(
-                this,
-                id,
-                type,
-                (int) destination,
-                key,
-                desk.now() + time,
-                retry.equals("1"),
-                retry.equals("again"),
-                body,
-                part(addressing, "tenant="),
-                part(addressing, "booking=")));
-    }
-
-    /** What can stand in a line of a call with several messages. */
-    private static boolean word(String text) {
-        return !text.isEmpty() && text.length() <= ID_CHARS && text.chars().allMatch(c -> c > 32 && c < 127);
-    }
-
-    private static String part(String addressing, String name) {
-        if (addressing != null) {
-            for (String part : addressing.split("[;,\\s]+")) {
-                if (part.startsWith(name)) {
-                    return part.substring(name.length());
-                }
-            }
-        }
-        return null;
-    }
-
-    /** A whole number, or -1. */
-    private static long whole(String text) {
-        if (text == null
-                || text.isEmpty()
-                || text.length() > 15
-                || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            return -1;
+        } else {
+            requests.handIn(new Submission(this, fields, requests.now() + fields.timeMs(), body));
         }
-        return Long.parseLong(text);
     }
 
     void answer(int status, double retryAfterMs) {
@@ -270,7 +218,7 @@
         byte[] bytes = w.body(json);
         answering = false;
         served = true;
-        quietSince = desk.now();
+        quietSince = requests.now();
         if (close) {
             phase = Phase.ENDING;
             endingSince = quietSince;
@@ -419,10 +367,10 @@
 
     /** Ends it with an answer also where nothing came: it may cross a first request, which is owed one. */
     private synchronized void endUnlessWhole() {
-        if (takesTooLong(desk.now())) {
+        if (takesTooLong(requests.now())) {
             look();
         }
-        if (takesTooLong(desk.now())) {
+        if (takesTooLong(requests.now())) {
             turnAway(408);
         }
     }
@@ -477,7 +425,7 @@
     synchronized boolean busy() {
         return phase == Phase.ENDING
                 || phase == Phase.OPEN
-                        && (answering || !parser.between() || !served && desk.now() - begunAt < limits.firstMs());
+                        && (answering || !parser.between() || !served && requests.now() - begunAt < limits.firstMs());
     }
 
     synchronized boolean gone() {
--- a/src/main/java/firstair/relay/clients/ClientFilter.java
+++ b/src/main/java/firstair/relay/clients/ClientFilter.java
@@ -19,20 +19,20 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.client");
 
     private final Limits limits;
-    private final RequestHandler desk;
+    private final RequestHandler requests;
     private final Set<ClientConnection> open = ConcurrentHashMap.newKeySet();
     private volatile boolean draining;
 
-    /** Serves clients on behalf of a desk. */
-    public ClientFilter(Limits limits, RequestHandler desk) {
+    /** Serves clients and hands their requests on. */
+    public ClientFilter(Limits limits, RequestHandler requests) {
         this.limits = limits;
-        this.desk = desk;
+        this.requests = requests;
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
         ClientConnection client =
-                new ClientConnection(ctx.getConnection(), limits, desk, () -> open.size() > limits.crowd());
+                new ClientConnection(ctx.getConnection(), limits, requests, () -> open.size() > limits.crowd());
         boolean room = open.size() < limits.maxClients() || makeRoom();
         CLIENT.set(ctx.getConnection(), client);
         open.add(client);
@@ -60,7 +60,7 @@
     }
 
     private ClientConnection least() {
-        double now = desk.now();
+        double now = requests.now();
         ClientConnection least = null;
         int most = 0;
         for (ClientConnection c : open) {
@@ -102,7 +102,7 @@
 
     /** Ends connections that take too long. */
     public void sweep() {
-        double now = desk.now();
+        double now = requests.now();
         open.forEach(c -> c.sweep(now));
     }
 
--- a/src/main/java/firstair/relay/clients/Submission.java
+++ b/src/main/java/firstair/relay/clients/Submission.java
@@ -3,60 +3,35 @@
 /** A message that a client has handed in, and the way to answer it. */
 public final class Submission {
     private final ClientConnection connection;
-    private final String requestId;
-    private final int messageClass;
-    private final int destination;
-    private final String key;
+    private final SubmissionFields fields;
     private final double deadlineAt;
-    private final boolean again;
-    private final boolean fromDead;
     private final byte[] body;
-    private final String tenant;
-    private final String booking;
 
-    Submission(
-            ClientConnection connection,
-            String requestId,
-            int messageClass,
-            int destination,
-            String key,
-            double deadlineAt,
-            boolean again,
-            boolean fromDead,
-            byte[] body,
-            String tenant,
-            String booking) {
+    Submission(ClientConnection connection, SubmissionFields fields, double deadlineAt, byte[] body) {
         this.connection = connection;
-        this.requestId = requestId;
-        this.messageClass = messageClass;
-        this.destination = destination;
-        this.key = key;
+        this.fields = fields;
         this.deadlineAt = deadlineAt;
-        this.again = again;
-        this.fromDead = fromDead;
         this.body = body;
-        this.tenant = tenant;
-        this.booking = booking;
     }
 
     /** The client's id of this hand-in. */
     public String requestId() {
-        return requestId;
+        return fields.requestId();
     }
 
     /** Number of the class. */
     public int messageClass() {
-        return messageClass;
+        return fields.messageClass();
     }
 
     /** Number of the destination. */
     public int destination() {
-        return destination;
+        return fields.destination();
     }
 
     /** The key, or null. */
     public String key() {
-        return key;
+        return fields.key();
     }
 
     /** End of its time on the loop's clock. */
@@ -66,12 +41,12 @@
 
     /** Whether it was handed in before and refused. */
     public boolean again() {
-        return again;
+        return fields.again();
     }
 
     /** Whether a relay had it that died or failed to answer. */
     public boolean fromDead() {
-        return fromDead;
+        return fields.fromDead();
     }
 
     /** The bytes as they came. */
@@ -81,12 +56,12 @@
 
     /** Whose message it is, or null. */
     public String tenant() {
-        return tenant;
+        return fields.tenant();
     }
 
     /** The booking that it draws on, or null. */
     public String booking() {
-        return booking;
+        return fields.booking();
     }
 
     /** Whether the client has left: it may hand the message in again, and this one counts for nothing. */
