--- a/src/test/java/firstair/relay/net/HttpLinkTest.java
+++ b/src/test/java/firstair/relay/net/HttpLinkTest.java
@@ -79,30 +79,49 @@
         }
     }
 
-    /** Holds up the selector's thread until {@link #go}. */
+    /**
+     * Holds up the selector's thread until {@link #go}. A connection that is there before anybody asks for its news
+     * tells them on the thread that opened it: then another one is opened.
+     */
     private Socket holdSelector() throws Exception {
-        wire.open(
-                to(),
-                MAX_BODY,
-                null,
-                new Counting() {
-                    @Override
-                    public void up() {
-                        selector.set(Thread.currentThread());
-                        try {
-                            go.await();
-                        } catch (InterruptedException e) {
-                            Thread.currentThread().interrupt();
-                        }
-                    }
+        while (true) {
+            Holding holding = new Holding(Thread.currentThread());
+            wire.open(to(), MAX_BODY, null, holding, () -> {});
+            Socket other = server.accept();
+            holding.told.await();
+            if (selector.get() != null) {
+                return other;
+            }
+            other.close();
+        }
+    }
 
-                    @Override
-                    public void broken(boolean maybeArrived) {} // when the test lets go of it
-                },
-                () -> {});
-        Socket other = server.accept();
-        Await.until("the selector's thread held", () -> selector.get() != null);
-        return other;
+    /** Holds up the thread that tells it of its connection, unless that is the one that opened it. */
+    private final class Holding extends Counting {
+        private final Thread opener;
+        private final CountDownLatch told = new CountDownLatch(1);
+
+        Holding(Thread opener) {
+            this.opener = opener;
+        }
+
+        @Override
+        public void up() {
+            if (Thread.currentThread() == opener) {
+                told.countDown();
+                return;
+            }
+            selector.set(Thread.currentThread());
+            told.countDown();
+            try {
+                go.await();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        }
+
+        @Override
+        public void broken(boolean maybeArrived) {} // when the test lets go of it
     }
 
     /** The system has the connection, and the selector's thread has not looked yet. */
