--- a/src/main/java/firstair/control/Control.java
+++ b/src/main/java/firstair/control/Control.java
@@ -1,4 +1,4 @@
-// The interface (settings, events, actions) stands in Controller.java, the reasons in docs/design.md.
+// The interface (settings, events, actions) is in Controller.java, the reasons are in docs/design.md.
 package firstair.control;
 
 import java.util.ArrayDeque;
@@ -15,240 +15,281 @@
 
 /** All decisions of a relay and their state; see {@link Controller} and docs/design.md. */
 public final class Control implements Controller {
-    private static final double NEVER = Double.NEGATIVE_INFINITY;
-    private static final double FOREVER = Double.POSITIVE_INFINITY;
-    // The design's own figures (docs/design.md).
-    private static final double FIRST_PAUSE_MS = 200; // first pause of a message after a failed try
-    private static final double PAUSE_GROWTH = 2; // each further pause is so many times longer
-    private static final double JITTER = 0.25; // pauses vary by this share either way
-    private static final double CAP = 0.75; // share of the slots that one destination may hold
-    private static final double SICK_CAP = 0.5; // the same while it fails or is slow
-    // Time-outs and call durations.
-    private static final double DEFAULT_CALL_MS = 300; // usual call before any was seen
-    private static final double LEARN = 0.1; // weight of a new duration in the usual one
-    private static final double LEARN_PACE = 0.3; // weight of a new call in an endpoint's slowness
-    private static final double OUTLIER = 3; // a duration counts for at most so many usual ones
-    private static final double TIMEOUT_CALLS = 8; // usual durations until a call is timed out
-    private static final double LEAST_TIMEOUT_MS = 1000; // below this chance alone would time calls out
-    private static final double LEARN_LOST = 0.05; // weight of a call in that share
-    private static final double MANY_LOST = 0.15; // share of lone time-outs that means lost answers
-    private static final double LIVELY = 1.5; // slower than this, a silent call may be slow only
-    private static final double LOST_SHARE = 0.5; // of the time-out while answers get lost
-    private static final double WINDOW_SHARE = 0.6; // of a key's window that one attempt may use up
-    private static final double EXTRA_ITEM = 0.15; // work of a further message in a call, in calls
-    private static final double SELDOM = 0.5; // calls a second; who calls less is one of many
-    private static final int SELDOM_DOWN_AFTER = 2; // failures in a row for it; all add up at a return
-    private static final double SILENT_MS = 700; // answered within it, a destination is not down
-    private static final double DEAD = 0.1; // part of a usual call: broken sooner is dead
-    private static final double STOOD_MS = 1000; // idle so long, it may have been dropped unseen
-    private static final double STALE_MS = 30_000; // no idle connection is used for so long
-    private static final double LEARN_STALE = 0.2; // weight of a call on such a one in their share
-    private static final double MANY_STALE = 0.4; // share that died from which that holds
-    private static final double SLOW = 3; // so many times slower than usual is slow
-    // Health and return of a destination.
-    private static final int DOWN_AFTER_LOST = 5; // the same while calls get lost everywhere
-    private static final int DOWN_AFTER = 3; // failures in a row that make an endpoint down
-    private static final double FULL_OUTAGE_MS = 2500; // refusals alone mean an outage after this long,
-    private static final int FULL_OUTAGE = 5; // and so many in a row where no report tells
-    private static final double MUCH_LEFT = 0.9; // of an allowance: no limit was met
-    private static final double SHUT_WAIT_MS = 2500; // a longer wait means shut, not a limit's span
-    private static final double FIRST_TRIAL_MS = 500; // first pause before a trial of a down endpoint
-    private static final double MOST_TRIAL_MS = 3000; // longest pause between trials
-    private static final double RAMP_LOOK_MS = 250; // how often a ramp is looked at again
-    private static final double ROUGH_OFF = 1.5; // a rough weight may be so many times too high
-    private static final double LEAST_RATE = 1; // calls a second to all where nothing is known
-    private static final double DEMAND_SPAN_MS = 10_000; // least time over which our own demand is averaged
-    private static final double EVEN_SIGNS = 2; // messages that an even demand counts for in it
-    private static final double EARLY_TRIAL_MS = 8000; // first trial where our part takes longer
-    private static final double LEAST_START = 0.01; // capacity at a return where the rules tell none
-    // Pacing at limits.
-    private static final double CUT = 0.8; // rate kept after a refusal above a limit
-    private static final int FEW = 7; // a cut pace stays above that of one of so many
-    private static final double MOST_PARTS = 2; // but not above so many times our even part
-    private static final double LEAST_OF_ALL = 4; // calls a second of all, where no report tells
-    private static final double CUT_EVERY_MS = 500; // refusals closer than this are one event
-    private static final double GROW = 0.15; // growth a second, in parts of our share
-    private static final double SHARED_PART = 0.8; // of our part of a limit where calls can be shared
-    private static final double MANY_REFUSED = 0.1; // share of refused calls from which that holds
-    private static final double BURST_MS = 400; // so much of the rate may go at once
-    private static final double UNTOLD_WAIT_MS = 500; // own pause where a refusal tells no wait
-    private static final double LONE_GROWTH = 4; // of pauses up to the time of one call of our part
-    private static final double SPREAD_MS = 50; // relays told the same wait come back within it
-    private static final double SELDOM_SPREAD_MS = 1000; // or within this, where each calls seldom
-    private static final double CROWD_MS = 2500; // a failed connect and an answer so close: crowded
-    private static final double CROWDED_MS = 5000; // a lone failed connect closes idle ones so long
-    private static final double KEEP_MS = 100; // two handshakes: kept longer, a place is lost
-    private static final double TURNED_MS = 10_000; // turned away within it, a kind is short of places
-    private static final double DOOR_MS = 50; // first pause at an endpoint that turned us away,
-    private static final double MOST_DOOR_MS = 800; // and the longest: room may come at any time
-    private static final double FEWER_PLACES = 0.5; // of our connections there are kept after that,
-    private static final double MORE_PLACES = 0.25; // and so many come back with each answer
-    private static final double FIRST_LOCAL_PAUSE_MS = 50; // where this machine could ask for no connection,
-    private static final double MOST_LOCAL_PAUSE_MS = 800; // and the longest: it may be able to at any time
-    private static final double HELD_UP_MS = 150; // between our clock and our write, at most (operators)
+    private static final double NEVER = Double.NEGATIVE_INFINITY; // of a time: has not happened yet
+    private static final double INFINITE = Double.POSITIVE_INFINITY; // of a time or a rate: unbounded
+
+    // Retries and slots.
+    private static final double FIRST_BACKOFF_MS = 200; // of a message after its first failed attempt
+    private static final double BACKOFF_FACTOR = 2; // from one backoff to the next
+    private static final double JITTER = 0.25; // backoffs vary by this share either way
+    private static final double SLOT_SHARE = 0.75; // share of the slots that one destination may hold
+    private static final double UNHEALTHY_SLOT_SHARE = 0.5; // that all failing or slow ones may hold together
+
+    // Call durations and time-outs.
+    private static final double DEFAULT_CALL_MS = 300; // typical duration before any call was answered
+    private static final double SMOOTHING = 0.1; // weight of a new value in a moving average
+    private static final double SLOWNESS_WEIGHT = 0.3; // weight of a new call in an endpoint's slowness
+    private static final double OUTLIER_FACTOR = 3; // a duration counts for at most so many typical ones
+    private static final double TIMEOUT_FACTOR = 8; // time-out of a call in typical durations
+    private static final double MIN_TIMEOUT_MS = 1000; // below it, calls would time out by chance alone
+    private static final double LOST_WEIGHT = 0.05; // weight of a new call in the share of lost answers
+    // Share of isolated time-outs from which answers count as being lost on the network.
+    private static final double LOST_THRESHOLD = 0.15;
+    private static final double MILD_SLOWNESS = 1.5; // above it, a call without answer may just be slow
+    private static final double LOST_TIMEOUT_FACTOR = 0.5; // on time-outs while answers get lost
+    private static final double WINDOW_SHARE = 0.6; // share of a key's window that one attempt may use up
+    private static final double EXTRA_MESSAGE_COST = 0.15; // work of each further message in a call, in calls
+
+    // Health of endpoints and connections.
+    private static final double LOW_RATE = 0.5; // calls a second; a relay that calls less is one of many
+    // Failures in a row at a low rate: the trials of all relays add up at a return.
+    private static final int LOW_RATE_FAILURES_UNTIL_DOWN = 2;
+    private static final double RECENT_ANSWER_MS = 700; // a destination that answered within it is not down
+    // Share of a typical duration: a reused connection that is reset within it was dead before the call.
+    private static final double DEAD_CONNECTION_SHARE = 0.1;
+    private static final double LONG_IDLE_MS = 1000; // idle for longer, it may have been dropped unnoticed
+    private static final double STALE_MS = 30_000; // connections idle for long are not reused for this time
+    private static final double STALE_WEIGHT = 0.2; // weight of a new call in the share of dead connections
+    private static final double STALE_THRESHOLD = 0.4; // share of dead connections that starts this time
+    private static final double SLOW_FACTOR = 3; // an endpoint is slow at so many times its usual durations
+    private static final int LOSSY_FAILURES_UNTIL_DOWN = 5; // the same while calls get lost everywhere
+    private static final int FAILURES_UNTIL_DOWN = 3; // in a row, until an endpoint counts as down
+    private static final double REJECTION_OUTAGE_MS = 2500; // rejections alone mean an outage after this time
+    // Rejections in a row that an outage takes as well, where answers report no limit.
+    private static final int REJECTION_OUTAGE_COUNT = 5;
+    private static final double AMPLE_ALLOWANCE = 0.9; // share of an allowance left: no limit was reached
+    private static final double OUTAGE_WAIT_MS = 2500; // a longer wait means an outage, not a limit's period
+
+    // Trials of down endpoints, and slow start after their return.
+    private static final double FIRST_TRIAL_MS = 500; // first pause before a trial call
+    private static final double MAX_TRIAL_MS = 3000; // longest pause between trials
+    private static final double RECHECK_MS = 250; // longest time until a slow start is checked again
+    private static final double WEIGHT_ERROR_FACTOR = 1.5; // a rough weight may be so many times too high
+    private static final double DEFAULT_RATE = 1; // calls a second of all relays where no limit is known
+    private static final double DEMAND_SPAN_MS = 10_000; // least time to average this relay's demand over
+    // Messages of an even demand that are added to the observed ones, so that few of them change little.
+    private static final double PRIOR_COUNT = 2;
+    // First trial of some relays where the next call of a relay's share would come later.
+    private static final double EARLY_TRIAL_MS = 8000;
+    private static final double MIN_START_CAPACITY = 0.01; // capacity at a return where the rules give none
+
+    // Rates at limits.
+    private static final double RATE_CUT = 0.8; // factor on the rate after a rejection above a limit
+    private static final int MIN_RATE_RELAYS = 7; // a cut rate stays above that of one of so many relays,
+    private static final double MIN_RATE_EVEN_SHARES = 2; // but not above so many even shares of one relay
+    private static final double UNREPORTED_MIN_RATE = 4; // calls a second of all where no limit is reported
+    private static final double RATE_CUT_INTERVAL_MS = 500; // rejections closer together are one event
+    private static final double RATE_GROWTH = 0.15; // growth a second, in parts of this relay's share
+    private static final double BATCH_SHARE = 0.8; // of an even share, where messages can share calls
+    // Share of rejected calls from which a relay keeps to its even share.
+    private static final double REJECTION_BOUND = 0.1;
+    private static final double BURST_MS = 400; // the calls that the rate permits in it may be sent at once
+    private static final double DEFAULT_WAIT_MS = 500; // first backoff where a rejection names no wait
+    // On those and on early trials, up to the time of one call of this relay's share.
+    private static final double LONG_BACKOFF_FACTOR = 4;
+    private static final double WAIT_SPREAD_MS = 50; // relays with the same wait resume spread over it,
+    private static final double LOW_RATE_WAIT_SPREAD_MS = 1000; // or over this where each has a low rate
+
+    // Connection limits of endpoints, and connections that this machine cannot open.
+    // An answer so soon after a failed connect: the endpoint is up, but at its connection limit.
+    private static final double CONNECTION_LIMIT_MS = 2500;
+    // So long after a lone failed connect idle ones are closed, and after a rejected one few are opened.
+    private static final double CONNECTIONS_SHORT_MS = 5000;
+    private static final double KEEP_IDLE_MS = 100; // two handshakes: kept unused longer, one is wasted
+    // After a rejected connection, a kind of destinations is short of connections for so long.
+    private static final double REJECTED_RECENTLY_MS = 10_000;
+    private static final double CONNECT_BACKOFF_MS = 50; // first one after a rejected connection
+    private static final double MAX_CONNECT_BACKOFF_MS = 800; // others may close theirs at any time
+    private static final double CONNECTIONS_CUT = 0.5; // factor on the most connections after that
+    private static final double CONNECTIONS_GROWTH = 0.25; // connections more with each answer
+    private static final double LOCAL_BACKOFF_MS = 50; // first one after a local failure to connect
+    private static final double MAX_LOCAL_BACKOFF_MS = 800; // this machine may recover at any time
+    // Most time between reading the clock and the write of a call; from the operators.
+    private static final double MAX_WRITE_DELAY_MS = 150;
+
     // Choice among waiting messages.
-    private static final double FAILED_COST = 0.2; // cost of an endpoint for each failure in a row
-    private static final double LOOKAHEAD_MS = 1500; // how far the loss by waiting is looked at
+    private static final double FAILURE_COST = 0.2; // cost of an endpoint for each failure in a row
+    private static final double LOOKAHEAD_MS = 1500; // the worth lost by waiting is that of so much waiting
     private static final double BASE_WORTH = 0.1; // weight of worth that waiting does not lose
-    private static final double CROWD_WORTH = 1; // the same where not all that waits can go
-    private static final double EARLY = 0.7; // of a message's time; returned sooner with no
-    private static final double EARLY_PRICE = 0.3; // try, it costs so much of its worth (operators)
-    private static final double ROOM = 0.06; // share of the open messages kept free
-    private static final double ASK_AGAIN_MS = 400; // pause before asking for the list again
-    private static final double AFTER_WAITING_MS = 100; // the same where the call had let wait for long
+    private static final double OVERLOAD_WORTH = 1; // the same where not all waiting messages can be sent
+    // A message that is refused before this share of its time, without an attempt, costs this share of its
+    // worth; both are from the operators.
+    private static final double EARLY_SHARE = 0.7;
+    private static final double EARLY_PRICE = 0.3;
+    private static final double FREE_SHARE = 0.06; // share of the open messages that is kept free
+
+    // List of endpoints and wake-ups.
+    private static final double LIST_RETRY_MS = 400; // pause before asking for the list again
+    private static final double LIST_RETRY_OVERDUE_MS = 100; // the same after a call that itself took long
     private static final double TICK_MS = 5; // wake-ups are no closer than this
-    private static final double FORGET_MS = 10_000; // what comes back on the list sooner is known
-
-    private static final class Msg {
-        Message m;
-        MessageClass c;
-        Dest dest;
-        int type, tries, pauses;
-        double handedAt, takenAt, notBefore, rank; // handed in first, and to us; due; its turn
-        double doubtAt = Double.NaN; // first send that may have run, NaN if none
-        int doubtZone = -1; // zone of that send, -1 if unknown
-        boolean out, over; // an attempt is in flight; the final answer is known
+    private static final double FORGET_MS = 10_000; // an endpoint that is listed again sooner keeps its state
+
+    /** A message without a final answer, and what is known of it. */
+    private static final class Pending {
+        Message message;
+        MessageClass messageClass;
+        Destination destination;
+        int classIndex, attempts, backoffs;
+        double firstAcceptedAt, acceptedAt; // by any relay; by this one
+        double notBefore, priority; // of the next attempt
+        double inDoubtSince = Double.NaN; // first send that may have run, NaN if none
+        int inDoubtZone = -1; // zone of that send, -1 if unknown
+        boolean inFlight; // an attempt has not ended
+        boolean finished; // the final answer is known
         Set<Integer> zones; // where it may be sent, null for everywhere
-        Lane lane; // what was booked for it, null for none
+        Lane bookedCalls; // calls booked for it, null for none
 
-        List<Endpoint> active() {
+        List<Endpoint> permittedEndpoints() {
             if (zones == null) {
-                return dest.active;
+                return destination.active;
             }
-            return dest.active.stream().filter(e -> zones.contains(e.zone)).toList();
+            return destination.active.stream()
+                    .filter(e -> zones.contains(e.zone))
+                    .toList();
         }
 
         boolean inDoubt() {
-            return !Double.isNaN(doubtAt);
+            return !Double.isNaN(inDoubtSince);
         }
 
-        /** Until when its return is too early: what may have run is given up as soon as that is clear. */
-        double early() {
-            return inDoubt() ? NEVER : takenAt + EARLY * (m.deadlineAt() - takenAt);
+        /** Until when a refusal is too early; what may have run is given up as soon as that is clear. */
+        double earlyUntil() {
+            return inDoubt() ? NEVER : acceptedAt + EARLY_SHARE * (message.deadlineAt() - acceptedAt);
         }
 
-        boolean zoned() {
-            return inDoubt() && c.effect() == Effect.KEYED && c.scope() == Scope.ZONE;
+        boolean boundToZone() {
+            return inDoubt() && messageClass.effect() == Effect.KEYED && messageClass.scope() == Scope.ZONE;
         }
 
         boolean ordered() {
-            return c.inOrder() && m.key() != null;
+            return messageClass.inOrder() && message.key() != null;
         }
     }
 
-    /** One call to an endpoint; it may carry several messages, all of which have its time. */
+    /** One call to an endpoint; it may carry several messages, all of which have its time-out. */
     private static final class Call {
-        Endpoint e;
-        double sentAt, timeoutMs, mostMs = FOREVER; // its time, and the most that its messages allow
-        int items, open;
-        boolean trial, judged;
-        Lane lane; // what was booked for it
-        boolean kept, stood, heard; // on a used connection; one idle for long; its wait binds by now
+        Endpoint endpoint;
+        double sentAt, timeoutMs;
+        double maxTimeoutMs = INFINITE; // the longest that all its messages permit
+        int messages, unanswered;
+        boolean trial, recorded;
+        Lane bookedCalls; // calls booked for its messages, null for none
+        boolean reused, longIdle; // its connection: was used before; was idle for long
+        boolean waitApplied; // the wait in its answer is in force already
     }
 
-    private record Attempt(Msg m, Call call) {}
+    private record Attempt(Pending pending, Call call) {}
 
-    /** What shares one limit: a destination, or one route where routes are apart. */
-    private static final class Unit {
-        final Dest dest;
+    /** The endpoints that share one limit: all of a destination, or a single one where routes are apart. */
+    private static final class Route {
+        final Destination destination;
         final Kind kind;
         final List<Endpoint> endpoints = new ArrayList<>();
-        double waitUntil = NEVER, toldUntil = NEVER, okAt = NEVER, cutAt = NEVER; // told: not by us
+        double waitUntil = NEVER;
+        double reportedWaitUntil = NEVER; // the same without the waits that this relay chose itself
+        double answeredAt = NEVER, rateCutAt = NEVER;
         double limit; // calls a second reported, 0 if none
-        double rate = FOREVER, tokens = 1; // our pace, calls a second, and the calls that may go now
-        double pace = FOREVER; // the same within what the fleet leaves to us
-        double filledAt = Double.NaN;
-        double refusedShare; // of our recent calls
-        double fullSince = Double.NaN; // first of the refusals with no delivery between
-        int failRun, fullRun, fulls; // failures in a row; refusals in a row; such that told no wait
-
-        Unit(Dest dest, Kind kind) {
-            this.dest = dest;
+        double rate = INFINITE; // calls a second of this relay
+        double tokens = 1; // calls that may be sent now
+        double permittedRate = INFINITE; // the rate, at most this relay's share of the limit
+        double refilledAt = Double.NaN;
+        double rejectedShare; // of this relay's recent calls
+        double rejectedSince = Double.NaN; // first of the rejections with no delivery between
+        int failuresInRow, rejectionsInRow, rejectionsWithoutWait; // since the last delivery
+
+        Route(Destination destination, Kind kind) {
+            this.destination = destination;
             this.kind = kind;
         }
 
-        int active() {
-            return kind.routesApart() ? 1 : Math.max(1, dest.active.size());
+        int activeCount() {
+            return kind.routesApart() ? 1 : Math.max(1, destination.active.size());
         }
     }
 
     private static final class Endpoint {
         String name;
-        Dest dest;
-        Unit unit;
+        Destination destination;
+        Route route;
         Kind kind;
-        int zone, kindNo, inflight, failRun, trials, aways; // aways: turned away since the last answer
+        int zone, kindIndex, openCalls, failuresInRow, trials;
+        int connectionRejections; // since the last answer
         boolean active, down;
-        final ArrayDeque<Double> idle = new ArrayDeque<>(); // when our idle connections were last used
-        double weight, trialAt, rampAt, rampOwed; // next trial; last call of a return and its weight
-        double noConnAt = NEVER, okSentAt = NEVER; // last failed connect; latest send that was answered
-        double doorAt = NEVER, awayAt = NEVER; // end of our pause after it turned us away; when it did
-        double places = FOREVER; // connections that we may have there at once
-        double renewAt = FOREVER; // when its kept connections are to end once
-        double leftAt = FOREVER; // since when it is no longer listed
-        double avoidUntil = NEVER; // others hold it to be sick
-        double coldSince = Double.NaN; // start of its return; FOREVER not yet, NaN warm
-        double slowness = 1; // recent durations over the usual ones
-        Call round; // latest call, open to more messages in its round
-
-        boolean cold() {
-            return !Double.isNaN(coldSince);
+        final ArrayDeque<Double> idleSince = new ArrayDeque<>(); // of this relay's idle connections
+        double weight, trialAt;
+        double slowStartCallAt, owedCalls; // last call in slow start, and its weight in calls
+        double connectFailedAt = NEVER;
+        double answeredSentAt = NEVER; // latest send of a call that was answered
+        double connectBackoffUntil = NEVER, connectionRejectedAt = NEVER;
+        double maxConnections = INFINITE; // of this relay at once
+        double renewAt = INFINITE; // when its idle connections are to be closed once
+        double unlistedAt = INFINITE;
+        double avoidUntil = NEVER; // until then other relays consider it unhealthy
+        double slowStartBeganAt = Double.NaN; // INFINITE until its return, NaN outside a slow start
+        double slowness = 1; // recent durations over the typical ones
+        Call latestCall; // more messages may join it in its round
+
+        boolean inSlowStart() {
+            return !Double.isNaN(slowStartBeganAt);
         }
     }
 
-    private final class Dest {
+    private final class Destination {
         final List<Endpoint> endpoints = new ArrayList<>();
-        List<Endpoint> active = List.of(); // those that are listed as up
-        Unit shared; // of its endpoints that are no routes apart
-        final double[] usual = new double[cfg.classes().size()]; // duration of a call, ms, by class
-        final int[] seen = new int[cfg.classes().size()];
-        boolean bare; // had endpoints on the list, and none now
-        int inflight, taken, waiting; // calls out; messages so far, and such as go soon
-        Share share = usualShare; // what the fleet leaves to us
+        List<Endpoint> active = List.of(); // those that are listed as active
+        Route destinationRoute; // of its endpoints that are no routes apart
+        final double[] typicalMs = new double[settings.classes().size()]; // duration of a call, by class
+        final int[] samples = new int[settings.classes().size()];
+        boolean emptied; // had endpoints on the list, and has none now
+        int openCalls;
+        int accepted, due; // messages: all so far; those that may be sent soon
+        Share share = defaultShare;
     }
 
-    private static final class Order {
-        final ArrayDeque<Msg> queue = new ArrayDeque<>();
-        int out;
-        double restUntil = NEVER;
+    /** Messages of one key in their order. */
+    private static final class KeyQueue {
+        final ArrayDeque<Pending> messages = new ArrayDeque<>();
+        int inFlight;
+        double settledAt = NEVER; // until then an attempt that ended in doubt may still run
     }
 
-    private final Settings cfg;
-    private final Actions act;
-    private final Random random, renewals; // apart, so that connections decide nothing about messages
-    private final Map<Long, Msg> held = new LinkedHashMap<>();
+    private final Settings settings;
+    private final Actions actions;
+    private final Random random, renewals; // apart, so that closing connections affects no message
+    private final Map<Long, Pending> unfinishedMessages = new LinkedHashMap<>();
     private final Map<Long, Attempt> attempts = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
-    private final Map<Integer, Dest> dests = new LinkedHashMap<>();
-    private final Map<String, Order> orders = new HashMap<>();
-    private final double[] classUsual;
-    private final double[] crowdedUntil; // for each kind: until then idle connections are closed
-    private final double[] turnedAt; // for each kind: when an endpoint last turned us away
-    private final Set<Endpoint> unused = new LinkedHashSet<>(); // may have idle connections to be closed
-    private double staleUntil = NEVER; // until then idle connections are held to be dead
-    private double stale; // recent share of calls on connections that stood idle and were dead
-    private double lost; // recent share of time-outs at endpoints that did not fail before
+    private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
+    private final Map<String, KeyQueue> keyQueues = new HashMap<>();
+    private final double[] classTypicalMs;
+    private final double[] closeIdleUntil; // by kind: until then idle connections are closed
+    private final double[] connectionRejectedAt; // by kind: when an endpoint last rejected a connection
+    private final Set<Endpoint> maybeIdle = new LinkedHashSet<>(); // may have idle connections to be closed
+    private double staleUntil = NEVER; // until then idle connections are assumed to be dead
+    private double staleShare; // recent share of calls on long idle connections that were dead
+    private double lostShare; // recent share of time-outs at endpoints that did not fail before
     private int slotsUsed;
-    private double localUntil = NEVER,
-            localPauseMs = FIRST_LOCAL_PAUSE_MS; // of connections that could not be asked for
-    private Share usualShare = Share.ALL; // of destinations of which none was told
-    private double wakeAt = FOREVER, askAt = FOREVER; // earliest wake-up asked for; next asking for the list
-    private double nextWake; // earliest that this round wants
-    private double startedAt = Double.NaN; // when the first message came
-
-    /** One relay's decisions; the same events and seed give the same actions. */
+    // After connections that this machine failed to open.
+    private double localBackoffUntil = NEVER, localBackoffMs = LOCAL_BACKOFF_MS;
+    private Share defaultShare = Share.ALL; // of destinations without a share of their own
+    private double wakeAt = INFINITE; // earliest wake-up that was requested
+    private double askForListAt = INFINITE;
+    private double nextWake; // earliest wake-up that this round needs
+    private double startedAt = Double.NaN; // when the first message was accepted
+
+    /** Makes one relay's decisions; the same events and seed give the same actions. */
     public Control(Settings settings, long seed, Actions actions) {
-        cfg = settings;
-        act = actions;
+        this.settings = settings;
+        this.actions = actions;
         random = new Random(seed);
         renewals = new Random(~seed);
-        classUsual = new double[settings.classes().size()];
-        Arrays.fill(classUsual, DEFAULT_CALL_MS);
-        crowdedUntil = new double[Math.max(1, settings.kinds().size())];
-        Arrays.fill(crowdedUntil, NEVER);
-        turnedAt = crowdedUntil.clone();
-        if (cfg.askForList()) {
-            act.watchList();
+        classTypicalMs = new double[settings.classes().size()];
+        Arrays.fill(classTypicalMs, DEFAULT_CALL_MS);
+        closeIdleUntil = new double[Math.max(1, settings.kinds().size())];
+        Arrays.fill(closeIdleUntil, NEVER);
+        connectionRejectedAt = closeIdleUntil.clone();
+        if (this.settings.askForList()) {
+            this.actions.watchList();
         }
     }
 
@@ -257,65 +298,71 @@
     @Override
     public void list(double now, News news, List<Entry> entries) {
         if (news == News.OVERDUE) {
-            askAt = now + jittered(AFTER_WAITING_MS);
+            askForListAt = now + jittered(LIST_RETRY_OVERDUE_MS);
             return;
         }
         if (news == News.FAILED) {
-            // A failure does not say whether a watch stands, and changes count soon after discovery is back.
-            double most = cfg.rules().askEveryMs() > 0 ? cfg.rules().askEveryMs() / 8 : FOREVER;
-            askAt = now + jittered(Math.min(most, ASK_AGAIN_MS));
+            // A failure does not tell whether the watch is active, and changes matter once discovery is back.
+            double most = settings.rules().askEveryMs() > 0 ? settings.rules().askEveryMs() / 8 : INFINITE;
+            askForListAt = now + jittered(Math.min(most, LIST_RETRY_MS));
             return;
         }
         if (news != News.CHANGES) {
-            endpoints.values().forEach(e -> leave(now, e));
-        }
-        for (Entry en : entries) {
-            Endpoint e = endpoints.computeIfAbsent(en.endpoint(), k -> add(now, en));
-            e.active = en.listing() == Listing.ACTIVE;
-            e.leftAt = FOREVER;
-            e.weight = en.weight();
-            if (en.listing() == Listing.LEFT) {
-                leave(now, e);
+            endpoints.values().forEach(e -> unlist(now, e));
+        }
+        for (Entry entry : entries) {
+            Endpoint endpoint = endpoints.computeIfAbsent(entry.endpoint(), k -> add(now, entry));
+            endpoint.active = entry.listing() == Listing.ACTIVE;
+            endpoint.unlistedAt = INFINITE;
+            endpoint.weight = entry.weight();
+            if (entry.listing() == Listing.LEFT) {
+                unlist(now, endpoint);
             }
         }
-        // Endpoints come and go for as long as we run: what has left is forgotten once nothing hangs on it.
+        // Endpoints change for as long as the relay runs: one that left is removed once nothing refers to it.
         endpoints.values().removeIf(e -> {
-            boolean gone = now - e.leftAt > FORGET_MS && e.inflight == 0 && e.unit.waitUntil <= now;
-            return gone && e.dest.endpoints.remove(e) && e.unit.endpoints.remove(e);
+            boolean gone = now - e.unlistedAt > FORGET_MS && e.openCalls == 0 && e.route.waitUntil <= now;
+            return gone && e.destination.endpoints.remove(e) && e.route.endpoints.remove(e);
         });
-        dests.values()
-                .removeIf(d -> d.endpoints.isEmpty() && held.values().stream().noneMatch(m -> m.dest == d));
-        dests.values().forEach(d -> {
+        destinations
+                .values()
+                .removeIf(d -> d.endpoints.isEmpty()
+                        && unfinishedMessages.values().stream().noneMatch(p -> p.destination == d));
+        destinations.values().forEach(d -> {
             boolean listed = !d.active.isEmpty();
             d.active = d.endpoints.stream().filter(e -> e.active).toList();
-            d.bare = d.active.isEmpty() && (d.bare || listed);
+            d.emptied = d.active.isEmpty() && (d.emptied || listed);
         });
     }
 
-    private void leave(double now, Endpoint e) {
-        e.active = false;
-        e.leftAt = Math.min(e.leftAt, now);
+    private void unlist(double now, Endpoint endpoint) {
+        endpoint.active = false;
+        endpoint.unlistedAt = Math.min(endpoint.unlistedAt, now);
     }
 
-    private Endpoint add(double now, Entry en) {
-        Endpoint e = new Endpoint();
-        e.name = en.endpoint();
-        int kinds = cfg.kinds().size();
-        e.kind = kinds == 0 ? new Kind(false, 1) : cfg.kinds().get(Math.min(en.kind(), kinds - 1));
-        e.kindNo = Math.min(en.kind(), Math.max(0, kinds - 1));
-        e.zone = en.zone();
-        e.dest = dests.computeIfAbsent(en.destination(), k -> new Dest());
-        e.dest.endpoints.add(e);
-        if (e.dest.shared == null) {
-            e.dest.shared = new Unit(e.dest, e.kind);
-        }
-        e.unit = e.kind.routesApart() ? new Unit(e.dest, e.kind) : e.dest.shared;
-        boolean sick = e.dest.bare || e.unit.endpoints.stream().anyMatch(x -> x.down);
-        e.unit.endpoints.add(e);
-        if (sick) {
-            coldFrom(now, e);
-        } // all relays learn of it at once, and what waits would go together
-        return e;
+    private Endpoint add(double now, Entry entry) {
+        Endpoint added = new Endpoint();
+        added.name = entry.endpoint();
+        int size = settings.kinds().size();
+        added.kind = size == 0 ? new Kind(false, 1) : settings.kinds().get(Math.min(entry.kind(), size - 1));
+        added.kindIndex = Math.min(entry.kind(), Math.max(0, size - 1));
+        added.zone = entry.zone();
+        added.destination = destinations.computeIfAbsent(entry.destination(), k -> new Destination());
+        added.destination.endpoints.add(added);
+        if (added.destination.destinationRoute == null) {
+            added.destination.destinationRoute = new Route(added.destination, added.kind);
+        }
+        added.route = added.kind.routesApart()
+                ? new Route(added.destination, added.kind)
+                : added.destination.destinationRoute;
+        boolean returning =
+                added.destination.emptied || added.route.endpoints.stream().anyMatch(e -> e.down);
+        added.route.endpoints.add(added);
+        if (returning) {
+            // All relays learn of it at the same time and would send all waiting messages at once.
+            beginSlowStart(now, added);
+        }
+        return added;
     }
 
     @Override
@@ -323,852 +370,959 @@
         if (Double.isNaN(startedAt)) {
             startedAt = now;
         }
-        Msg m = new Msg();
-        m.m = message;
-        m.type = message.messageClass();
-        m.c = cfg.classes().get(m.type);
-        m.dest = dests.computeIfAbsent(message.destination(), k -> new Dest());
-        m.dest.taken++;
-        m.handedAt = Math.min(now, message.deadlineAt() - m.c.deadlineMs());
-        m.notBefore = m.takenAt = now;
-        // A refusal proves that it never ran, whatever its class; a relay that died proves nothing.
+        Pending pending = new Pending();
+        pending.message = message;
+        pending.classIndex = message.messageClass();
+        pending.messageClass = settings.classes().get(pending.classIndex);
+        pending.destination = destinations.computeIfAbsent(message.destination(), k -> new Destination());
+        pending.destination.accepted++;
+        pending.firstAcceptedAt = Math.min(now, message.deadlineAt() - pending.messageClass.deadlineMs());
+        pending.notBefore = pending.acceptedAt = now;
+        // A refusal proves that a message never ran, whatever its class; a relay that died proves nothing.
         if (message.fromDeadRelay()) {
-            m.doubtAt = m.handedAt; // the earliest send that a history which we never saw can hold
+            // The earliest send in a history that this relay never saw.
+            pending.inDoubtSince = pending.firstAcceptedAt;
         }
-        m.pauses = m.tries = message.tried().size();
-        for (Try t : message.tried()) { // of this relay before a restart; what may have run still may
-            if (!t.maybeRan() || m.inDoubt()) {
+        pending.backoffs = pending.attempts = message.tried().size();
+        // Attempts before a restart of this relay: what may have run still may.
+        for (Try earlier : message.tried()) {
+            if (!earlier.maybeRan() || pending.inDoubt()) {
                 continue;
             }
-            m.doubtAt = t.sentAt();
-            m.doubtZone = endpoints.containsKey(t.endpoint()) ? endpoints.get(t.endpoint()).zone : -1;
-        }
-        held.put(message.id(), m);
-        if (m.ordered()) {
-            Order order = orders.computeIfAbsent(message.key(), k -> new Order());
-            order.queue.add(m);
+            pending.inDoubtSince = earlier.sentAt();
+            pending.inDoubtZone =
+                    endpoints.containsKey(earlier.endpoint()) ? endpoints.get(earlier.endpoint()).zone : -1;
+        }
+        unfinishedMessages.put(message.id(), pending);
+        if (pending.ordered()) {
+            KeyQueue queue = keyQueues.computeIfAbsent(message.key(), k -> new KeyQueue());
+            queue.messages.add(pending);
             if (message.tried().stream().anyMatch(Try::maybeRan)) {
-                order.restUntil = Math.max(order.restUntil, now + cfg.rules().settleAfterDoubtMs());
+                queue.settledAt =
+                        Math.max(queue.settledAt, now + settings.rules().settleAfterDoubtMs());
             }
         }
     }
 
     @Override
     public void withdrawn(double now, long id) {
-        if (held.containsKey(id)) {
-            end(held.get(id));
+        if (unfinishedMessages.containsKey(id)) {
+            finish(unfinishedMessages.get(id));
         }
     }
 
     @Override
     public void share(double now, int destination, Share share) {
         if (destination < 0) {
-            usualShare = share;
+            defaultShare = share;
         }
-        Dest d = dests.get(destination);
-        if (d == null) {
+        Destination known = destinations.get(destination);
+        if (known == null) {
             return;
         }
-        // What has come until now came by the old part; before the first message nothing has.
+        // Tokens until now are those of the old share; before the first message there are none to count.
         if (!Double.isNaN(startedAt)) {
-            d.endpoints.forEach(e -> refill(now, e.unit));
+            known.endpoints.forEach(e -> refill(now, e.route));
         }
-        d.share = share;
+        known.share = share;
     }
 
     @Override
     public void warned(double now, String endpoint, double waitUntil, double avoidUntil) {
-        Endpoint e = endpoints.get(endpoint);
-        if (e == null) {
+        Endpoint known = endpoints.get(endpoint);
+        if (known == null) {
             return;
         }
-        e.unit.waitUntil = Math.max(e.unit.waitUntil, waitUntil);
-        e.avoidUntil = avoidUntil;
+        known.route.waitUntil = Math.max(known.route.waitUntil, waitUntil);
+        known.avoidUntil = avoidUntil;
     }
 
     @Override
     public void terms(double now, long id, Set<Integer> zones, Lane lane) {
-        if (!held.containsKey(id)) {
+        if (!unfinishedMessages.containsKey(id)) {
             return;
         }
-        held.get(id).zones = zones;
-        held.get(id).lane = lane;
+        unfinishedMessages.get(id).zones = zones;
+        unfinishedMessages.get(id).bookedCalls = lane;
     }
 
     @Override
     public void timer(double now) {
-        // Hosts round times: a wake-up that comes a little early must not be waited for again for ever.
+        // Hosts round times: one that comes slightly early counts, or no later wake-up would be requested.
         if (now >= wakeAt - TICK_MS) {
-            wakeAt = FOREVER;
+            wakeAt = INFINITE;
         }
     }
 
     @Override
     public double mayGo(double now, long id, int attempt) {
-        Attempt a = attempts.get(key(id, attempt));
-        if (a == null) {
+        Attempt sent = attempts.get(attemptKey(id, attempt));
+        if (sent == null) {
             return 0;
         }
-        Msg m = a.m;
-        Call c = a.call;
-        Endpoint e = c.e;
-        boolean fell = e.down ? !c.trial : e.coldSince > c.sentAt; // no trial, and in no ramp
-        double rest = usual(m.dest, m.type) / 2; // the connection was part of a call
-        boolean lands = now <= m.m.deadlineAt() - rest && now <= repeatable(m) - Math.max(rest, HELD_UP_MS);
-        if (m.over || fell || !lands || e.unit.waitUntil > now || !m.active().contains(e)) {
+        Pending pending = sent.pending;
+        Call call = sent.call;
+        Endpoint endpoint = call.endpoint;
+        // The endpoint went down meanwhile, and the call is neither its trial nor counted in its slow start.
+        boolean wentDown = endpoint.down ? !call.trial : endpoint.slowStartBeganAt > call.sentAt;
+        double rest = typicalMs(pending.destination, pending.classIndex) / 2; // connecting was part of it
+        boolean inTime = now <= pending.message.deadlineAt() - rest
+                && now <= repeatableUntil(pending) - Math.max(rest, MAX_WRITE_DELAY_MS);
+        if (pending.finished
+                || wentDown
+                || !inTime
+                || endpoint.route.waitUntil > now
+                || !pending.permittedEndpoints().contains(endpoint)) {
             return 0;
         }
-        // What has too little time by now leaves the call to those that have enough, and goes by itself.
-        List<Msg> all = attempts.values().stream()
-                .filter(x -> x.call == c)
-                .map(x -> x.m)
+        // One with too little time left leaves the call to those that have enough, and is sent by itself.
+        List<Pending> all = attempts.values().stream()
+                .filter(a -> a.call == call)
+                .map(a -> a.pending)
                 .toList();
-        double longest = all.stream().mapToDouble(x -> most(now, x)).max().orElse(0);
-        double least = Math.min(longest, Math.min(c.timeoutMs, need(m, c.items)));
-        if (most(now, m) < least) {
+        double longest = all.stream().mapToDouble(p -> maxTimeout(now, p)).max().orElse(0);
+        double least = Math.min(longest, Math.min(call.timeoutMs, neededTimeout(pending, call.messages)));
+        if (maxTimeout(now, pending) < least) {
             return 0;
         }
-        c.sentAt = now;
-        if (e.round == c) {
-            e.round = null;
-        } // nothing joins it any more
+        call.sentAt = now;
+        if (endpoint.latestCall == call) {
+            endpoint.latestCall = null; // no further message joins it
+        }
         return all.stream()
-                .mapToDouble(x -> most(now, x))
-                .filter(x -> x >= least)
-                .reduce(c.timeoutMs, Math::min);
+                .mapToDouble(p -> maxTimeout(now, p))
+                .filter(ms -> ms >= least)
+                .reduce(call.timeoutMs, Math::min);
     }
 
     @Override
     public void waits(double now, String endpoint, long id, int attempt, double waitMs) {
-        Attempt a = attempts.get(key(id, attempt));
-        if (a != null) {
-            a.call.heard = true;
+        Attempt sent = attempts.get(attemptKey(id, attempt));
+        if (sent != null) {
+            sent.call.waitApplied = true;
         }
         if (endpoints.containsKey(endpoint)) {
-            bind(now, endpoints.get(endpoint).unit, waitMs);
+            applyWait(now, endpoints.get(endpoint).route, waitMs);
         }
     }
 
-    /** A wait binds whichever message learned it; when it is over, chance spreads the relays. */
-    private void bind(double now, Unit u, double waitMs) {
-        double spread = part(now, u) < SELDOM ? SELDOM_SPREAD_MS : SPREAD_MS;
-        u.toldUntil = Math.max(u.toldUntil, now + waitMs + 1 + random.nextDouble() * spread);
-        u.waitUntil = Math.max(u.waitUntil, u.toldUntil);
+    /** A wait binds all messages, whichever received it; its end is randomized to spread the relays. */
+    private void applyWait(double now, Route route, double waitMs) {
+        double maxSpreadMs = ownShare(now, route) < LOW_RATE ? LOW_RATE_WAIT_SPREAD_MS : WAIT_SPREAD_MS;
+        route.reportedWaitUntil =
+                Math.max(route.reportedWaitUntil, now + waitMs + 1 + random.nextDouble() * maxSpreadMs);
+        route.waitUntil = Math.max(route.waitUntil, route.reportedWaitUntil);
     }
 
     @Override
-    public void ended(double now, Outcome o) {
-        Attempt a = attempts.remove(key(o.id(), o.attempt()));
-        if (a == null) {
+    public void ended(double now, Outcome outcome) {
+        Attempt attempt = attempts.remove(attemptKey(outcome.id(), outcome.attempt()));
+        if (attempt == null) {
             return;
         }
-        Msg m = a.m;
-        Call c = a.call;
-        Endpoint e = c.e;
-        m.out = false;
-        Result how = o.result();
-        if (--c.open == 0) {
+        Pending pending = attempt.pending;
+        Call call = attempt.call;
+        Endpoint endpoint = call.endpoint;
+        pending.inFlight = false;
+        Result howEnded = outcome.result();
+        if (--call.unanswered == 0) {
             slotsUsed--;
-            e.inflight--;
-            e.dest.inflight--;
-            if (how == Result.OK || how == Result.ERROR || how == Result.FULL || how == Result.WITHHELD) {
-                e.idle.addLast(now);
-                if (e.renewAt == FOREVER) {
-                    e.renewAt = now + cfg.limits().connectionIdleMs() * renewals.nextDouble();
+            endpoint.openCalls--;
+            endpoint.destination.openCalls--;
+            if (howEnded == Result.OK
+                    || howEnded == Result.ERROR
+                    || howEnded == Result.FULL
+                    || howEnded == Result.WITHHELD) {
+                endpoint.idleSince.addLast(now);
+                if (endpoint.renewAt == INFINITE) {
+                    endpoint.renewAt = now + settings.limits().connectionIdleMs() * renewals.nextDouble();
                 }
-                unused.add(e);
+                maybeIdle.add(endpoint);
             }
         }
-        Order order = m.ordered() ? orders.get(m.m.key()) : null;
-        if (order != null) {
-            order.out--;
+        KeyQueue keyQueue = pending.ordered() ? keyQueues.get(pending.message.key()) : null;
+        if (keyQueue != null) {
+            keyQueue.inFlight--;
         }
-        if (!how.counts()) { // it never was, and is due again as things are now
-            m.tries--;
-            if (--c.items == 0 && c.lane == null) {
-                e.unit.tokens++;
+        if (!howEnded.counts()) { // no attempt: undone, and the message is due again at once
+            pending.attempts--;
+            if (--call.messages == 0 && call.bookedCalls == null) {
+                endpoint.route.tokens++;
             }
-            if (how == Result.LOCAL_FAILURE) {
-                m.notBefore = afterLocalFailure(now);
+            if (howEnded == Result.LOCAL_FAILURE) {
+                pending.notBefore = afterLocalFailure(now);
             }
             return;
         }
-        localPauseMs = FIRST_LOCAL_PAUSE_MS;
-        if (!Double.isNaN(o.load().limitPerS())) {
-            e.unit.limit = o.load().limitPerS();
-        }
-        if (o.waitMs() > 0 && !c.heard) {
-            bind(now, e.unit, o.waitMs());
-        }
-        // A kept connection that was dead while it stood idle is no sign of sickness. A reset at once shows
-        // it; of time-outs only many, where none failed before. Failed connects do count.
-        double usual = usual(m.dest, m.type);
-        boolean broke = c.kept && how == Result.RESET && o.tookMs() < DEAD * usual;
-        boolean died = broke || c.stood && how == Result.TIMEOUT && e.failRun == 0 && e.slowness < LIVELY;
-        // A shared call has one fate: it is counted once, here and in what is told of its endpoint.
-        if (c.stood && !c.judged && (died || how == Result.OK)) {
-            stale += LEARN_STALE * ((died ? 1 : 0) - stale);
-        }
-        if (died && stale > MANY_STALE) {
+        localBackoffMs = LOCAL_BACKOFF_MS;
+        if (!Double.isNaN(outcome.load().limitPerS())) {
+            endpoint.route.limit = outcome.load().limitPerS();
+        }
+        if (outcome.waitMs() > 0 && !call.waitApplied) {
+            applyWait(now, endpoint.route, outcome.waitMs());
+        }
+        // A reused connection that died while idle does not mean that the endpoint is unhealthy. A reset at
+        // once shows one; time-outs do only if many, where none failed before. Failed connects do count.
+        double typical = typicalMs(pending.destination, pending.classIndex);
+        boolean resetAtOnce =
+                call.reused && howEnded == Result.RESET && outcome.tookMs() < DEAD_CONNECTION_SHARE * typical;
+        boolean deadConnection = resetAtOnce
+                || call.longIdle
+                        && howEnded == Result.TIMEOUT
+                        && endpoint.failuresInRow == 0
+                        && endpoint.slowness < MILD_SLOWNESS;
+        // The messages of a shared call end together: it is counted once, here and for its endpoint.
+        if (call.longIdle && !call.recorded && (deadConnection || howEnded == Result.OK)) {
+            staleShare += STALE_WEIGHT * ((deadConnection ? 1 : 0) - staleShare);
+        }
+        if (deadConnection && staleShare > STALE_THRESHOLD) {
             if (staleUntil < now) {
-                act.report("idle connections held to be dead after " + how);
+                actions.report("idle connections assumed to be dead after " + howEnded);
             }
             staleUntil = now + STALE_MS;
         }
-        if (!c.judged && !broke) {
-            judge(now, o, c, m);
+        if (!call.recorded && !resetAtOnce) {
+            recordResult(now, outcome, call, pending);
         }
-        c.judged = true;
-        if (order != null && (how == Result.TIMEOUT || how == Result.RESET || how == Result.CANCELLED)) {
-            order.restUntil = Math.max(order.restUntil, now + cfg.rules().settleAfterDoubtMs());
+        call.recorded = true;
+        if (keyQueue != null
+                && (howEnded == Result.TIMEOUT || howEnded == Result.RESET || howEnded == Result.CANCELLED)) {
+            keyQueue.settledAt =
+                    Math.max(keyQueue.settledAt, now + settings.rules().settleAfterDoubtMs());
         }
-        if (o.over()) {
-            end(m);
+        if (outcome.over()) {
+            finish(pending);
         }
-        if (m.over) {
+        if (pending.finished) {
             return;
         }
-        if (how.maybeRan() && !m.inDoubt()) {
-            m.doubtAt = c.sentAt;
-            m.doubtZone = e.zone;
+        if (howEnded.maybeRan() && !pending.inDoubt()) {
+            pending.inDoubtSince = call.sentAt;
+            pending.inDoubtZone = endpoint.zone;
         }
-        double wait = Math.max(now, e.unit.waitUntil) - now;
-        double next = broke && m.tries == 1 ? 0 : FIRST_PAUSE_MS * Math.pow(PAUSE_GROWTH, m.pauses++);
-        double left = m.m.deadlineAt() - now - wait - usual;
-        m.notBefore = now + wait + Math.max(0, Math.min(jittered(next), left / 2));
+        double wait = Math.max(now, endpoint.route.waitUntil) - now;
+        double backoff = resetAtOnce && pending.attempts == 1
+                ? 0
+                : FIRST_BACKOFF_MS * Math.pow(BACKOFF_FACTOR, pending.backoffs++);
+        double left = pending.message.deadlineAt() - now - wait - typical;
+        pending.notBefore = now + wait + Math.max(0, Math.min(jittered(backoff), left / 2));
     }
 
-    /** When this machine may be able to ask for connections again: one pause for all that failed together. */
+    /** When to open connections again: one backoff for all that this machine failed to open together. */
     private double afterLocalFailure(double now) {
-        if (now >= localUntil) {
-            localUntil = now + jittered(localPauseMs);
-            localPauseMs = Math.min(MOST_LOCAL_PAUSE_MS, localPauseMs * PAUSE_GROWTH);
+        if (now >= localBackoffUntil) {
+            localBackoffUntil = now + jittered(localBackoffMs);
+            localBackoffMs = Math.min(MAX_LOCAL_BACKOFF_MS, localBackoffMs * BACKOFF_FACTOR);
         }
-        return localUntil;
+        return localBackoffUntil;
     }
 
-    /** What one call tells of its endpoint and its unit. */
-    private void judge(double now, Outcome o, Call c, Msg m) {
-        Endpoint e = c.e;
-        Unit u = e.unit;
-        u.refusedShare += LEARN * ((o.result() == Result.FULL ? 1 : 0) - u.refusedShare);
-        if (o.result() == Result.OK) {
-            double took = o.tookMs() / (1 + EXTRA_ITEM * (c.items - 1));
-            double usual = usual(m.dest, m.type);
-            e.slowness += LEARN_PACE * (took / usual - e.slowness);
-            learn(m, Math.min(took, OUTLIER * usual));
-            if (e.down) {
-                act.report("endpoint " + e.name + " answers again, ramping up");
+    /** Updates what is known of an endpoint and its route by the result of one call. */
+    private void recordResult(double now, Outcome outcome, Call call, Pending pending) {
+        Endpoint endpoint = call.endpoint;
+        Route route = endpoint.route;
+        route.rejectedShare += SMOOTHING * ((outcome.result() == Result.FULL ? 1 : 0) - route.rejectedShare);
+        if (outcome.result() == Result.OK) {
+            double took = outcome.tookMs() / (1 + EXTRA_MESSAGE_COST * (call.messages - 1));
+            double typical = typicalMs(pending.destination, pending.classIndex);
+            endpoint.slowness += SLOWNESS_WEIGHT * (took / typical - endpoint.slowness);
+            learnDuration(pending, Math.min(took, OUTLIER_FACTOR * typical));
+            if (endpoint.down) {
+                actions.report("endpoint " + endpoint.name + " answers again, slow start begins");
             }
-            if (e.down || e.coldSince == FOREVER) {
-                e.coldSince = now;
-                u.endpoints.forEach(x -> x.trialAt = Math.min(x.trialAt, now + jittered(FIRST_TRIAL_MS)));
+            if (endpoint.down || endpoint.slowStartBeganAt == INFINITE) {
+                endpoint.slowStartBeganAt = now;
+                route.endpoints.forEach(e -> e.trialAt = Math.min(e.trialAt, now + jittered(FIRST_TRIAL_MS)));
             }
-            if (!e.down && now - e.noConnAt < CROWD_MS) {
-                crowdedUntil[e.kindNo] = FOREVER;
+            if (!endpoint.down && now - endpoint.connectFailedAt < CONNECTION_LIMIT_MS) {
+                closeIdleUntil[endpoint.kindIndex] = INFINITE;
             }
-            lost -= LEARN_LOST * lost;
-            e.places += MORE_PLACES; // FOREVER stays so
-            e.down = false;
-            e.okSentAt = Math.max(e.okSentAt, c.sentAt);
-            u.okAt = now;
-            u.fullSince = Double.NaN;
-            e.aways = e.failRun = u.failRun = u.fulls = u.fullRun = 0;
+            lostShare -= LOST_WEIGHT * lostShare;
+            endpoint.maxConnections += CONNECTIONS_GROWTH; // INFINITE stays as it is
+            endpoint.down = false;
+            endpoint.answeredSentAt = Math.max(endpoint.answeredSentAt, call.sentAt);
+            route.answeredAt = now;
+            route.rejectedSince = Double.NaN;
+            endpoint.connectionRejections = endpoint.failuresInRow =
+                    route.failuresInRow = route.rejectionsWithoutWait = route.rejectionsInRow = 0;
             return;
         }
-        if (o.result() == Result.NOT_SENT || o.result() == Result.CANCELLED) {
+        if (outcome.result() == Result.NOT_SENT || outcome.result() == Result.CANCELLED) {
             return;
         }
-        if (o.result() == Result.CROWDED) {
-            // Full of all relays' connections, so it is not down: we come again soon, with fewer, and leave
-            // room from now on. Idle connections last a while: what goes on for longer is shut.
-            crowdedUntil[e.kindNo] = FOREVER;
-            unused.addAll(endpoints.values());
-            e.awayAt = now;
-            if (e.inflight == 0 && !hasIdle(now, e)) {
-                turnedAt[e.kindNo] = now;
-            } // not one for each of us
-            e.places = Math.max(1, FEWER_PLACES * Math.min(e.places, e.inflight + 1));
-            e.doorAt = now + jittered(Math.min(MOST_DOOR_MS, DOOR_MS * Math.pow(PAUSE_GROWTH, e.aways++)));
-            if (Double.isNaN(u.fullSince)) {
-                u.fullSince = now;
+        if (outcome.result() == Result.CROWDED) {
+            // It has as many connections as it permits, from all relays together, so it is not down: retry
+            // soon, with fewer, and close idle ones from now on. Idle connections of others end in time, so
+            // that rejections that go on for longer are an outage.
+            closeIdleUntil[endpoint.kindIndex] = INFINITE;
+            maybeIdle.addAll(endpoints.values());
+            endpoint.connectionRejectedAt = now;
+            if (endpoint.openCalls == 0 && !hasIdle(now, endpoint)) {
+                connectionRejectedAt[endpoint.kindIndex] = now; // not even one connection for each relay
             }
-            if (e.down) {
-                e.trialAt = now + jittered(FIRST_TRIAL_MS);
+            endpoint.maxConnections =
+                    Math.max(1, CONNECTIONS_CUT * Math.min(endpoint.maxConnections, endpoint.openCalls + 1));
+            endpoint.connectBackoffUntil = now
+                    + jittered(Math.min(
+                            MAX_CONNECT_BACKOFF_MS,
+                            CONNECT_BACKOFF_MS * Math.pow(BACKOFF_FACTOR, endpoint.connectionRejections++)));
+            if (Double.isNaN(route.rejectedSince)) {
+                route.rejectedSince = now;
             }
-            if (now - u.fullSince < cfg.limits().connectionIdleMs() || e.down) {
+            if (endpoint.down) {
+                endpoint.trialAt = now + jittered(FIRST_TRIAL_MS);
+            }
+            if (now - route.rejectedSince < settings.limits().connectionIdleMs() || endpoint.down) {
                 return;
             }
         }
-        boolean gone = o.result() == Result.TIMEOUT || o.result() == Result.RESET;
-        if (gone && e.failRun == 0) {
-            lost += LEARN_LOST * (1 - lost);
-        }
-        if (o.result() == Result.FULL) {
-            full(now, o.waitMs(), e);
-            boolean room = cfg.limitsTold()
-                    && now - u.okAt > SILENT_MS
-                    && (u.limit == 0 || o.load().allowanceLeft() > MUCH_LEFT);
-            boolean many = cfg.limitsTold() || ++u.fullRun >= FULL_OUTAGE;
-            boolean shut = c.trial || many && now - u.fullSince >= FULL_OUTAGE_MS;
-            if (o.waitMs() >= SHUT_WAIT_MS || (shut || room) && o.waitMs() > 0) {
-                u.endpoints.forEach(x -> coldFrom(u.waitUntil, x));
+        boolean noAnswer = outcome.result() == Result.TIMEOUT || outcome.result() == Result.RESET;
+        if (noAnswer && endpoint.failuresInRow == 0) {
+            lostShare += LOST_WEIGHT * (1 - lostShare);
+        }
+        if (outcome.result() == Result.FULL) {
+            handleRejection(now, outcome.waitMs(), endpoint);
+            boolean belowLimit = settings.limitsTold()
+                    && now - route.answeredAt > RECENT_ANSWER_MS
+                    && (route.limit == 0 || outcome.load().allowanceLeft() > AMPLE_ALLOWANCE);
+            boolean many = settings.limitsTold() || ++route.rejectionsInRow >= REJECTION_OUTAGE_COUNT;
+            boolean outage = call.trial || many && now - route.rejectedSince >= REJECTION_OUTAGE_MS;
+            if (outcome.waitMs() >= OUTAGE_WAIT_MS || (outage || belowLimit) && outcome.waitMs() > 0) {
+                route.endpoints.forEach(e -> beginSlowStart(route.waitUntil, e));
                 return;
             }
-            if (!shut && !(room && o.load().allowanceLeft() > MUCH_LEFT)) {
+            // With most of the allowance left it is an outage as well.
+            if (!outage && !(belowLimit && outcome.load().allowanceLeft() > AMPLE_ALLOWANCE)) {
                 return;
-            } // much left: shut too
-        }
-        if (o.result() == Result.CONNECT_FAILED && !e.down) {
-            e.noConnAt = now;
-            crowdedUntil[e.kindNo] = Math.max(crowdedUntil[e.kindNo], now + CROWDED_MS);
+            }
         }
-        if (c.sentAt < e.okSentAt) {
-            return;
-        } // a call sent later was answered: this is old news
-        e.failRun++;
-        u.failRun++;
-        if (e.cold()) {
-            e.coldSince = FOREVER;
-        }
-        boolean seldom = part(now, u) < SELDOM && crowdedUntil[e.kindNo] < FOREVER;
-        int downAfter = lost > MANY_LOST ? DOWN_AFTER_LOST : seldom ? SELDOM_DOWN_AFTER : DOWN_AFTER;
-        boolean unitFails = u.failRun >= downAfter && now - u.okAt > SILENT_MS;
-        if (!e.down && (e.failRun >= downAfter || unitFails)) {
-            act.report("endpoint " + e.name + " held to be sick after " + o.result());
-        } else if (!c.trial) {
-            return; // one of many calls that were out when it fell: no reason for longer pauses
-        }
-        // A return is paid by all together: each waits for a call of its part, every second of us for less.
-        double own = 1000 / coldRate(now, u, 0);
-        double pause = Math.min(MOST_TRIAL_MS, FIRST_TRIAL_MS * Math.pow(PAUSE_GROWTH, e.trials++));
-        double early = Math.min(own, EARLY_TRIAL_MS * Math.pow(LONE_GROWTH, e.trials - 1));
+        if (outcome.result() == Result.CONNECT_FAILED && !endpoint.down) {
+            endpoint.connectFailedAt = now;
+            closeIdleUntil[endpoint.kindIndex] =
+                    Math.max(closeIdleUntil[endpoint.kindIndex], now + CONNECTIONS_SHORT_MS);
+        }
+        if (call.sentAt < endpoint.answeredSentAt) {
+            return; // a call sent later was answered: this failure is out of date
+        }
+        endpoint.failuresInRow++;
+        route.failuresInRow++;
+        if (endpoint.inSlowStart()) {
+            endpoint.slowStartBeganAt = INFINITE;
+        }
+        boolean lowRate = ownShare(now, route) < LOW_RATE && closeIdleUntil[endpoint.kindIndex] < INFINITE;
+        int downAfter = lostShare > LOST_THRESHOLD
+                ? LOSSY_FAILURES_UNTIL_DOWN
+                : lowRate ? LOW_RATE_FAILURES_UNTIL_DOWN : FAILURES_UNTIL_DOWN;
+        boolean routeFails = route.failuresInRow >= downAfter && now - route.answeredAt > RECENT_ANSWER_MS;
+        if (!endpoint.down && (endpoint.failuresInRow >= downAfter || routeFails)) {
+            actions.report("endpoint " + endpoint.name + " held to be sick after " + outcome.result());
+        } else if (!call.trial) {
+            return; // one of many calls in flight when the endpoint went down: no reason for longer pauses
+        }
+        // All relays share the budget of a return: each waits until a call of its share is due, and every
+        // second one, at random, for less.
+        double own = 1000 / slowStartRate(now, route, 0);
+        double pause = Math.min(MAX_TRIAL_MS, FIRST_TRIAL_MS * Math.pow(BACKOFF_FACTOR, endpoint.trials++));
+        double early = Math.min(own, EARLY_TRIAL_MS * Math.pow(LONG_BACKOFF_FACTOR, endpoint.trials - 1));
         pause = Math.max(pause, random.nextBoolean() ? own : early);
-        for (Endpoint x : u.endpoints) {
-            if (x == e || unitFails && x.failRun > 0 && !x.down) {
-                x.down = true;
-                x.coldSince = FOREVER;
-                x.trialAt = Math.max(u.waitUntil, now) + jittered(pause);
+        for (Endpoint other : route.endpoints) {
+            if (other == endpoint || routeFails && other.failuresInRow > 0 && !other.down) {
+                other.down = true;
+                other.slowStartBeganAt = INFINITE;
+                other.trialAt = Math.max(route.waitUntil, now) + jittered(pause);
             }
         }
     }
 
-    /** A destination that told all relays when it opens is cold then: our first call is drawn by our turn. */
-    private void coldFrom(double at, Endpoint e) {
-        e.down = false;
-        e.coldSince = at;
-        e.rampOwed = random.nextDouble() * (1 + EXTRA_ITEM * (e.kind.bundleMax() - 1)); // of a full call
-        e.rampAt = at;
+    /** Begins a slow start at a time that all relays know: the first call of each is delayed at random. */
+    private void beginSlowStart(double at, Endpoint endpoint) {
+        endpoint.down = false;
+        endpoint.slowStartBeganAt = at;
+        // A random part of what a full call counts for.
+        endpoint.owedCalls = random.nextDouble() * (1 + EXTRA_MESSAGE_COST * (endpoint.kind.bundleMax() - 1));
+        endpoint.slowStartCallAt = at;
     }
 
-    /** A refusal: keep a told wait, take an own one otherwise, and slow down where it may be a limit. */
-    private void full(double now, double waitMs, Endpoint e) {
-        Unit u = e.unit;
-        if (Double.isNaN(u.fullSince)) {
-            u.fullSince = now;
+    /** Backs off where a rejection names no wait, and cuts the rate, as a limit may be the reason. */
+    private void handleRejection(double now, double waitMs, Endpoint endpoint) {
+        Route route = endpoint.route;
+        if (Double.isNaN(route.rejectedSince)) {
+            route.rejectedSince = now;
         }
         if (waitMs <= 0) {
-            // So that all relays together go on at what it takes at most.
-            double own = Math.min(UNTOLD_WAIT_MS * Math.pow(LONE_GROWTH, u.fulls++), 1000 / part(now, u));
-            u.waitUntil = Math.max(u.waitUntil, now + jittered(own));
-        }
-        if (now - u.cutAt > CUT_EVERY_MS && !e.down) {
-            u.cutAt = now;
-            refill(now, u);
-            u.rate = Math.max(floor(u), CUT * Math.min(u.rate, part(now, u)));
-            u.tokens = Math.min(u.tokens, 1);
+            // At most the time of one call of the share, so that all relays together go on at the known rate.
+            double own = Math.min(
+                    DEFAULT_WAIT_MS * Math.pow(LONG_BACKOFF_FACTOR, route.rejectionsWithoutWait++),
+                    1000 / ownShare(now, route));
+            route.waitUntil = Math.max(route.waitUntil, now + jittered(own));
+        }
+        if (now - route.rateCutAt > RATE_CUT_INTERVAL_MS && !endpoint.down) {
+            route.rateCutAt = now;
+            refill(now, route);
+            route.rate = Math.max(minRate(route), RATE_CUT * Math.min(route.rate, ownShare(now, route)));
+            route.tokens = Math.min(route.tokens, 1);
         }
     }
 
-    // ---- what is known of units ----
+    // ---- limits and rates of routes ----
 
-    /** Calls a second that the unit takes from all relays as far as it is told, 0 if not. */
-    private double known(Unit u) {
-        if (u.limit > 0 || cfg.weight() == Weight.NONE || u.endpoints.isEmpty()) {
-            return u.limit;
+    /** Calls a second that the route accepts from all relays as far as that is known, 0 if not. */
+    private double knownLimit(Route route) {
+        if (route.limit > 0 || settings.weight() == Weight.NONE || route.endpoints.isEmpty()) {
+            return route.limit;
         }
-        double weight = u.endpoints.get(u.endpoints.size() - 1).weight;
-        return weight / (cfg.weight() == Weight.ROUGH ? ROUGH_OFF : 1);
+        double weight = route.endpoints.get(route.endpoints.size() - 1).weight;
+        return weight / (settings.weight() == Weight.ROUGH ? WEIGHT_ERROR_FACTOR : 1);
     }
 
-    /** Whether relays are many for it: refusals, which use up what all could have, are the only sign. */
-    private boolean crowded(Unit u) {
-        return !cfg.limitsTold() && u.refusedShare >= MANY_REFUSED;
+    /** Whether relays exceed the limit: unless reported, rejections, which use it up, are the only sign. */
+    private boolean overloaded(Route route) {
+        return !settings.limitsTold() && route.rejectedShare >= REJECTION_BOUND;
     }
 
-    /** The least pace, calls a second: that of many relays together is more than the unit takes. */
-    private double floor(Unit u) {
-        if (!cfg.limitsTold()) {
-            return LEAST_OF_ALL / cfg.group();
+    /** The least rate, calls a second: a fixed one of many relays together would be more than it accepts. */
+    private double minRate(Route route) {
+        if (!settings.limitsTold()) {
+            return UNREPORTED_MIN_RATE / settings.group();
         }
-        double least = LEAST_RATE / Math.min(cfg.group(), FEW);
-        return known(u) > 0 ? Math.min(least, MOST_PARTS * known(u) / cfg.group()) : least;
+        double least = DEFAULT_RATE / Math.min(settings.group(), MIN_RATE_RELAYS);
+        return knownLimit(route) > 0
+                ? Math.min(least, MIN_RATE_EVEN_SHARES * knownLimit(route) / settings.group())
+                : least;
     }
 
-    private void refill(double now, Unit u) {
-        double dt = Double.isNaN(u.filledAt) ? 0 : now - u.filledAt;
-        u.filledAt = now;
-        double part = part(now, u); // unseen refusals come with calls: it grows with them where they are few
-        u.rate += GROW * part * (cfg.limitsTold() ? 1 : Math.min(1, part)) * dt / 1000; // FOREVER stays so
-        double limit = cfg.limitsTold() ? u.limit : known(u);
-        if (limit > 0) {
-            // Our part will do where what waits goes together, or where refusals use up what all could have.
-            boolean even = u.refusedShare >= MANY_REFUSED && u.kind.bundleMax() > 1 || crowded(u);
-            u.rate = Math.min(u.rate, even ? Math.max(SHARED_PART * limit / cfg.group(), floor(u)) : limit);
-        }
-        u.pace = limit > 0 ? Math.min(u.rate, u.dest.share.at(now) * limit) : u.rate;
-        double burst = Math.max(1, u.pace * BURST_MS / 1000);
-        u.tokens = u.pace == FOREVER ? 1 : Math.min(burst, u.tokens + u.pace * dt / 1000);
+    /** Updates the rate and the tokens of the route to now. */
+    private void refill(double now, Route route) {
+        double elapsed = Double.isNaN(route.refilledAt) ? 0 : now - route.refilledAt;
+        route.refilledAt = now;
+        // Without reports only calls show rejections: the rate grows more slowly where they are few.
+        double share = ownShare(now, route);
+        // INFINITE stays as it is.
+        route.rate += RATE_GROWTH * share * (settings.limitsTold() ? 1 : Math.min(1, share)) * elapsed / 1000;
+        double maxRate = settings.limitsTold() ? route.limit : knownLimit(route);
+        if (maxRate > 0) {
+            // An even share is enough where messages can share calls, or rejections use up the limit for all.
+            boolean evenShare =
+                    route.rejectedShare >= REJECTION_BOUND && route.kind.bundleMax() > 1 || overloaded(route);
+            route.rate = Math.min(
+                    route.rate,
+                    evenShare ? Math.max(BATCH_SHARE * maxRate / settings.group(), minRate(route)) : maxRate);
+        }
+        route.permittedRate =
+                maxRate > 0 ? Math.min(route.rate, route.destination.share.at(now) * maxRate) : route.rate;
+        double burst = Math.max(1, route.permittedRate * BURST_MS / 1000);
+        route.tokens = route.permittedRate == INFINITE
+                ? 1
+                : Math.min(burst, route.tokens + route.permittedRate * elapsed / 1000);
     }
 
-    /** Our part of what the unit takes: an even part, or what we are handed for it where that is more. */
-    private double part(double now, Unit u) {
-        double demand = 1000.0 * u.dest.taken / Math.max(DEMAND_SPAN_MS, now - startedAt);
-        if (u.kind.routesApart()) {
-            demand /= Math.max(1, u.dest.active.size());
+    /** This relay's share of the route, calls a second: an even one, or its demand where that is more. */
+    private double ownShare(double now, Route route) {
+        double demand = 1000.0 * route.destination.accepted / Math.max(DEMAND_SPAN_MS, now - startedAt);
+        if (route.kind.routesApart()) {
+            demand /= Math.max(1, route.destination.active.size());
         }
-        double all = known(u) > 0 ? known(u) : LEAST_RATE;
-        return Math.max(all / cfg.group(), known(u) > 0 ? Math.min(all, demand) : demand);
+        double all = knownLimit(route) > 0 ? knownLimit(route) : DEFAULT_RATE;
+        return Math.max(all / settings.group(), knownLimit(route) > 0 ? Math.min(all, demand) : demand);
     }
 
-    /** Calls a second that we may send to a unit that has been back for so long: our part of its budget. */
-    private double coldRate(double now, Unit u, double since) {
-        double s = Math.max(LEAST_START, cfg.rules().startCapacity());
-        double share = Math.min(1, s + (1 - s) * since / Math.max(1, cfg.rules().warmAfterMs()));
-        // Where all are handed more than it takes, parts shrink; few messages tell little of that.
-        double even = known(u) / cfg.group() * Math.max(DEMAND_SPAN_MS, now - startedAt) / 1000;
-        double over = even > 0 ? Math.max(1, (u.dest.taken + EVEN_SIGNS) / (even + EVEN_SIGNS)) : 1;
-        return Math.max(1, cfg.rules().fallMultiple()) * share * part(now, u) / over;
+    /** Calls a second that this relay may send so long after the return: its share of the budget. */
+    private double slowStartRate(double now, Route route, double since) {
+        double start = Math.max(MIN_START_CAPACITY, settings.rules().startCapacity());
+        double share = Math.min(
+                1, start + (1 - start) * since / Math.max(1, settings.rules().warmAfterMs()));
+        // Where the relays accept more than the route does, shares shrink; few messages tell little of that.
+        double even = knownLimit(route) / settings.group() * Math.max(DEMAND_SPAN_MS, now - startedAt) / 1000;
+        double excessDemand =
+                even > 0 ? Math.max(1, (route.destination.accepted + PRIOR_COUNT) / (even + PRIOR_COUNT)) : 1;
+        return Math.max(1, settings.rules().fallMultiple()) * share * ownShare(now, route) / excessDemand;
     }
 
-    private double usual(Dest d, int messageClass) {
-        return d.seen[messageClass] > 0 ? d.usual[messageClass] : classUsual[messageClass];
+    private double typicalMs(Destination destination, int index) {
+        return destination.samples[index] > 0 ? destination.typicalMs[index] : classTypicalMs[index];
     }
 
-    private void learn(Msg m, double took) {
-        int k = m.type;
-        Dest d = m.dest;
-        d.usual[k] = usual(d, k) + Math.max(LEARN, 1.0 / (d.seen[k] + 2)) * (took - usual(d, k));
-        d.seen[k]++;
-        classUsual[k] += LEARN / 2 * (took - classUsual[k]);
+    private void learnDuration(Pending pending, double ms) {
+        int k = pending.classIndex;
+        Destination destination = pending.destination;
+        destination.typicalMs[k] = typicalMs(destination, k)
+                + Math.max(SMOOTHING, 1.0 / (destination.samples[k] + 2)) * (ms - typicalMs(destination, k));
+        destination.samples[k]++;
+        classTypicalMs[k] += SMOOTHING / 2 * (ms - classTypicalMs[k]);
     }
 
     // ---- the round ----
 
     @Override
     public void decide(double now) {
-        nextWake = FOREVER;
-        if (askAt <= now) {
-            askAt = FOREVER;
-            act.watchList();
-        }
-        wake(askAt);
-        orders.values().removeIf(o -> o.queue.isEmpty() && o.out == 0 && o.restUntil <= now);
-        List<Msg> ready = new ArrayList<>();
-        dests.values().forEach(d -> d.waiting = 0);
-        for (Msg m : new ArrayList<>(held.values())) {
-            if (m.out || drop(now, m)) {
+        nextWake = INFINITE;
+        if (askForListAt <= now) {
+            askForListAt = INFINITE;
+            actions.watchList();
+        }
+        requestWake(askForListAt);
+        keyQueues.values().removeIf(k -> k.messages.isEmpty() && k.inFlight == 0 && k.settledAt <= now);
+        List<Pending> ready = new ArrayList<>();
+        destinations.values().forEach(d -> d.due = 0);
+        for (Pending pending : new ArrayList<>(unfinishedMessages.values())) {
+            if (pending.inFlight || answerIfHopeless(now, pending)) {
                 continue;
             }
-            if (m.notBefore <= now + KEEP_MS) {
-                m.dest.waiting++;
+            if (pending.notBefore <= now + KEEP_IDLE_MS) {
+                pending.destination.due++;
             }
-            if ((m.notBefore <= now || later(m.notBefore)) && inTurn(now, m)) {
-                ready.add(m);
+            if ((pending.notBefore <= now || postpone(pending.notBefore)) && isNextOfKey(now, pending)) {
+                ready.add(pending);
             }
         }
-        makeRoom(now);
-        ready.forEach(m -> m.rank = rank(now, m));
-        ready.sort(Comparator.comparingDouble((Msg m) -> -m.rank));
-        ready.forEach(m -> {
-            if (!m.over) {
-                trySend(now, m);
+        shedMessages(now);
+        ready.forEach(p -> p.priority = sendPriority(now, p));
+        ready.sort(Comparator.comparingDouble((Pending p) -> -p.priority));
+        ready.forEach(p -> {
+            if (!p.finished) {
+                trySend(now, p);
             }
         });
-        unused.removeIf(e -> {
-            // Who holds a place where others are turned away learns of it only by asking anew now and then.
-            if (hasIdle(now, e) && (leavesRoom(now, e) || now > e.renewAt && seldom(now, e))) {
+        maybeIdle.removeIf(e -> {
+            // A relay with kept connections learns of rejected ones only by opening a new one now and then.
+            if (hasIdle(now, e) && (releasesConnections(now, e) || now > e.renewAt && callsRarely(now, e))) {
                 closeIdle(e);
-                e.renewAt = now + cfg.limits().connectionIdleMs() * (1 + JITTER * renewals.nextDouble());
+                e.renewAt = now + settings.limits().connectionIdleMs() * (1 + JITTER * renewals.nextDouble());
             }
-            return e.idle.isEmpty() || e.dest.waiting == 0;
+            return e.idleSince.isEmpty() || e.destination.due == 0;
         });
-        if (nextWake < wakeAt - 1e-6 && nextWake < FOREVER) {
-            double in = Math.max(TICK_MS / 2, nextWake - now);
-            wakeAt = now + in;
-            act.wake(in);
+        if (nextWake < wakeAt - 1e-6 && nextWake < INFINITE) {
+            double inMs = Math.max(TICK_MS / 2, nextWake - now);
+            wakeAt = now + inMs;
+            actions.wake(inMs);
         }
     }
 
-    private void wake(double at) {
+    private void requestWake(double at) {
         nextWake = Math.min(nextWake, at);
     }
 
-    /** Not now, but perhaps at that time. */
-    private boolean later(double at) {
-        wake(at);
+    /** Requests a wake-up for what is not possible now and may be at that time; always false. */
+    private boolean postpone(double at) {
+        requestWake(at);
         return false;
     }
 
-    /** Order per key: a message goes only when all taken before it with its key are over and at rest. */
-    private boolean inTurn(double now, Msg m) {
-        if (!m.ordered()) {
+    /** Order per key: a message is sent when all accepted before it with its key are over and settled. */
+    private boolean isNextOfKey(double now, Pending pending) {
+        if (!pending.ordered()) {
             return true;
         }
-        Order order = orders.get(m.m.key());
-        if (order.queue.peekFirst() != m || order.out > 0) {
+        KeyQueue keyQueue = keyQueues.get(pending.message.key());
+        if (keyQueue.messages.peekFirst() != pending || keyQueue.inFlight > 0) {
             return false;
         }
-        return m.tries > 0 || order.restUntil <= now || later(order.restUntil);
+        return pending.attempts > 0 || keyQueue.settledAt <= now || postpone(keyQueue.settledAt);
     }
 
-    /** Gives the final answer where no further attempt can be made or can land in time, if not too early. */
-    private boolean drop(double now, Msg m) {
-        double last = last(m);
-        boolean spent =
-                cfg.limits().maxAttempts() > 0 && m.tries >= cfg.limits().maxAttempts();
-        spent |= m.inDoubt() && m.c.effect() == Effect.UNSAFE;
-        if (m.zoned()) {
-            spent |= m.doubtZone < 0
-                    ? m.dest.endpoints.stream().mapToInt(e -> e.zone).distinct().count() != 1
-                    : m.zones != null && !m.zones.contains(m.doubtZone); // barred by now
-        }
-        List<Endpoint> active = m.active();
-        double soonest = active.isEmpty() ? now : FOREVER, told = soonest;
-        for (Endpoint e : active) {
-            double pace = m.lane == null || e.down ? paced(now, e) : m.lane.opensAt(now);
-            soonest = Math.min(soonest, Math.max(now, Math.max(e.unit.waitUntil, pace)));
-            told = Math.min(told, e.unit.toldUntil);
-        }
-        // Our own pace, pause or ramp may still open sooner, and is no reason to return early what never ran.
-        double until = soonest <= last ? last : told > last ? NEVER : Math.min(m.early(), last);
-        if (!spent && now <= until) {
-            return later(until + 1);
-        }
-        answer(m, soonest - now);
+    /** Gives the final answer if no further attempt can be made or arrive in time, unless it is too early. */
+    private boolean answerIfHopeless(double now, Pending pending) {
+        double lastSendAt = lastSendAt(pending);
+        boolean noAttemptLeft = settings.limits().maxAttempts() > 0
+                && pending.attempts >= settings.limits().maxAttempts();
+        noAttemptLeft |= pending.inDoubt() && pending.messageClass.effect() == Effect.UNSAFE;
+        if (pending.boundToZone()) {
+            // The zone is unknown, or no longer permitted.
+            noAttemptLeft |= pending.inDoubtZone < 0
+                    ? pending.destination.endpoints.stream()
+                                    .mapToInt(e -> e.zone)
+                                    .distinct()
+                                    .count()
+                            != 1
+                    : pending.zones != null && !pending.zones.contains(pending.inDoubtZone);
+        }
+        List<Endpoint> permitted = pending.permittedEndpoints();
+        double earliest = permitted.isEmpty() ? now : INFINITE, reported = earliest;
+        for (Endpoint endpoint : permitted) {
+            double callAt = pending.bookedCalls == null || endpoint.down
+                    ? nextCallAt(now, endpoint)
+                    : pending.bookedCalls.opensAt(now);
+            earliest = Math.min(earliest, Math.max(now, Math.max(endpoint.route.waitUntil, callAt)));
+            reported = Math.min(reported, endpoint.route.reportedWaitUntil);
+        }
+        // This relay's own rate, backoff or slow start may allow a call sooner after all: for what never ran
+        // they are no reason to refuse early.
+        double until = earliest <= lastSendAt
+                ? lastSendAt
+                : reported > lastSendAt ? NEVER : Math.min(pending.earlyUntil(), lastSendAt);
+        if (!noAttemptLeft && now <= until) {
+            return postpone(until + 1);
+        }
+        answer(pending, earliest - now);
         return true;
     }
 
-    /** Until when a call of it can land in time. */
-    private double last(Msg m) {
-        double usual = usual(m.dest, m.type);
-        return Math.min(m.m.deadlineAt() - usual, repeatable(m) - Math.max(usual, HELD_UP_MS));
+    /** The last time at which a call of it can be sent and arrive in time. */
+    private double lastSendAt(Pending pending) {
+        double typical = typicalMs(pending.destination, pending.classIndex);
+        return Math.min(
+                pending.message.deadlineAt() - typical,
+                repeatableUntil(pending) - Math.max(typical, MAX_WRITE_DELAY_MS));
     }
 
     /** Until when its destination drops a repeat of what may have run. */
-    private static double repeatable(Msg m) {
-        return m.inDoubt() && m.c.effect() == Effect.KEYED ? m.doubtAt + m.c.windowMs() : FOREVER;
+    private static double repeatableUntil(Pending pending) {
+        return pending.inDoubt() && pending.messageClass.effect() == Effect.KEYED
+                ? pending.inDoubtSince + pending.messageClass.windowMs()
+                : INFINITE;
     }
 
-    /** When the next trial is due, or the pace lets the next call go. */
-    private double paced(double now, Endpoint e) {
-        if (e.down) {
-            return e.trialAt;
+    /** When the next trial is due, or the rate permits the next call. */
+    private double nextCallAt(double now, Endpoint endpoint) {
+        if (endpoint.down) {
+            return endpoint.trialAt;
         }
-        refill(now, e.unit);
-        return e.unit.tokens >= 1 ? now : now + (1 - e.unit.tokens) / e.unit.pace * 1000;
+        refill(now, endpoint.route);
+        return endpoint.route.tokens >= 1
+                ? now
+                : now + (1 - endpoint.route.tokens) / endpoint.route.permittedRate * 1000;
     }
 
     /** Final answer: refused only if no attempt can have run, given up otherwise. */
-    private void answer(Msg m, double comeBackMs) {
-        double after =
-                cfg.limits().retryAfter() ? Math.min(comeBackMs, cfg.limits().maxRetryAfterMs()) : 0;
-        if (m.inDoubt()) {
-            act.giveUp(m.m.id());
+    private void answer(Pending pending, double retryInMs) {
+        double retryAfterMs = settings.limits().retryAfter()
+                ? Math.min(retryInMs, settings.limits().maxRetryAfterMs())
+                : 0;
+        if (pending.inDoubt()) {
+            actions.giveUp(pending.message.id());
         } else {
-            act.refuse(m.m.id(), after);
+            actions.refuse(pending.message.id(), retryAfterMs);
         }
-        end(m);
+        finish(pending);
     }
 
-    private void end(Msg m) {
-        m.over = true;
-        held.remove(m.m.id());
-        if (m.ordered() && orders.containsKey(m.m.key())) {
-            orders.get(m.m.key()).queue.remove(m);
+    private void finish(Pending pending) {
+        pending.finished = true;
+        unfinishedMessages.remove(pending.message.id());
+        if (pending.ordered() && keyQueues.containsKey(pending.message.key())) {
+            keyQueues.get(pending.message.key()).messages.remove(pending);
         }
     }
 
-    /** Keeps room for new messages: what is least likely to earn goes first, not what comes next. */
-    private void makeRoom(double now) {
-        int most = cfg.limits().maxOpen();
-        int over = held.size() - most + Math.max(1, (int) (most * ROOM));
-        if (most <= 0 || over <= 0) {
+    /** Makes room for new messages: ends those that lose the least by it, rather than refusing new ones. */
+    private void shedMessages(double now) {
+        int most = settings.limits().maxOpen();
+        int excess = unfinishedMessages.size() - most + Math.max(1, (int) (most * FREE_SHARE));
+        if (most <= 0 || excess <= 0) {
             return;
         }
-        held.values().forEach(m -> m.rank = hope(now, m));
-        held.values().stream()
-                .filter(m -> !m.out)
-                .sorted(Comparator.comparingDouble(m -> m.rank))
-                .limit(over)
+        unfinishedMessages.values().forEach(p -> p.priority = keepPriority(now, p));
+        unfinishedMessages.values().stream()
+                .filter(p -> !p.inFlight)
+                .sorted(Comparator.comparingDouble(p -> p.priority))
+                .limit(excess)
                 .toList()
-                .forEach(m -> answer(m, MOST_TRIAL_MS));
+                .forEach(p -> answer(p, MAX_TRIAL_MS));
     }
 
-    /** What ends with a waiting message: worth to be won, less where its destination is sick, and a price. */
-    private double hope(double now, Msg m) {
-        double delay = m.active().stream()
-                .mapToDouble(e -> Math.max(0, e.unit.waitUntil - now)
-                        + (e.down ? MOST_TRIAL_MS * 2 : e.slowness > SLOW ? MOST_TRIAL_MS : 0))
+    /**
+     * What is lost if a waiting message ends now: the worth that it may still earn, which is less where its
+     * destination is unhealthy, and the price of an early refusal.
+     */
+    private double keepPriority(double now, Pending pending) {
+        double delay = pending.permittedEndpoints().stream()
+                .mapToDouble(e -> Math.max(0, e.route.waitUntil - now)
+                        + (e.down ? MAX_TRIAL_MS * 2 : e.slowness > SLOW_FACTOR ? MAX_TRIAL_MS : 0))
                 .min()
-                .orElse(FOREVER);
-        double won = delay == FOREVER ? 0 : worth(m, now + delay + usual(m.dest, m.type));
-        return now < m.early() ? won + EARLY_PRICE * m.c.worth() : won;
+                .orElse(INFINITE);
+        double earned = delay == INFINITE
+                ? 0
+                : worthAt(pending, now + delay + typicalMs(pending.destination, pending.classIndex));
+        return now < pending.earlyUntil() ? earned + EARLY_PRICE * pending.messageClass.worth() : earned;
     }
 
-    private double worth(Msg m, double at) {
-        double age = at - m.handedAt;
-        MessageClass c = m.c;
-        double aim = Math.min(c.deadlineMs(), c.aimMs() + c.aimStretch() * m.m.workMs());
+    private double worthAt(Pending pending, double at) {
+        double age = at - pending.firstAcceptedAt;
+        MessageClass type = pending.messageClass;
+        double aim = Math.min(type.deadlineMs(), type.aimMs() + type.aimStretch() * pending.message.workMs());
         if (age <= aim) {
-            return c.worth();
+            return type.worth();
         }
-        if (at > m.m.deadlineAt()) {
+        if (at > pending.message.deadlineAt()) {
             return 0;
         }
-        return c.worth()
-                * (cfg.late() == LateCurve.HALVING
-                        ? Math.max(c.lateWorth(), Math.pow(0.5, (age - aim) / Math.max(1, aim)))
-                        : 1 - (1 - c.lateWorth()) * (age - aim) / Math.max(1, c.deadlineMs() - aim));
+        return type.worth()
+                * (settings.late() == LateCurve.HALVING
+                        ? Math.max(type.lateWorth(), Math.pow(0.5, (age - aim) / Math.max(1, aim)))
+                        : 1 - (1 - type.lateWorth()) * (age - aim) / Math.max(1, type.deadlineMs() - aim));
     }
 
-    /** Worth lost by waiting, for each moment of slot time; a little for worth that waiting does not lose. */
-    private double rank(double now, Msg m) {
-        double slow = m.dest.active.isEmpty() ? 1 : FOREVER;
-        boolean crowded = false;
-        for (Endpoint e : m.dest.active) {
-            slow = Math.min(slow, e.slowness);
-            crowded |= crowded(e.unit);
-        }
-        double d = usual(m.dest, m.type) * Math.max(1, slow);
-        double soon = worth(m, now + d);
-        return (soon - worth(m, now + d + LOOKAHEAD_MS) + (crowded ? CROWD_WORTH : BASE_WORTH) * soon) / d;
+    /** Worth lost by waiting per slot time, and a small part of the worth that waiting does not lose. */
+    private double sendPriority(double now, Pending pending) {
+        double slowness = pending.destination.active.isEmpty() ? 1 : INFINITE;
+        boolean overloaded = false;
+        for (Endpoint endpoint : pending.destination.active) {
+            slowness = Math.min(slowness, endpoint.slowness);
+            overloaded |= overloaded(endpoint.route);
+        }
+        double callMs = typicalMs(pending.destination, pending.classIndex) * Math.max(1, slowness);
+        double worth = worthAt(pending, now + callMs);
+        return (worth
+                        - worthAt(pending, now + callMs + LOOKAHEAD_MS)
+                        + (overloaded ? OVERLOAD_WORTH : BASE_WORTH) * worth)
+                / callMs;
     }
 
     // ---- sending ----
 
-    private static boolean sick(Dest d) {
-        for (Endpoint e : d.active) {
-            if (!e.down && e.slowness < SLOW) {
+    private static boolean unhealthy(Destination destination) {
+        for (Endpoint endpoint : destination.active) {
+            if (!endpoint.down && endpoint.slowness < SLOW_FACTOR) {
                 return false;
             }
         }
-        return !d.active.isEmpty();
+        return !destination.active.isEmpty();
     }
 
-    private boolean slotFor(Dest d) {
-        int slots = cfg.limits().slots();
-        boolean sick = sick(d);
-        int most = Math.max(1, (int) (slots * (sick ? SICK_CAP : CAP))), used = sick ? 0 : d.inflight;
-        for (Dest x : sick ? dests.values() : List.<Dest>of()) {
-            used += sick(x) ? x.inflight : 0;
+    private boolean hasSlot(Destination destination) {
+        int slots = settings.limits().slots();
+        boolean unhealthy = unhealthy(destination);
+        int most = Math.max(1, (int) (slots * (unhealthy ? UNHEALTHY_SLOT_SHARE : SLOT_SHARE))),
+                used = unhealthy ? 0 : destination.openCalls;
+        for (Destination other : unhealthy ? destinations.values() : List.<Destination>of()) {
+            used += unhealthy(other) ? other.openCalls : 0;
         }
         return slots <= 0 || slotsUsed < slots && used < most;
     }
 
-    private void trySend(double now, Msg m) {
+    private void trySend(double now, Pending pending) {
         Endpoint best = null;
-        double least = FOREVER;
-        boolean slot = slotFor(m.dest);
-        if (m.tries > 0 && m.dest.share.repeats() <= 0) {
-            return;
-        } // none left to the fleet until its news
-        double opens = m.lane == null ? now : m.lane.opensAt(now);
-        if (opens > now && !later(opens)) {
+        double least = INFINITE;
+        boolean slot = hasSlot(pending.destination);
+        if (pending.attempts > 0 && pending.destination.share.repeats() <= 0) {
+            return; // the fleet grants no repeat until the next share
+        }
+        double bookedAt = pending.bookedCalls == null ? now : pending.bookedCalls.opensAt(now);
+        if (bookedAt > now && !postpone(bookedAt)) {
             return;
         }
-        for (Endpoint e : m.active()) {
-            if (m.zoned() && m.doubtZone >= 0 && e.zone != m.doubtZone) {
+        for (Endpoint endpoint : pending.permittedEndpoints()) {
+            if (pending.boundToZone() && pending.inDoubtZone >= 0 && endpoint.zone != pending.inDoubtZone) {
                 continue;
             }
-            boolean joins = joins(now, e, m), apart = !joins && hasRoom(now, e) && !later(now + TICK_MS);
-            if (!joins && (!slot || apart || !open(now, e, m.lane))) {
+            boolean joins = canJoin(now, endpoint, pending),
+                    nextRound = !joins && callHasRoom(now, endpoint) && !postpone(now + TICK_MS);
+            if (!joins && (!slot || nextRound || !mayCall(now, endpoint, pending.bookedCalls))) {
                 continue;
             }
-            double cost = (e.inflight + 1.0) * Math.max(0.5, e.slowness) * (joins ? 0.5 : 1)
-                    + (e.zone == cfg.zone() ? 0 : 0.5)
-                    + (hasIdle(now, e) ? 0 : 0.3)
-                    + (e.down ? 100 : 0)
-                    + FAILED_COST * e.failRun
-                    + (e.avoidUntil > now ? 50 : 0);
+            double cost = (endpoint.openCalls + 1.0) * Math.max(0.5, endpoint.slowness) * (joins ? 0.5 : 1)
+                    + (endpoint.zone == settings.zone() ? 0 : 0.5)
+                    + (hasIdle(now, endpoint) ? 0 : 0.3)
+                    + (endpoint.down ? 100 : 0)
+                    + FAILURE_COST * endpoint.failuresInRow
+                    + (endpoint.avoidUntil > now ? 50 : 0);
             if (cost < least) {
                 least = cost;
-                best = e;
+                best = endpoint;
             }
         }
         if (best != null) {
-            send(now, m, best);
+            send(now, pending, best);
         }
     }
 
-    /** Whether a call of this round has room; what may not join it goes there in another round. */
-    private static boolean hasRoom(double now, Endpoint e) {
-        Call c = e.round;
-        return c != null && c.sentAt == now && !c.trial && c.items < e.kind.bundleMax();
+    /** Whether a call of this round has room; what cannot join it is sent there in another round. */
+    private static boolean callHasRoom(double now, Endpoint endpoint) {
+        Call call = endpoint.latestCall;
+        return call != null && call.sentAt == now && !call.trial && call.messages < endpoint.kind.bundleMax();
     }
 
-    /** A call has one time, which no message that joins may cut, or find shorter than it needs itself. */
-    private boolean joins(double now, Endpoint e, Msg m) {
-        Call c = e.round;
-        if (!hasRoom(now, e) || c.lane != m.lane) {
+    /** A call has one time-out; a message that joins must not shorten it, nor need a longer one itself. */
+    private boolean canJoin(double now, Endpoint endpoint, Pending pending) {
+        Call call = endpoint.latestCall;
+        if (!callHasRoom(now, endpoint) || call.bookedCalls != pending.bookedCalls) {
             return false;
         }
-        double most = most(now, m), own = patience(m, e, c.items + 1), need = need(m, c.items + 1);
-        double time = timeout(now, m, e, c);
-        // What is short of time itself may go with its like, but for what must not be repeated.
-        double least = most < need && m.c.effect() != Effect.UNSAFE ? 0 : Math.min(own, need);
-        return least <= time && time <= most;
+        double most = maxTimeout(now, pending),
+                preferred = preferredTimeout(pending, endpoint, call.messages + 1),
+                need = neededTimeout(pending, call.messages + 1);
+        double timeout = callTimeout(now, pending, endpoint, call);
+        // Messages that are all short of time may share a call, except for those that must not be repeated.
+        double leastTimeout =
+                most < need && pending.messageClass.effect() != Effect.UNSAFE ? 0 : Math.min(preferred, need);
+        return leastTimeout <= timeout && timeout <= most;
     }
 
-    private boolean hasIdle(double now, Endpoint e) {
-        e.idle.removeIf(at -> now - at > cfg.limits().connectionIdleMs() - TICK_MS);
-        return !e.idle.isEmpty();
+    private boolean hasIdle(double now, Endpoint endpoint) {
+        endpoint.idleSince.removeIf(at -> now - at > settings.limits().connectionIdleMs() - TICK_MS);
+        return !endpoint.idleSince.isEmpty();
     }
 
-    /** Where few connections are taken, one that who calls seldom keeps serves nobody until the next call. */
-    private boolean leavesRoom(double now, Endpoint e) {
-        if (crowdedUntil[e.kindNo] <= now || e.dest.waiting > 0) {
+    /**
+     * Whether to close connections after use: where few are permitted, one that is kept by a relay that calls
+     * rarely is of no use to any relay until its next call.
+     */
+    private boolean releasesConnections(double now, Endpoint endpoint) {
+        if (closeIdleUntil[endpoint.kindIndex] <= now || endpoint.destination.due > 0) {
             return false;
         }
-        double rate = part(now, e.unit) / e.unit.active();
-        return seldom(now, e) || now - turnedAt[e.kindNo] < TURNED_MS && rate * KEEP_MS / 1000 < 1;
+        double rate = ownShare(now, endpoint.route) / endpoint.route.activeCount();
+        return callsRarely(now, endpoint)
+                || now - connectionRejectedAt[endpoint.kindIndex] < REJECTED_RECENTLY_MS
+                        && rate * KEEP_IDLE_MS / 1000 < 1;
     }
 
-    /** Whether not all of the group could keep a connection in use there. */
-    private boolean seldom(double now, Endpoint e) {
-        return part(now, e.unit) / e.unit.active() * cfg.limits().connectionIdleMs() / 1000 < cfg.group();
+    /** Whether not all relays of the group could keep a connection in use there. */
+    private boolean callsRarely(double now, Endpoint endpoint) {
+        return ownShare(now, endpoint.route)
+                        / endpoint.route.activeCount()
+                        * settings.limits().connectionIdleMs()
+                        / 1000
+                < settings.group();
     }
 
-    private void closeIdle(Endpoint e) {
-        if (!e.idle.isEmpty()) {
-            act.closeIdle(e.name);
+    private void closeIdle(Endpoint endpoint) {
+        if (!endpoint.idleSince.isEmpty()) {
+            actions.closeIdle(endpoint.name);
         }
-        e.idle.clear();
+        endpoint.idleSince.clear();
     }
 
-    /** Whether a new call may go to this endpoint now; asks for a wake-up when time alone will open it. */
-    private boolean open(double now, Endpoint e, Lane lane) {
-        Unit u = e.unit;
-        if (u.waitUntil > now) {
-            return later(u.waitUntil);
-        }
-        if (e.down) {
-            boolean onTrial = u.endpoints.stream().anyMatch(x -> x.down && x.inflight > 0); // one at a time
-            return !onTrial && (e.trialAt <= now || later(e.trialAt));
-        }
-        if (e.cold()) {
-            if (e.coldSince < FOREVER && now - e.coldSince > cfg.rules().warmAfterMs()) {
-                act.report("endpoint " + e.name + " held to be warm");
-                e.coldSince = Double.NaN;
-                e.trials = 0;
+    /** Whether a new call may be sent to it now; requests a wake-up where time alone will permit one. */
+    private boolean mayCall(double now, Endpoint endpoint, Lane bookedCalls) {
+        Route route = endpoint.route;
+        if (route.waitUntil > now) {
+            return postpone(route.waitUntil);
+        }
+        if (endpoint.down) {
+            // One trial at a time.
+            boolean onTrial = route.endpoints.stream().anyMatch(e -> e.down && e.openCalls > 0);
+            return !onTrial && (endpoint.trialAt <= now || postpone(endpoint.trialAt));
+        }
+        if (endpoint.inSlowStart()) {
+            if (endpoint.slowStartBeganAt < INFINITE
+                    && now - endpoint.slowStartBeganAt > settings.rules().warmAfterMs()) {
+                actions.report("endpoint " + endpoint.name + " has completed its slow start");
+                endpoint.slowStartBeganAt = Double.NaN;
+                endpoint.trials = 0;
             } else {
-                // The rate grows meanwhile: by its mean since then, or all who wait would gain by it at once.
-                double since = e.coldSince == FOREVER ? 0 : now - e.coldSince;
-                double waited = now - e.rampAt;
-                double mean = coldRate(now, u, Math.max(0, since - waited / 2));
-                double owed = e.rampOwed * u.active() * 1000 - mean * waited;
+                // Counts at the mean rate since the last call: at the present one, which grows meanwhile, all
+                // relays that wait would gain at once.
+                double since = endpoint.slowStartBeganAt == INFINITE ? 0 : now - endpoint.slowStartBeganAt;
+                double waited = now - endpoint.slowStartCallAt;
+                double mean = slowStartRate(now, route, Math.max(0, since - waited / 2));
+                double owed = endpoint.owedCalls * route.activeCount() * 1000 - mean * waited;
                 if (owed > 0) {
-                    return later(now + Math.min(owed / coldRate(now, u, since), RAMP_LOOK_MS));
+                    return postpone(now + Math.min(owed / slowStartRate(now, route, since), RECHECK_MS));
                 }
             }
         }
-        if (!hasIdle(now, e) && now - e.awayAt < CROWDED_MS) {
-            if (e.doorAt > now) {
-                return later(e.doorAt);
+        if (!hasIdle(now, endpoint) && now - endpoint.connectionRejectedAt < CONNECTIONS_SHORT_MS) {
+            if (endpoint.connectBackoffUntil > now) {
+                return postpone(endpoint.connectBackoffUntil);
+            }
+            if (endpoint.openCalls >= endpoint.maxConnections) {
+                return false; // until a call ends
             }
-            if (e.inflight >= e.places) {
-                return false;
-            } // the next end opens it
         }
-        return lane != null || paced(now, e) <= now || later(paced(now, e));
+        return bookedCalls != null || nextCallAt(now, endpoint) <= now || postpone(nextCallAt(now, endpoint));
     }
 
-    private void send(double now, Msg m, Endpoint e) {
-        Call c;
-        if (joins(now, e, m)) {
-            c = e.round;
+    private void send(double now, Pending pending, Endpoint endpoint) {
+        Call call;
+        if (canJoin(now, endpoint, pending)) {
+            call = endpoint.latestCall;
         } else {
-            c = new Call();
-            c.e = e;
-            c.lane = m.lane;
-            c.sentAt = now;
-            c.trial = e.down;
-            e.round = c;
-            e.inflight++;
-            e.dest.inflight++;
+            call = new Call();
+            call.endpoint = endpoint;
+            call.bookedCalls = pending.bookedCalls;
+            call.sentAt = now;
+            call.trial = endpoint.down;
+            endpoint.latestCall = call;
+            endpoint.openCalls++;
+            endpoint.destination.openCalls++;
             slotsUsed++;
-            c.stood = hasIdle(now, e) && now - e.idle.peekLast() > STOOD_MS;
-            // What must not be repeated would be lost: for it a recent sign is enough.
-            boolean sign = m.c.effect() == Effect.UNSAFE && stale > LEARN_STALE / 2;
-            if (c.stood && (staleUntil > now || sign)) {
-                closeIdle(e);
+            call.longIdle = hasIdle(now, endpoint) && now - endpoint.idleSince.peekLast() > LONG_IDLE_MS;
+            // A message that must not be repeated would be lost: for it one recent sign is enough.
+            boolean sign = pending.messageClass.effect() == Effect.UNSAFE && staleShare > STALE_WEIGHT / 2;
+            if (call.longIdle && (staleUntil > now || sign)) {
+                closeIdle(endpoint);
             }
-            c.kept = !e.idle.isEmpty();
-            if (c.kept) {
-                e.idle.removeLast();
+            call.reused = !endpoint.idleSince.isEmpty();
+            if (call.reused) {
+                endpoint.idleSince.removeLast();
             }
-            refill(now, e.unit);
-            if (m.lane == null) {
-                e.unit.tokens -= 1;
+            refill(now, endpoint.route);
+            if (pending.bookedCalls == null) {
+                endpoint.route.tokens -= 1;
             } else {
-                m.lane.used(now);
+                pending.bookedCalls.used(now);
             }
         }
-        c.timeoutMs = timeout(now, m, e, c);
-        c.mostMs = Math.min(c.mostMs, most(now, m));
-        c.items++;
-        c.open++;
-        if (e.cold()) {
-            e.rampOwed = c.items == 1 ? 1 : e.rampOwed + EXTRA_ITEM;
-            e.rampAt = now;
+        call.timeoutMs = callTimeout(now, pending, endpoint, call);
+        call.maxTimeoutMs = Math.min(call.maxTimeoutMs, maxTimeout(now, pending));
+        call.messages++;
+        call.unanswered++;
+        if (endpoint.inSlowStart()) {
+            endpoint.owedCalls = call.messages == 1 ? 1 : endpoint.owedCalls + EXTRA_MESSAGE_COST;
+            endpoint.slowStartCallAt = now;
         }
-        if (m.tries > 0) {
-            m.dest.share = m.dest.share.repeated();
+        if (pending.attempts > 0) {
+            pending.destination.share = pending.destination.share.repeated();
         }
-        attempts.put(key(m.m.id(), m.tries++), new Attempt(m, c));
-        m.out = true;
-        m.dest.waiting--;
-        if (m.ordered()) {
-            orders.get(m.m.key()).out++;
+        attempts.put(attemptKey(pending.message.id(), pending.attempts++), new Attempt(pending, call));
+        pending.inFlight = true;
+        pending.destination.due--;
+        if (pending.ordered()) {
+            keyQueues.get(pending.message.key()).inFlight++;
         }
-        act.send(m.m.id(), e.name, c.timeoutMs, leavesRoom(now, e));
+        actions.send(pending.message.id(), endpoint.name, call.timeoutMs, releasesConnections(now, endpoint));
     }
 
-    /** The time of a call with one message more: as long as any of them wants and all of them allow. */
-    private double timeout(double now, Msg m, Endpoint e, Call c) {
-        double most = Math.min(c.mostMs, most(now, m));
-        return Math.max(1, Math.max(c.timeoutMs, Math.min(patience(m, e, c.items + 1), most)));
+    /** The time-out of a call with one message more: the longest that one prefers and all permit. */
+    private double callTimeout(double now, Pending pending, Endpoint endpoint, Call call) {
+        double maxPermitted = Math.min(call.maxTimeoutMs, maxTimeout(now, pending));
+        return Math.max(
+                1,
+                Math.max(
+                        call.timeoutMs,
+                        Math.min(preferredTimeout(pending, endpoint, call.messages + 1), maxPermitted)));
     }
 
-    /** How long an answer is worth waiting for. */
-    private double patience(Msg m, Endpoint e, int items) {
-        double usual = usual(m.dest, m.type) * (1 + EXTRA_ITEM * (items - 1));
-        double patience = Math.max(LEAST_TIMEOUT_MS, TIMEOUT_CALLS * usual * Math.max(1, e.slowness / 2))
-                * Math.pow(PAUSE_GROWTH, Math.min(m.pauses, e.failRun));
-        // Answers get lost everywhere: waiting for them only fills the slots. Also against our own network if
-        // it drops calls. Where an endpoint is slow or fails in a row its time-out stays long.
-        return lost > MANY_LOST && e.failRun == 0 && e.slowness < LIVELY ? patience * LOST_SHARE : patience;
+    /** How long it is worth waiting for an answer. */
+    private double preferredTimeout(Pending pending, Endpoint endpoint, int count) {
+        double typicalCallMs =
+                typicalMs(pending.destination, pending.classIndex) * (1 + EXTRA_MESSAGE_COST * (count - 1));
+        double preferredMs =
+                Math.max(MIN_TIMEOUT_MS, TIMEOUT_FACTOR * typicalCallMs * Math.max(1, endpoint.slowness / 2))
+                        * Math.pow(BACKOFF_FACTOR, Math.min(pending.backoffs, endpoint.failuresInRow));
+        // Where answers get lost at all endpoints, perhaps in this relay's own network, waiting for them only
+        // fills the slots. If the endpoint is slow or fails in a row, the time-out stays long.
+        return lostShare > LOST_THRESHOLD && endpoint.failuresInRow == 0 && endpoint.slowness < MILD_SLOWNESS
+                ? preferredMs * LOST_TIMEOUT_FACTOR
+                : preferredMs;
     }
 
-    /** How long a message allows to wait: its time left, and a part of its key's window. */
-    private double most(double now, Msg m) {
-        double left = m.m.deadlineAt() - now;
-        if (m.c.effect() != Effect.KEYED) {
+    /** The longest time-out that a message permits: its time left, and a part of its key's window. */
+    private double maxTimeout(double now, Pending pending) {
+        double left = pending.message.deadlineAt() - now;
+        if (pending.messageClass.effect() != Effect.KEYED) {
             return left;
         }
-        return Math.min(left, Math.max(WINDOW_SHARE * m.c.windowMs(), OUTLIER * usual(m.dest, m.type)));
+        return Math.min(
+                left,
+                Math.max(
+                        WINDOW_SHARE * pending.messageClass.windowMs(),
+                        OUTLIER_FACTOR * typicalMs(pending.destination, pending.classIndex)));
     }
 
-    /** What a call needs to be answered, but for such as are slow beyond all others. */
-    private double need(Msg m, int n) {
-        return OUTLIER * usual(m.dest, m.type) * (1 + EXTRA_ITEM * (n - 1));
+    /** The time in which all calls but exceptionally slow ones are answered. */
+    private double neededTimeout(Pending pending, int messages) {
+        return OUTLIER_FACTOR
+                * typicalMs(pending.destination, pending.classIndex)
+                * (1 + EXTRA_MESSAGE_COST * (messages - 1));
     }
 
     private double jittered(double ms) {
         return ms * (1 - JITTER + 2 * JITTER * random.nextDouble());
     }
 
-    private static long key(long id, int attempt) {
+    private static long attemptKey(long id, int attempt) {
         return id << 20 | attempt;
     }
 }
--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -4,32 +4,32 @@
 import java.util.Set;
 
 /**
- * What decides for one relay. The host hands in events as they happen and calls {@link #decide} once for
- * each round of events; the answers go to {@link Actions}. Times are milliseconds on the host's clock.
- * A setting that the host has no value for is 0, false or empty, and then imposes nothing.
+ * Makes the decisions of one relay. The host passes events as they happen and calls {@link #decide} once for
+ * each round of events; decisions go to {@link Actions}. Times are milliseconds on the host's clock.
+ * A setting without a value is 0, false or empty, and then imposes nothing.
  */
 public interface Controller {
 
-    /** Whether a message may be sent more than once. */
+    /** Whether a message may be sent more than once: always, with its key, or never. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** The endpoints among which a destination drops repeats of a key. */
+    /** The endpoints among which a destination drops repeats of a key: all, or those of one zone. */
     enum Scope {
         ALL,
         ZONE
     }
 
-    /** How the worth of a message falls after its aim. */
+    /** How the worth of a message falls after its target time. */
     enum LateCurve {
         LINEAR,
         HALVING
     }
 
-    /** What the weight of an endpoint holds: nothing, calls a second, or a rough figure of them. */
+    /** What the weight of an endpoint means: nothing, calls a second, or a rough estimate of them. */
     enum Weight {
         NONE,
         NOMINAL,
@@ -37,9 +37,10 @@
     }
 
     /**
-     * How an attempt ended. {@code CROWDED}: the endpoint answered, but took no further connection; nothing ran.
-     * {@code WITHHELD}: nothing of it was written, by {@link #mayGo}; it counts as none, and its number is free again.
-     * {@code LOCAL_FAILURE}: the same, by a failure of this machine, which says nothing of the endpoint.
+     * How an attempt ended. {@code FULL}: the endpoint rejected the call. {@code CROWDED}: it answered, but is at its
+     * connection limit and rejected a new connection; nothing ran. {@code WITHHELD}: nothing was written, as
+     * {@link #mayGo} did not permit it; it does not count as an attempt, and its number is used again.
+     * {@code LOCAL_FAILURE}: the same after a failure of this machine, which says nothing of the endpoint.
      */
     enum Result {
         OK,
@@ -54,7 +55,7 @@
         WITHHELD,
         LOCAL_FAILURE;
 
-        /** Whether the message may have run: it has not where the call was turned away or never got there. */
+        /** Whether the message may have run: not if the call was rejected or never reached the endpoint. */
         public boolean maybeRan() {
             return switch (this) {
                 case OK, ERROR, TIMEOUT, RESET, CANCELLED -> true;
@@ -62,31 +63,35 @@
             };
         }
 
-        /** Whether it counts as an attempt; if not, its number is free again. */
+        /** Whether it counts as an attempt; if not, its number is used again. */
         public boolean counts() {
             return this != WITHHELD && this != LOCAL_FAILURE;
         }
     }
 
-    /** State of an endpoint on the list; it tells nothing of its health. */
+    /** State of an endpoint on the list, independent of its health. */
     enum Listing {
         ACTIVE,
         LEAVING,
         LEFT
     }
 
-    /** What a piece of news of the list brings. */
+    /** Kind of an update of the list. */
     enum News {
         CHANGES,
         COMPLETE,
         STORED,
-        /** A call for the list failed soon, or what it told has ended. */
+        /** A request for the list failed soon, or its watch has ended. */
         FAILED,
-        /** A call for the list failed, or has not been answered, after a wait that was pause enough. */
+        /** A request for the list failed, or has no answer, after so long that no further pause is needed. */
         OVERDUE
     }
 
-    /** A class of message. */
+    /**
+     * A class of messages. Until the target time {@code aimMs}, longer by {@code aimStretch} for each millisecond of
+     * work, a message has its full {@code worth}; later it falls to {@code lateWorth} as {@link LateCurve} says. For
+     * {@code windowMs} the destination drops repeats of a key.
+     */
     record MessageClass(
             String name,
             Effect effect,
@@ -100,10 +105,10 @@
             double worth,
             double lateWorth) {}
 
-    /** A kind of destination: whether its endpoints are routes apart, and how many messages a call carries. */
+    /** A kind of destination: whether each endpoint has a limit of its own, and the most messages of a call. */
     record Kind(boolean routesApart, int bundleMax) {}
 
-    /** What the site permits. */
+    /** Limits of the installation. */
     record Limits(
             int slots,
             int maxOpen,
@@ -118,7 +123,7 @@
             double connectTimeoutMs,
             double connectionIdleMs) {}
 
-    /** Figures of the rules. */
+    /** Parameters of the safety rules. */
     record Rules(
             double answerSlackMs,
             double askEveryMs,
@@ -130,8 +135,8 @@
             double settleAfterDoubtMs) {}
 
     /**
-     * Settings of one relay; {@code group} is the number of relays that share the destinations, and with
-     * {@code limitsTold} answers report the limit of a destination, 0 where it has none.
+     * Settings of one relay. {@code group} is the number of relays that share the destinations; with
+     * {@code limitsTold}, answers report the limit of a destination, 0 if it has none.
      */
     record Settings(
             int group,
@@ -146,16 +151,16 @@
             Limits limits,
             Rules rules) {}
 
-    /** A line of the list of endpoints. */
+    /** An entry of the list of endpoints. */
     record Entry(String endpoint, int destination, int kind, int zone, double weight, Listing listing) {}
 
-    /** A call that was made before a restart; {@code maybeRan} unless it is known that it never ran. */
+    /** An attempt before a restart; {@code maybeRan} unless it is known that it never ran. */
     record Try(String endpoint, double sentAt, boolean maybeRan) {}
 
     /**
-     * A message handed to this relay, or taken up again after a restart with what was {@code tried} for it in
-     * that order. {@code again} and {@code fromDeadRelay} tell that it may have a history
-     * that this relay never saw; {@code workMs} is a guess of its work, 0 if none is given.
+     * A message accepted by this relay, or resumed after a restart with its earlier attempts {@code tried}, in
+     * order. {@code again} and {@code fromDeadRelay} say that it may have a history that this relay never saw: its
+     * client submits it again, or the relay that had it died. {@code workMs} is an estimate of its work, 0 if none.
      */
     record Message(
             long id,
@@ -168,42 +173,42 @@
             boolean fromDeadRelay,
             List<Try> tried) {}
 
-    /** What a destination reported of its limit; NaN where it told nothing. */
+    /** What a destination reported of its limit; NaN if nothing. */
     record Load(double allowanceLeft, double limitPerS) {
-        /** No report came. */
+        /** Nothing was reported. */
         public static final Load NONE = new Load(Double.NaN, Double.NaN);
     }
 
     /**
-     * A part of a destination's limit until a moment and {@code sure} afterwards, and how many repeats may go there
-     * from now on.
+     * This relay's share of a destination's limit: {@code part} of it until a time and the guaranteed part
+     * {@code sure} afterwards, and how many repeats may be sent there from now on.
      */
     record Share(double part, double until, double sure, int repeats) {
-        /** Nothing imposed. */
+        /** No restriction. */
         public static final Share ALL =
                 new Share(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, Integer.MAX_VALUE);
 
-        /** The part at a moment. */
+        /** The part of the limit at a time. */
         public double at(double now) {
             return now < until ? part : sure;
         }
 
-        /** What is left when one repeat has gone. */
+        /** The share after one repeat was sent. */
         public Share repeated() {
             return repeats == Integer.MAX_VALUE ? this : new Share(part, until, sure, repeats - 1);
         }
     }
 
-    /** Calls that were booked at a destination; what goes there counts against nothing else. */
+    /** Calls that were booked at a destination; they count against no other limit. */
     interface Lane {
-        /** When the next call may go: not after {@code now} if it may go now, infinite if none will. */
+        /** When the next call may be sent: not after {@code now} if it may be now, infinite if never. */
         double opensAt(double now);
 
-        /** A call goes. */
+        /** A call is sent. */
         void used(double now);
     }
 
-    /** The end of an attempt; {@code over} if the message ended with it, {@code waitMs} 0 if no wait was told. */
+    /** The end of an attempt; {@code over} if the message ended with it, {@code waitMs} 0 if it named no wait. */
     record Outcome(
             long id,
             int attempt,
@@ -214,46 +219,47 @@
             double waitMs,
             Load load) {}
 
-    /** What a relay may ask of its host. */
+    /** What the controller asks of its host. */
     interface Actions {
         /**
-         * Calls an endpoint with a message; {@code last} if its connection is not to be kept afterwards. What is sent
-         * to one endpoint in one round shares calls in that order; a call's time is the longest told with it.
+         * Sends a message to an endpoint; {@code last} if the connection is not to be kept afterwards. Messages for one
+         * endpoint in one round share calls in this order; a call has the longest time-out of its messages.
          */
         void send(long id, String endpoint, double timeoutMs, boolean last);
 
-        /** Abandons the wait for an attempt. */
+        /** Stops waiting for the answer to an attempt. */
         void cancel(long id, int attempt);
 
-        /** Final answer: handed back, and handing it in again is harmless; {@code afterMs} 0 gives no guidance. */
+        /** Final answer: not run, and safe to submit again after {@code afterMs}; with 0 no time is suggested. */
         void refuse(long id, double afterMs);
 
-        /** Final answer: given up, with no promise about its effect. */
+        /** Final answer: given up, and it may or may not have run. */
         void giveUp(long id);
 
-        /** Closes the connections to an endpoint that carry no call. */
+        /** Closes the idle connections to an endpoint. */
         void closeIdle(String endpoint);
 
-        /** Asks for {@link Controller#timer} after a while. */
+        /** Requests {@link Controller#timer} after a time. */
         void wake(double inMs);
 
-        /** Asks to be told of changes of the list from now on. */
+        /** Subscribes to changes of the list. */
         void watchList();
 
-        /** A line for the operators. */
+        /** Logs a line for the operators. */
         void report(String text);
     }
 
-    /** News of the list of endpoints; no entries come with {@link News#FAILED} and {@link News#OVERDUE}. */
+    /** An update of the list of endpoints; without entries for {@link News#FAILED} and {@link News#OVERDUE}. */
     void list(double now, News news, List<Entry> entries);
 
-    /** A message was handed in; one final answer is owed. */
+    /** A message was accepted; it must get exactly one final answer. */
     void taken(double now, Message message);
 
     /**
-     * The connection for an attempt is there, later than the round that asked for it: for how many milliseconds its
-     * answer may be waited for, 0 if it may not be written any more. Asked right before the write, from which it counts
-     * then; one that may not has to end as {@link Result#WITHHELD}. A call has the least time of those that go.
+     * The connection for an attempt was opened later than in the round that asked for it. Returns the time-out for its
+     * answer in milliseconds, or 0 if it must no longer be written. Called right before the write, when the time-out
+     * begins; an attempt that is not permitted must end as {@link Result#WITHHELD}. A call has the shortest time-out of
+     * its messages that are permitted.
      */
     default double mayGo(double now, long id, int attempt) {
         return Double.POSITIVE_INFINITY;
@@ -263,37 +269,37 @@
     void ended(double now, Outcome outcome);
 
     /**
-     * A wait was read at {@code now} in an answer to an attempt, before its end; the attempt may be over by now. The
-     * wait of its outcome is the same one.
+     * A wait was read at {@code now} in an answer to an attempt, before the answer's end; the attempt may have ended
+     * by now. Its outcome repeats the same wait.
      */
     default void waits(double now, String endpoint, long id, int attempt, double waitMs) {}
 
-    /** The answer to an attempt of a streamed class has begun. */
+    /** The answer to an attempt of a streaming class has begun. */
     default void begun(double now, long id, int attempt) {}
 
-    /** Nobody wants the message any more; its attempts run on. */
+    /** The message was withdrawn; its attempts continue. */
     void withdrawn(double now, long id);
 
-    /** A wake-up that was asked for. */
+    /** A requested wake-up. */
     void timer(double now);
 
     /**
-     * What others of the fleet leave to this relay of a destination, or with -1 of all of which nothing is told. Where
-     * that was never told either, the relay judges by itself alone.
+     * The share of a destination's limit that the fleet grants this relay; destination -1 stands for all without a
+     * share of their own. Until the first such event for it, the relay decides by itself alone.
      */
     default void share(double now, int destination, Share share) {}
 
-    /** Others were told to wait with an endpoint, which binds here as well, or hold it to be sick. */
+    /** Other relays received a wait of an endpoint, which binds here as well, or consider it unhealthy. */
     default void warned(double now, String endpoint, double waitUntil, double avoidUntil) {}
 
     /**
-     * What binds a message beyond its class, from now on; none of it until told.
+     * Restrictions of a message beyond its class, from now on; without this event it has none.
      *
      * @param zones zones in which it may be sent, or null for all
-     * @param lane  what was booked for it, or null
+     * @param lane  calls that were booked for it, or null
      */
     default void terms(double now, long id, Set<Integer> zones, Lane lane) {}
 
-    /** All events of this round were handed in: act. */
+    /** All events of this round were passed: decides, and calls the actions. */
     void decide(double now);
 }
--- a/src/test/java/firstair/control/Bench.java
+++ b/src/test/java/firstair/control/Bench.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drives one Control by hand: a clock, the attempts that are out, and what it asked for. */
+/** Drives one {@link Control} with a clock of its own and records its actions. */
 final class Bench implements Controller.Actions {
     static final MessageClass SAFE = messageClass(Effect.SAFE, Scope.ALL, false, 10_000, 0);
     static final MessageClass KEYED = messageClass(Effect.KEYED, Scope.ALL, false, 10_000, 5_000);
@@ -30,21 +30,21 @@
     static final MessageClass UNSAFE = messageClass(Effect.UNSAFE, Scope.ALL, false, 10_000, 0);
     static final MessageClass ORDERED = messageClass(Effect.SAFE, Scope.ALL, true, 10_000, 0);
 
-    /** An attempt as it was asked for. */
+    /** An attempt as it was requested. */
     record Sent(double at, long id, int attempt, String endpoint, double timeoutMs, boolean last) {}
 
     double now = 1_000;
     final List<Sent> sent = new ArrayList<>();
-    final List<Sent> out = new ArrayList<>();
+    final List<Sent> inFlight = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
     final List<Double> refusedAfter = new ArrayList<>();
     final List<Long> givenUp = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
     final List<Double> wakes = new ArrayList<>();
     final List<String> reports = new ArrayList<>();
-    int watches;
+    int listRequests;
     final Control control;
-    private final Map<Long, Integer> tries = new HashMap<>();
+    private final Map<Long, Integer> attempts = new HashMap<>();
     private long nextId = 1;
 
     Bench(Settings settings) {
@@ -55,8 +55,8 @@
         control = new Control(settings, seed, this);
     }
 
-    static MessageClass messageClass(Effect effect, Scope scope, boolean order, double deadline, double window) {
-        return new MessageClass("c", effect, scope, order, false, 2_000, 0, deadline, window, 1, 0.3);
+    static MessageClass messageClass(Effect effect, Scope scope, boolean inOrder, double deadlineMs, double windowMs) {
+        return new MessageClass("c", effect, scope, inOrder, false, 2_000, 0, deadlineMs, windowMs, 1, 0.3);
     }
 
     static Settings settings(MessageClass... classes) {
@@ -89,109 +89,116 @@
     /** Names active endpoints as {@code destination/zone/number}. */
     Bench endpoints(String... names) {
         List<Entry> list = new ArrayList<>();
-        for (String n : names) {
-            list.add(entry(n, Listing.ACTIVE));
+        for (String name : names) {
+            list.add(entry(name, Listing.ACTIVE));
         }
         control.list(now, News.COMPLETE, list);
         return this;
     }
 
     static Entry entry(String name, Listing listing) {
-        String[] p = name.split("/");
-        return new Entry(name, Integer.parseInt(p[0]), 0, Integer.parseInt(p[1]), 1, listing);
+        String[] parts = name.split("/");
+        return new Entry(name, Integer.parseInt(parts[0]), 0, Integer.parseInt(parts[1]), 1, listing);
     }
 
-    long take(int messageClass, int destination) {
-        return take(messageClass, destination, null, 10_000, false);
+    long accept(int messageClass, int destination) {
+        return accept(messageClass, destination, null, 10_000, false);
     }
 
-    long take(int messageClass, int destination, String key, double leftMs, boolean fromDead) {
+    long accept(int messageClass, int destination, String key, double leftMs, boolean fromDeadRelay) {
         long id = nextId++;
         control.taken(
-                now, new Message(id, messageClass, destination, key, now + leftMs, 0, false, fromDead, List.of()));
+                now, new Message(id, messageClass, destination, key, now + leftMs, 0, false, fromDeadRelay, List.of()));
         return id;
     }
 
-    /** Hands in a message for destination 1 that a restarted relay takes up again. */
-    long resume(int messageClass, double leftMs, Try... tried) {
+    /** Submits a message for destination 1 that a restarted relay resumes. */
+    long resume(int messageClass, double leftMs, Try... earlier) {
         long id = nextId++;
-        tries.put(id, tried.length);
-        control.taken(now, new Message(id, messageClass, 1, "k", now + leftMs, 0, false, false, List.of(tried)));
+        attempts.put(id, earlier.length);
+        control.taken(now, new Message(id, messageClass, 1, "k", now + leftMs, 0, false, false, List.of(earlier)));
         return id;
     }
 
-    void end(Sent s, Result result, double waitMs) {
-        end(s, result, waitMs, Load.NONE);
+    void end(Sent attempt, Result result, double waitMs) {
+        end(attempt, result, waitMs, Load.NONE);
     }
 
-    void end(Sent s, Result result, double waitMs, Load load) {
-        out.remove(s);
+    void end(Sent attempt, Result result, double waitMs, Load load) {
+        inFlight.remove(attempt);
         control.ended(
                 now,
                 new Outcome(
-                        s.id(), s.attempt(), s.endpoint(), result, now - s.at(), result == Result.OK, waitMs, load));
+                        attempt.id(),
+                        attempt.attempt(),
+                        attempt.endpoint(),
+                        result,
+                        now - attempt.at(),
+                        result == Result.OK,
+                        waitMs,
+                        load));
     }
 
-    /** Its connection is there: it goes now, or it never was. */
-    boolean up(Sent s) {
-        return goesFor(s) > 0;
+    /** Its connection is open: whether the attempt is written now; otherwise it is withheld. */
+    boolean connected(Sent attempt) {
+        return permittedTimeout(attempt) > 0;
     }
 
-    /** The same, and for how long its answer may be waited for, in milliseconds. */
-    double goesFor(Sent s) {
-        double ms = control.mayGo(now, s.id(), s.attempt());
+    /** The same: returns the time-out of the answer in milliseconds, 0 if withheld. */
+    double permittedTimeout(Sent attempt) {
+        double ms = control.mayGo(now, attempt.id(), attempt.attempt());
         if (ms <= 0) {
-            end(s, Result.WITHHELD, 0);
-            tries.merge(s.id(), -1, Integer::sum);
+            end(attempt, Result.WITHHELD, 0);
+            attempts.merge(attempt.id(), -1, Integer::sum);
         }
         return ms;
     }
 
-    /** Ends all that is out in the same way. */
+    /** Ends all attempts in flight with the same result. */
     void endAll(Result result, double waitMs) {
         endAll(result, waitMs, Load.NONE);
     }
 
     void endAll(Result result, double waitMs, Load load) {
-        new ArrayList<>(out).forEach(s -> end(s, result, waitMs, load));
+        new ArrayList<>(inFlight).forEach(attempt -> end(attempt, result, waitMs, load));
     }
 
     void decide() {
         control.decide(now);
     }
 
-    /** Lets time pass in small rounds; calls end with {@code result} after {@code callMs} or at their time-out. */
+    /** Advances the clock in small rounds; calls end with {@code result} after {@code callMs}, or time out. */
     void run(double ms, Result result, double callMs) {
         double until = now + ms;
         while (now < until) {
             now += 5;
             control.timer(now);
-            for (Sent s : new ArrayList<>(out)) {
-                if (now - s.at() >= s.timeoutMs()) {
-                    end(s, Result.TIMEOUT, 0);
-                } else if (now - s.at() >= callMs) {
-                    end(s, result, 0);
+            for (Sent attempt : new ArrayList<>(inFlight)) {
+                if (now - attempt.at() >= attempt.timeoutMs()) {
+                    end(attempt, Result.TIMEOUT, 0);
+                } else if (now - attempt.at() >= callMs) {
+                    end(attempt, result, 0);
                 }
             }
             control.decide(now);
         }
     }
 
-    /** Lets time pass while nothing is answered. */
+    /** Advances the clock while no call is answered. */
     void silence(double ms) {
         run(ms, Result.OK, Double.POSITIVE_INFINITY);
     }
 
     @Override
     public void send(long id, String endpoint, double timeoutMs, boolean last) {
-        Sent s = new Sent(now, id, tries.merge(id, 1, Integer::sum) - 1, endpoint, timeoutMs, last);
-        sent.add(s);
-        out.add(s);
+        Sent attempt = new Sent(now, id, attempts.merge(id, 1, Integer::sum) - 1, endpoint, timeoutMs, last);
+        sent.add(attempt);
+        inFlight.add(attempt);
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        throw new AssertionError("nothing cancels yet");
+        throw new AssertionError("no call is cancelled");
     }
 
     @Override
@@ -217,7 +224,7 @@
 
     @Override
     public void watchList() {
-        watches++;
+        listRequests++;
     }
 
     @Override
--- a/src/test/java/firstair/control/ColdFleet.java
+++ b/src/test/java/firstair/control/ColdFleet.java
@@ -26,25 +26,25 @@
 import java.util.Set;
 
 /**
- * A model of one destination that goes and comes back cold, with all relays that call it, each with a module and a
- * seed of its own and no talk between them. What reaches the destination from its return on is counted, whatever it
- * is, against what the settings allow it then. The destination does not fall here: it goes on counting.
+ * Simulates one destination that fails and returns in slow start, and all relays that call it. Each relay has a
+ * controller and a seed of its own, and they do not communicate. From the return on, all calls that reach the
+ * destination are counted against what the settings permit then. Too many of them do not make it fail again.
  */
 final class ColdFleet {
     static final Rules RULES = new Rules(20, 10_000, 1_000, 0.25, 10_000, 1.5, 2_000, 500);
     private static final double LOAD = 0.7; // of the limit, over all relays
-    private static final double FALLS_MS = 15_000; // when it goes; by then demand is known
-    private static final double LASTS_MS = 20_000; // what is counted after the return
-    private static final double WIRE_MS = 5; // one way
-    private static final double DOWN_MS = 1_600; // a relay that restarts takes nothing for so long
+    private static final double OUTAGE_START_MS = 15_000; // when the destination fails; demand is known by then
+    private static final double OBSERVED_MS = 20_000; // after the return
+    private static final double LATENCY_MS = 5; // one way
+    private static final double RESTART_MS = 1_600; // a relay that restarts accepts nothing for so long
     private static final double DEADLINE_MS = 10_000;
-    private static final double CLUMPS = 0.15; // share of messages that come in clumps,
-    private static final double CLUMP_S = 2; // of so many seconds of the limit
-    private static final double FURTHER = 0.25; // weight of a further message in a call, calls
-    private static final int HANDED_IN = 2; // times a client hands in what is refused
+    private static final double BURST_SHARE = 0.15; // share of messages that arrive in bursts
+    private static final double BURST_S = 2; // size of a burst, in seconds of the limit
+    private static final double EXTRA_MESSAGE_WEIGHT = 0.25; // of each further message in a call, in calls
+    private static final int MAX_RESUBMISSIONS = 2; // of one refused message
 
-    /** How calls fail while the destination is away. */
-    enum Fall {
+    /** How calls fail while the destination is down; SHUT_TOLD names the wait until its return. */
+    enum Outage {
         REFUSED,
         RESET,
         SILENT,
@@ -54,39 +54,53 @@
     }
 
     /**
-     * What is played.
+     * What is simulated.
      *
      * @param limit     calls a second that the destination takes from all relays when it is warm
-     * @param skewed    a tenth of the relays is handed half of the messages
-     * @param restarted share of the relays that restart around the return and remember nothing of it
+     * @param skewed    a tenth of the relays receives half of the messages
+     * @param restarted share of the relays that restart around the return and have no memory of the outage
      */
-    record Shape(
+    record Scenario(
             int relays,
             double limit,
             int endpoints,
             boolean skewed,
-            Fall fall,
-            double awayMs,
-            int bundle,
+            Outage outage,
+            double outageMs,
+            int messagesPerCall,
             double restarted) {}
 
-    /** What came of it: the worst windows against the bound (1 is at it), and shares of messages. */
-    record Played(double worst, double told, boolean broken, double delivered, double late, double used) {}
-
-    private record Event(double at, long order, Runnable what, Relay relay) implements Comparable<Event> {
+    /**
+     * Result of a run.
+     *
+     * @param worst      calls in the worst window, in parts of the bound: 1 is at it
+     * @param notified   the same for calls of relays that saw the outage
+     * @param overBudget whether a window was over the bound, with over two thirds of its calls from such relays
+     * @param delivered  share of the messages
+     * @param budgetUsed share of the calls permitted in slow start, or of the load where that is less
+     */
+    record Totals(
+            double worst,
+            double notified,
+            boolean overBudget,
+            double delivered,
+            double meanLatenessMs,
+            double budgetUsed) {}
+
+    private record Event(double at, long sequence, Runnable action, Relay relay) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Double.compare(at, o.at) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return at != other.at ? Double.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
-    private record Reached(double at, double weight, boolean told) {}
+    private record Arrival(double at, double weight, boolean notified) {}
 
-    private static final class Msg {
+    private static final class ModelMessage {
         long id;
-        double takenAt;
+        double submittedAt;
         double deadlineAt;
-        int handedIn;
+        int resubmissions;
         boolean done;
         Relay relay;
         final List<Try> tried = new ArrayList<>();
@@ -95,104 +109,108 @@
     private static final class Call {
         String endpoint;
         double at;
-        int items;
+        int messages;
         Result result;
         double endsAt;
         double waitMs;
-        boolean away;
-        Reached reached;
+        boolean duringOutage;
+        Arrival arrival;
     }
 
     private final class Relay implements Controller.Actions {
-        final int number;
-        final Random seeds;
+        final int index;
+        final Random seedSource;
         final double share;
         Control control;
-        boolean up = true;
-        boolean told; // a call of it failed there while the destination was away
-        int life;
+        boolean running = true;
+        boolean notified; // one of its calls failed in the outage
+        int incarnation;
         final Map<String, Call> round = new HashMap<>();
-        final Map<Long, Msg> held = new HashMap<>();
+        final Map<Long, ModelMessage> held = new HashMap<>();
 
-        Relay(int number, long seed, double share) {
-            this.number = number;
+        Relay(int index, long seed, double share) {
+            this.index = index;
             this.share = share;
-            seeds = new Random(seed);
+            seedSource = new Random(seed);
             start();
         }
 
         void start() {
-            control = new Control(settings(), seeds.nextLong(), this);
+            control = new Control(settings(), seedSource.nextLong(), this);
             List<Entry> list = new ArrayList<>();
-            for (int e = 0; e < shape.endpoints; e++) {
-                list.add(new Entry("e" + e, 1, 0, 0, 1, Listing.ACTIVE));
+            for (int i = 0; i < scenario.endpoints; i++) {
+                list.add(new Entry("e" + i, 1, 0, 0, 1, Listing.ACTIVE));
             }
-            control.list(now, life == 0 ? News.COMPLETE : News.STORED, list);
+            control.list(now, incarnation == 0 ? News.COMPLETE : News.STORED, list);
         }
 
         Settings settings() {
-            var c = new Controller.MessageClass(
+            var messageClass = new Controller.MessageClass(
                     "c", Effect.SAFE, Scope.ALL, false, false, 2_000, 0, DEADLINE_MS, 0, 1, 0.3);
             return new Settings(
-                    shape.relays,
-                    number,
+                    scenario.relays,
+                    index,
                     0,
                     false,
                     Weight.NONE,
                     true,
                     LateCurve.LINEAR,
-                    List.of(c),
-                    List.of(new Kind(false, shape.bundle)),
+                    List.of(messageClass),
+                    List.of(new Kind(false, scenario.messagesPerCall)),
                     new Limits(16, 200, 6, true, false, false, true, 3_000, false, 1, 1_000, 10_000),
                     RULES);
         }
 
-        void take(Msg m) {
-            m.relay = this;
-            held.put(m.id, m);
-            control.taken(now, new Message(m.id, 0, 1, null, m.deadlineAt, 0, false, false, List.copyOf(m.tried)));
+        void accept(ModelMessage message) {
+            message.relay = this;
+            held.put(message.id, message);
+            control.taken(
+                    now,
+                    new Message(
+                            message.id, 0, 1, null, message.deadlineAt, 0, false, false, List.copyOf(message.tried)));
         }
 
         void restart() {
-            life++;
-            up = false;
-            told = false;
-            at(now + DOWN_MS, this, () -> {
-                up = true;
+            incarnation++;
+            running = false;
+            notified = false;
+            schedule(now + RESTART_MS, this, () -> {
+                running = true;
                 start();
-                List.copyOf(held.values()).forEach(this::take);
+                List.copyOf(held.values()).forEach(this::accept);
             });
         }
 
         @Override
         public void send(long id, String endpoint, double timeoutMs, boolean last) {
-            Msg m = held.get(id);
-            Call c = round.get(endpoint);
-            if (c == null || c.items >= shape.bundle) {
-                c = call(this, endpoint, timeoutMs);
-                round.put(endpoint, c);
+            ModelMessage message = held.get(id);
+            Call call = round.get(endpoint);
+            if (call == null || call.messages >= scenario.messagesPerCall) {
+                call = call(this, endpoint, timeoutMs);
+                round.put(endpoint, call);
             }
-            if (c.reached != null && c.items > 0) {
-                reached.remove(c.reached);
-                c.reached = new Reached(c.reached.at, c.reached.weight + FURTHER, c.reached.told);
-                reached.add(c.reached);
+            if (call.arrival != null && call.messages > 0) {
+                arrivals.remove(call.arrival);
+                call.arrival =
+                        new Arrival(call.arrival.at, call.arrival.weight + EXTRA_MESSAGE_WEIGHT, call.arrival.notified);
+                arrivals.add(call.arrival);
             }
-            c.items++;
-            int n = m.tried.size();
-            m.tried.add(new Try(endpoint, now, true));
-            Call sent = c;
-            int mine = life;
-            at(sent.endsAt, this, () -> {
-                if (mine != life) {
+            call.messages++;
+            int n = message.tried.size();
+            message.tried.add(new Try(endpoint, now, true));
+            Call sent = call;
+            int startedAs = incarnation;
+            schedule(sent.endsAt, this, () -> {
+                if (startedAs != incarnation) {
                     return;
                 }
                 boolean ok = sent.result == Result.OK;
-                m.tried.set(n, new Try(endpoint, sent.at, sent.result.maybeRan()));
-                told |= sent.away;
-                if (ok && !m.done) {
-                    m.done = true;
-                    delivered += now <= m.deadlineAt ? 1 : 0;
-                    lateness += now - m.takenAt;
+                message.tried.set(n, new Try(endpoint, sent.at, sent.result.maybeRan()));
+                notified |= sent.duringOutage;
+                if (ok && !message.done) {
+                    message.done = true;
+                    delivered += now <= message.deadlineAt ? 1 : 0;
+                    latenessMs += now - message.submittedAt;
                 }
                 if (ok) {
                     held.remove(id);
@@ -207,17 +225,19 @@
                                 now - sent.at,
                                 ok,
                                 sent.waitMs,
-                                ok || sent.result == Result.FULL ? new Load(left(), shape.limit) : Load.NONE));
+                                ok || sent.result == Result.FULL
+                                        ? new Load(allowanceLeft(), scenario.limit)
+                                        : Load.NONE));
             });
         }
 
         @Override
         public void refuse(long id, double afterMs) {
-            Msg m = held.remove(id);
-            if (m == null || m.done || m.handedIn >= HANDED_IN) {
+            ModelMessage message = held.remove(id);
+            if (message == null || message.done || message.resubmissions >= MAX_RESUBMISSIONS) {
                 return;
             }
-            at(now + Math.max(afterMs, 300 + random.nextDouble() * 1_000), null, () -> handIn(m));
+            schedule(now + Math.max(afterMs, 300 + random.nextDouble() * 1_000), null, () -> resubmit(message));
         }
 
         @Override
@@ -227,9 +247,9 @@
 
         @Override
         public void wake(double inMs) {
-            int mine = life;
-            at(now + inMs, this, () -> {
-                if (mine == life) {
+            int startedAs = incarnation;
+            schedule(now + inMs, this, () -> {
+                if (startedAs == incarnation) {
                     control.timer(now);
                 }
             });
@@ -250,213 +270,219 @@
         public void report(String text) {}
     }
 
-    private final Shape shape;
+    private final Scenario scenario;
     private final Random random;
-    private final double back;
+    private final double returnsAt;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Relay> fleet = new ArrayList<>();
-    private final List<Reached> reached = new ArrayList<>();
-    private final List<Double> counted = new ArrayList<>(); // by the limit, in the last second
-    private final Set<Relay> touched = new LinkedHashSet<>();
+    private final List<Arrival> arrivals = new ArrayList<>();
+    private final List<Double> counted = new ArrayList<>(); // calls of the last second, against the limit
+    private final Set<Relay> changed = new LinkedHashSet<>();
     private double now;
-    private long order;
+    private long sequence;
     private long nextId = 1;
-    private double taken;
+    private double submitted;
     private double delivered;
-    private double lateness;
+    private double latenessMs;
 
-    private ColdFleet(Shape shape, long seed) {
-        this.shape = shape;
+    private ColdFleet(Scenario scenario, long seed) {
+        this.scenario = scenario;
         random = new Random(seed);
-        back = FALLS_MS + shape.awayMs * (0.8 + 0.4 * random.nextDouble());
-        int many = Math.max(1, shape.relays / 10);
-        for (int i = 0; i < shape.relays; i++) {
-            double share =
-                    !shape.skewed ? 1.0 / shape.relays : i < many ? 0.5 / many : 0.5 / Math.max(1, shape.relays - many);
+        returnsAt = OUTAGE_START_MS + scenario.outageMs * (0.8 + 0.4 * random.nextDouble());
+        int busy = Math.max(1, scenario.relays / 10);
+        for (int i = 0; i < scenario.relays; i++) {
+            double share = !scenario.skewed
+                    ? 1.0 / scenario.relays
+                    : i < busy ? 0.5 / busy : 0.5 / Math.max(1, scenario.relays - busy);
             fleet.add(new Relay(i, random.nextLong(), share));
         }
     }
 
-    static Played play(Shape shape, long seed) {
-        return new ColdFleet(shape, seed).run();
+    static Totals simulate(Scenario scenario, long seed) {
+        return new ColdFleet(scenario, seed).run();
     }
 
-    private Played run() {
-        for (Relay r : fleet) {
-            arrive(r, r.share * (1 - CLUMPS) * LOAD * shape.limit);
-            if (random.nextDouble() < shape.restarted) {
-                at(back - 3_000 + random.nextDouble() * 6_000, r, r::restart);
+    private Totals run() {
+        for (Relay relay : fleet) {
+            scheduleMessages(relay, relay.share * (1 - BURST_SHARE) * LOAD * scenario.limit);
+            if (random.nextDouble() < scenario.restarted) {
+                schedule(returnsAt - 3_000 + random.nextDouble() * 6_000, relay, relay::restart);
             }
         }
-        clump();
-        while (!events.isEmpty() && events.peek().at < back + LASTS_MS) {
+        burst();
+        while (!events.isEmpty() && events.peek().at < returnsAt + OBSERVED_MS) {
             now = events.peek().at;
-            touched.clear();
+            changed.clear();
             while (!events.isEmpty() && events.peek().at == now) {
-                Event e = events.poll();
-                e.what.run();
-                if (e.relay != null) {
-                    touched.add(e.relay);
+                Event event = events.poll();
+                event.action.run();
+                if (event.relay != null) {
+                    changed.add(event.relay);
                 }
             }
-            for (Relay r : List.copyOf(touched)) {
-                r.round.clear();
-                if (r.up) {
-                    r.control.decide(now);
+            for (Relay relay : List.copyOf(changed)) {
+                relay.round.clear();
+                if (relay.running) {
+                    relay.control.decide(now);
                 }
             }
         }
-        return judged();
+        return evaluate();
     }
 
-    private void at(double when, Relay r, Runnable what) {
-        events.add(new Event(Math.max(now + 1, Math.ceil(when)), order++, what, r));
+    private void schedule(double when, Relay relay, Runnable action) {
+        events.add(new Event(Math.max(now + 1, Math.ceil(when)), sequence++, action, relay));
     }
 
-    private void arrive(Relay r, double perS) {
-        at(now - 1000 * Math.log(1 - random.nextDouble()) / perS, r, () -> {
-            give(r, fresh());
-            arrive(r, perS);
+    private void scheduleMessages(Relay relay, double perS) {
+        schedule(now - 1000 * Math.log(1 - random.nextDouble()) / perS, relay, () -> {
+            assign(relay, newMessage());
+            scheduleMessages(relay, perS);
         });
     }
 
-    /** Some messages come all at once, as many as the destination takes in two seconds. */
-    private void clump() {
-        double size = Math.max(2, Math.rint(CLUMP_S * shape.limit));
-        at(now - 1000 * Math.log(1 - random.nextDouble()) * size / (CLUMPS * LOAD * shape.limit), null, () -> {
-            for (int i = 0; i < size; i++) {
-                double draw = random.nextDouble();
-                int r = 0;
-                for (; r < fleet.size() - 1 && draw > fleet.get(r).share; r++) {
-                    draw -= fleet.get(r).share;
-                }
-                give(fleet.get(r), fresh());
-            }
-            clump();
-        });
+    /** Some messages arrive all at once, as many as the destination accepts in two seconds. */
+    private void burst() {
+        double size = Math.max(2, Math.rint(BURST_S * scenario.limit));
+        schedule(
+                now - 1000 * Math.log(1 - random.nextDouble()) * size / (BURST_SHARE * LOAD * scenario.limit),
+                null,
+                () -> {
+                    for (int i = 0; i < size; i++) {
+                        double draw = random.nextDouble();
+                        int index = 0;
+                        for (; index < fleet.size() - 1 && draw > fleet.get(index).share; index++) {
+                            draw -= fleet.get(index).share;
+                        }
+                        assign(fleet.get(index), newMessage());
+                    }
+                    burst();
+                });
     }
 
-    private Msg fresh() {
-        Msg m = message(now);
-        if (now > FALLS_MS && now < back + RULES.warmAfterMs()) {
-            taken++;
+    private ModelMessage newMessage() {
+        ModelMessage message = message(now);
+        if (now > OUTAGE_START_MS && now < returnsAt + RULES.warmAfterMs()) {
+            submitted++;
         } else {
-            m.done = true;
+            message.done = true;
         }
-        return m;
+        return message;
     }
 
-    private Msg message(double takenAt) {
-        Msg m = new Msg();
-        m.id = nextId++;
-        m.takenAt = takenAt;
-        m.deadlineAt = takenAt + DEADLINE_MS;
-        return m;
+    private ModelMessage message(double submittedAt) {
+        ModelMessage message = new ModelMessage();
+        message.id = nextId++;
+        message.submittedAt = submittedAt;
+        message.deadlineAt = submittedAt + DEADLINE_MS;
+        return message;
     }
 
-    private void give(Relay r, Msg m) {
-        Relay to = r;
-        while (!to.up) {
+    private void assign(Relay relay, ModelMessage message) {
+        Relay to = relay;
+        while (!to.running) {
             to = fleet.get(random.nextInt(fleet.size()));
         }
-        to.take(m);
-        touched.add(to);
+        to.accept(message);
+        changed.add(to);
     }
 
-    private void handIn(Msg before) {
-        if (now >= before.deadlineAt) {
+    private void resubmit(ModelMessage refused) {
+        if (now >= refused.deadlineAt) {
             return;
         }
-        Msg m = message(before.takenAt);
-        m.handedIn = before.handedIn + 1;
-        give(fleet.get(random.nextInt(fleet.size())), m);
+        ModelMessage message = message(refused.submittedAt);
+        message.resubmissions = refused.resubmissions + 1;
+        assign(fleet.get(random.nextInt(fleet.size())), message);
     }
 
-    private Call call(Relay r, String endpoint, double timeoutMs) {
-        Call c = new Call();
-        c.endpoint = endpoint;
-        c.at = now;
-        double there = now + WIRE_MS;
-        double takes = 2 * WIRE_MS + 40 + 120 * random.nextDouble();
-        c.result = Result.OK;
-        c.away = there >= FALLS_MS && there < back;
-        if (c.away) {
-            c.result = switch (shape.fall) {
+    private Call call(Relay relay, String endpoint, double timeoutMs) {
+        Call call = new Call();
+        call.endpoint = endpoint;
+        call.at = now;
+        double arrivesAt = now + LATENCY_MS;
+        double tookMs = 2 * LATENCY_MS + 40 + 120 * random.nextDouble();
+        call.result = Result.OK;
+        call.duringOutage = arrivesAt >= OUTAGE_START_MS && arrivesAt < returnsAt;
+        if (call.duringOutage) {
+            call.result = switch (scenario.outage) {
                 case REFUSED -> Result.CONNECT_FAILED;
                 case RESET -> Result.RESET;
                 case SILENT -> Result.TIMEOUT;
                 case ERRORS -> Result.ERROR;
                 default -> Result.FULL;
             };
-            takes = shape.fall == Fall.SILENT ? timeoutMs : shape.fall == Fall.ERRORS ? takes : 2 * WIRE_MS;
-            c.waitMs = shape.fall == Fall.SHUT_TOLD ? back - there : 0;
+            tookMs = scenario.outage == Outage.SILENT
+                    ? timeoutMs
+                    : scenario.outage == Outage.ERRORS ? tookMs : 2 * LATENCY_MS;
+            call.waitMs = scenario.outage == Outage.SHUT_TOLD ? returnsAt - arrivesAt : 0;
         } else {
-            if (there >= back) {
-                c.reached = new Reached(there, 1, r.told);
-                reached.add(c.reached);
+            if (arrivesAt >= returnsAt) {
+                call.arrival = new Arrival(arrivesAt, 1, relay.notified);
+                arrivals.add(call.arrival);
             }
-            counted.removeIf(t -> t < there - 1_000);
-            if (counted.size() >= Math.max(1, shape.limit) * 1.1 + 1) {
-                c.result = Result.FULL;
-                takes = 2 * WIRE_MS;
+            counted.removeIf(t -> t < arrivesAt - 1_000);
+            if (counted.size() >= Math.max(1, scenario.limit) * 1.1 + 1) {
+                call.result = Result.FULL;
+                tookMs = 2 * LATENCY_MS;
             } else {
-                counted.add(there);
+                counted.add(arrivesAt);
             }
         }
-        c.endsAt = now + takes;
-        return c;
+        call.endsAt = now + tookMs;
+        return call;
     }
 
-    private double left() {
+    private double allowanceLeft() {
         counted.removeIf(t -> t < now - 1_000);
-        return Math.max(0, 1 - counted.size() / Math.max(1, shape.limit));
+        return Math.max(0, 1 - counted.size() / Math.max(1, scenario.limit));
     }
 
-    /** Calls that the settings allow in the window that ends then. */
+    /** Calls that the settings permit in the window that ends at this time. */
     private double allowed(double end) {
         double sum = 0;
         for (int i = 0; i < 20; i++) {
-            double t = Math.max(0, end - RULES.overloadForMs() * (i + 0.5) / 20 - back);
+            double t = Math.max(0, end - RULES.overloadForMs() * (i + 0.5) / 20 - returnsAt);
             double s = RULES.startCapacity();
             sum += Math.min(1, s + (1 - s) * t / RULES.warmAfterMs()) / 20;
         }
-        return RULES.fallMultiple() * shape.limit * sum * RULES.overloadForMs() / 1000;
+        return RULES.fallMultiple() * scenario.limit * sum * RULES.overloadForMs() / 1000;
     }
 
-    private Played judged() {
-        reached.sort((a, b) -> Double.compare(a.at, b.at));
+    private Totals evaluate() {
+        arrivals.sort((a, b) -> Double.compare(a.at, b.at));
         double worst = 0;
-        double worstTold = 0;
-        boolean broken = false;
-        double sum = 0;
-        double told = 0;
-        double cold = 0;
-        int from = 0;
-        for (Reached r : reached) {
-            if (r.at > back + RULES.warmAfterMs()) {
+        double worstNotified = 0;
+        boolean overBudget = false;
+        double total = 0;
+        double notified = 0;
+        double totalInSlowStart = 0;
+        int first = 0;
+        for (Arrival arrival : arrivals) {
+            if (arrival.at > returnsAt + RULES.warmAfterMs()) {
                 break;
             }
-            sum += r.weight;
-            told += r.told ? r.weight : 0;
-            cold += r.weight;
-            for (; reached.get(from).at <= r.at - RULES.overloadForMs(); from++) {
-                sum -= reached.get(from).weight;
-                told -= reached.get(from).told ? reached.get(from).weight : 0;
+            total += arrival.weight;
+            notified += arrival.notified ? arrival.weight : 0;
+            totalInSlowStart += arrival.weight;
+            for (; arrivals.get(first).at <= arrival.at - RULES.overloadForMs(); first++) {
+                total -= arrivals.get(first).weight;
+                notified -= arrivals.get(first).notified ? arrivals.get(first).weight : 0;
             }
-            double n = allowed(r.at);
-            double bound = n + 2 * Math.sqrt(n) + 2;
-            worst = Math.max(worst, sum / bound);
-            worstTold = Math.max(worstTold, told / bound);
-            broken |= sum > bound && told > sum * 2 / 3;
+            double allowed = allowed(arrival.at);
+            double bound = allowed + 2 * Math.sqrt(allowed) + 2;
+            worst = Math.max(worst, total / bound);
+            worstNotified = Math.max(worstNotified, notified / bound);
+            overBudget |= total > bound && notified > total * 2 / 3;
         }
         double budget =
-                RULES.fallMultiple() * shape.limit * RULES.warmAfterMs() / 1000 * (RULES.startCapacity() + 1) / 2;
-        return new Played(
+                RULES.fallMultiple() * scenario.limit * RULES.warmAfterMs() / 1000 * (RULES.startCapacity() + 1) / 2;
+        return new Totals(
                 worst,
-                worstTold,
-                broken,
-                delivered / Math.max(1, taken),
-                lateness / Math.max(1, delivered),
-                cold / Math.min(budget, Math.max(1, LOAD * shape.limit * RULES.warmAfterMs() / 1000)));
+                worstNotified,
+                overBudget,
+                delivered / Math.max(1, submitted),
+                latenessMs / Math.max(1, delivered),
+                totalInSlowStart / Math.min(budget, Math.max(1, LOAD * scenario.limit * RULES.warmAfterMs() / 1000)));
     }
 }
--- a/src/test/java/firstair/control/ModuleTest.java
+++ b/src/test/java/firstair/control/ModuleTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the users ask of the module's text. */
+/** What the operators require of the source of the controller. */
 class ModuleTest {
     private static final Path MODULE = Path.of("src/main/java/firstair/control/Control.java");
     private static final int WIDEST = 110;
@@ -23,7 +23,7 @@
         assertThat(lines(MODULE)).noneMatch(l -> l.length() > WIDEST);
     }
 
-    /** The operators print what decides: a decision in a file that the deploy file does not name would be missed. */
+    /** The operators review the files named in the deploy file; a decision in another file would be missed. */
     @Test
     void everyFileThatDecidesIsNamedByTheDeployFile() throws IOException {
         String policy = lines(Path.of("deploy/balancer.toml")).stream()
--- a/src/test/java/firstair/control/RestartTest.java
+++ b/src/test/java/firstair/control/RestartTest.java
@@ -8,30 +8,30 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Messages that a relay takes up again after a restart, with what it had tried for them. */
+/** Messages that a relay resumes after a restart, with their earlier attempts. */
 class RestartTest {
-    private static final int HELD = 40; // messages, more than there are slots
+    private static final int RESUMED = 40; // messages, more than there are slots
 
-    private static Bench relay(MessageClass c) {
-        return new Bench(Bench.settings(c)).endpoints("1/0/a", "1/1/b");
+    private static Bench relay(MessageClass messageClass) {
+        return new Bench(Bench.settings(messageClass)).endpoints("1/0/a", "1/1/b");
     }
 
     @Test
     void anUnsafeMessageThatMayHaveRunIsGivenUpAtOnce() {
-        Bench b = relay(Bench.UNSAFE);
-        long id = b.resume(0, 9_000, new Try("1/0/a", b.now - 100, true));
-        b.decide();
-        assertThat(b.sent).isEmpty();
-        assertThat(b.givenUp).containsExactly(id);
+        Bench bench = relay(Bench.UNSAFE);
+        long id = bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, true));
+        bench.decide();
+        assertThat(bench.sent).isEmpty();
+        assertThat(bench.givenUp).containsExactly(id);
     }
 
     @Test
     void anUnsafeMessageThatNeverRanIsSent() {
-        Bench b = relay(Bench.UNSAFE);
-        b.resume(0, 9_000, new Try("1/0/a", b.now - 100, false));
-        b.decide();
-        assertThat(b.sent).hasSize(1);
-        assertThat(b.sent.get(0).attempt()).isEqualTo(1);
+        Bench bench = relay(Bench.UNSAFE);
+        bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, false));
+        bench.decide();
+        assertThat(bench.sent).hasSize(1);
+        assertThat(bench.sent.get(0).attempt()).isEqualTo(1);
     }
 
     /** The window runs from the first call that may have run, not from the restart. */
@@ -52,93 +52,93 @@
 
     @Test
     void aKeyedMessageStaysInTheZoneOfItsCall() {
-        Bench b = relay(Bench.KEYED_ZONE);
-        b.resume(0, 9_000, new Try("1/1/b", b.now - 500, true));
-        b.decide();
-        assertThat(b.sent).extracting(Bench.Sent::endpoint).containsExactly("1/1/b");
+        Bench bench = relay(Bench.KEYED_ZONE);
+        bench.resume(0, 9_000, new Try("1/1/b", bench.now - 500, true));
+        bench.decide();
+        assertThat(bench.sent).extracting(Bench.Sent::endpoint).containsExactly("1/1/b");
     }
 
-    /** Whether an endpoint that has left the list dropped repeats for this zone or another, nobody knows. */
+    /** The zone of an endpoint that has left the list, which drops repeats of the key, is unknown. */
     @Test
     void aKeyedMessageWhoseZoneIsUnknownIsGivenUp() {
-        Bench b = relay(Bench.KEYED_ZONE);
-        long id = b.resume(0, 9_000, new Try("1/1/gone", b.now - 500, true));
-        b.decide();
-        assertThat(b.sent).isEmpty();
-        assertThat(b.givenUp).containsExactly(id);
+        Bench bench = relay(Bench.KEYED_ZONE);
+        long id = bench.resume(0, 9_000, new Try("1/1/gone", bench.now - 500, true));
+        bench.decide();
+        assertThat(bench.sent).isEmpty();
+        assertThat(bench.givenUp).containsExactly(id);
     }
 
     @Test
-    void triesBeforeTheRestartCountAmongThoseAllowed() {
-        Bench b = relay(Bench.SAFE);
+    void attemptsBeforeTheRestartCountAmongThosePermitted() {
+        Bench bench = relay(Bench.SAFE);
         Try[] all = IntStream.range(0, 12)
-                .mapToObj(i -> new Try("1/0/a", b.now - 100, false))
+                .mapToObj(i -> new Try("1/0/a", bench.now - 100, false))
                 .toArray(Try[]::new);
-        long id = b.resume(0, 9_000, all);
-        b.decide();
-        assertThat(b.sent).isEmpty();
-        assertThat(b.refused).containsExactly(id);
+        long id = bench.resume(0, 9_000, all);
+        bench.decide();
+        assertThat(bench.sent).isEmpty();
+        assertThat(bench.refused).containsExactly(id);
     }
 
     /**
-     * What it held is called at once, as by a relay that has not returned. The first wait that it is told binds all of
-     * it, from its header line on: what waits for a connection, too, and what follows.
+     * Resumed messages are sent at once, as if the relay had not restarted. The first wait that it receives binds all
+     * of them from its header line on, including those that wait for a connection.
      */
     @Test
-    void aRelayThatReturnsKeepsTheFirstWaitThatItIsTold() {
-        Bench b = relay(Bench.SAFE);
-        for (int i = 0; i < HELD; i++) {
-            b.resume(0, 9_000, new Try("1/0/a", b.now - 100, false));
+    void aRestartedRelayKeepsTheFirstWaitThatItReceives() {
+        Bench bench = relay(Bench.SAFE);
+        for (int i = 0; i < RESUMED; i++) {
+            bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, false));
         }
-        b.decide();
-        int atOnce = b.sent.size();
-        assertThat(atOnce).isBetween(2, HELD - 1);
-        Bench.Sent first = b.out.get(0);
-        Bench.Sent late = b.out.get(1);
-        b.control.waits(b.now, first.endpoint(), first.id(), first.attempt(), 700);
-        assertThat(b.control.mayGo(b.now, late.id(), late.attempt()))
-                .as("its connection comes up late")
+        bench.decide();
+        int atOnce = bench.sent.size();
+        assertThat(atOnce).isBetween(2, RESUMED - 1);
+        Bench.Sent first = bench.inFlight.get(0);
+        Bench.Sent late = bench.inFlight.get(1);
+        bench.control.waits(bench.now, first.endpoint(), first.id(), first.attempt(), 700);
+        assertThat(bench.control.mayGo(bench.now, late.id(), late.attempt()))
+                .as("its connection opens late")
                 .isZero();
-        b.end(first, Result.FULL, 700);
-        b.run(690, Result.OK, 1_000);
-        assertThat(b.sent).hasSize(atOnce);
-        b.run(6_000, Result.OK, 10);
-        assertThat(b.sent.size()).isGreaterThan(atOnce);
+        bench.end(first, Result.FULL, 700);
+        bench.run(690, Result.OK, 1_000);
+        assertThat(bench.sent).hasSize(atOnce);
+        bench.run(6_000, Result.OK, 10);
+        assertThat(bench.sent.size()).isGreaterThan(atOnce);
     }
 
     @Test
-    void pausesGoOnGrowing() {
-        Bench b = relay(Bench.SAFE);
-        b.resume(0, 9_000, new Try("1/0/a", b.now - 100, false), new Try("1/0/a", b.now - 100, false));
-        b.decide();
-        b.run(2_000, Result.ERROR, 5);
-        assertThat(b.sent.get(1).at() - b.sent.get(0).at()).isGreaterThan(550);
+    void backoffsGoOnGrowing() {
+        Bench bench = relay(Bench.SAFE);
+        bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, false), new Try("1/0/a", bench.now - 100, false));
+        bench.decide();
+        bench.run(2_000, Result.ERROR, 5);
+        assertThat(bench.sent.get(1).at() - bench.sent.get(0).at()).isGreaterThan(550);
     }
 
     @Test
-    void whatIsOutOfTimeEndsInTheFirstRound() {
-        Bench b = relay(Bench.SAFE);
-        long ran = b.resume(0, -500, new Try("1/0/a", b.now - 900, true));
-        long never = b.resume(0, -500);
-        b.decide();
-        assertThat(b.givenUp).containsExactly(ran);
-        assertThat(b.refused).containsExactly(never);
+    void messagesOutOfTimeEndInTheFirstRound() {
+        Bench bench = relay(Bench.SAFE);
+        long ran = bench.resume(0, -500, new Try("1/0/a", bench.now - 900, true));
+        long never = bench.resume(0, -500);
+        bench.decide();
+        assertThat(bench.givenUp).containsExactly(ran);
+        assertThat(bench.refused).containsExactly(never);
     }
 
-    /** Its process died with the call out, which may still run: later messages of its key rest as behind a reset. */
+    /** The process died with the call in flight, which may still run: its key is paused as after a reset. */
     @Test
-    void aCallThatWasOutRestsItsKey() {
-        MessageClass c = new MessageClass(
+    void aCallInFlightAtTheRestartPausesItsKey() {
+        MessageClass messageClass = new MessageClass(
                 "c", Controller.Effect.UNSAFE, Controller.Scope.ALL, true, false, 2_000, 0, 10_000, 0, 1, 0.3);
-        Bench b = relay(c);
-        double returned = b.now;
-        long first = b.resume(0, 9_000, new Try("1/0/a", b.now - 100, true));
-        b.resume(0, 9_000);
-        b.decide();
-        assertThat(b.givenUp).containsExactly(first);
-        assertThat(b.sent).isEmpty();
-        b.run(1_000, Result.OK, 10);
-        assertThat(b.sent).hasSize(1).allSatisfy(x -> assertThat(x.at() - returned)
+        Bench bench = relay(messageClass);
+        double returned = bench.now;
+        long first = bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, true));
+        bench.resume(0, 9_000);
+        bench.decide();
+        assertThat(bench.givenUp).containsExactly(first);
+        assertThat(bench.sent).isEmpty();
+        bench.run(1_000, Result.OK, 10);
+        assertThat(bench.sent).hasSize(1).allSatisfy(x -> assertThat(x.at() - returned)
                 .isGreaterThanOrEqualTo(500));
     }
 }
--- a/src/test/java/firstair/control/WeightTest.java
+++ b/src/test/java/firstair/control/WeightTest.java
@@ -19,13 +19,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What the module holds and what a round costs, over days on which everything is ever new. */
+/** Memory of the controller and allocation of a round while endpoints, keys and messages keep changing. */
 class WeightTest {
 
-    /** Objects that can be reached from here, the host left out. */
-    private static int reachable(Object from) throws IllegalAccessException {
+    /** Number of objects reachable from the root, without the host. */
+    private static int reachable(Object root) throws IllegalAccessException {
         Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
-        Deque<Object> todo = new ArrayDeque<>(List.of(from));
+        Deque<Object> todo = new ArrayDeque<>(List.of(root));
         while (!todo.isEmpty()) {
             Object o = todo.pop();
             if (!seen.add(o)) {
@@ -49,61 +49,62 @@
         return seen.size();
     }
 
-    private static void generation(Bench b, int n) {
+    private static void generation(Bench bench, int n) {
         String fresh = "1/0/g" + n;
-        b.control.list(
-                b.now,
+        bench.control.list(
+                bench.now,
                 News.CHANGES,
                 List.of(Bench.entry(fresh, Listing.ACTIVE), Bench.entry("1/0/g" + (n - 1), Listing.LEFT)));
-        b.take(0, 1, "key" + n, 10_000, false);
-        b.take(1, 1, "key" + n, 10_000, false);
-        b.run(2_000, n % 5 == 0 ? Result.RESET : Result.OK, 100);
+        bench.accept(0, 1, "key" + n, 10_000, false);
+        bench.accept(1, 1, "key" + n, 10_000, false);
+        bench.run(2_000, n % 5 == 0 ? Result.RESET : Result.OK, 100);
     }
 
     @Test
     void endpointsKeysAndMessagesThatAreGoneLeaveNothing() throws Exception {
-        Bench b = new Bench(Bench.settings(Bench.ORDERED, Bench.KEYED));
+        Bench bench = new Bench(Bench.settings(Bench.ORDERED, Bench.KEYED));
         for (int n = 1; n <= 50; n++) {
-            generation(b, n);
+            generation(bench, n);
         }
-        int before = reachable(b.control);
+        int before = reachable(bench.control);
         for (int n = 51; n <= 350; n++) {
-            generation(b, n);
+            generation(bench, n);
         }
-        assertThat(b.sent.stream().filter(s -> s.endpoint().endsWith("g350"))).isNotEmpty();
-        assertThat(reachable(b.control)).isBetween(before / 2, before + before / 5);
+        assertThat(bench.sent.stream().filter(s -> s.endpoint().endsWith("g350")))
+                .isNotEmpty();
+        assertThat(reachable(bench.control)).isBetween(before / 2, before + before / 5);
     }
 
     @Test
     void anEndpointThatIsBackOnTheListSoonIsKnownStill() {
-        Bench b = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a");
-        b.take(0, 1);
-        b.run(9_000, Result.RESET, 10);
-        assertThat(b.reports).anyMatch(r -> r.contains("sick"));
-        b.control.list(b.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.LEFT)));
-        b.run(1_000, Result.OK, 10);
-        b.control.list(b.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.ACTIVE)));
-        b.take(0, 1);
-        b.run(5_000, Result.OK, 10);
-        assertThat(b.reports).anyMatch(r -> r.contains("answers again"));
+        Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a");
+        bench.accept(0, 1);
+        bench.run(9_000, Result.RESET, 10);
+        assertThat(bench.reports).anyMatch(r -> r.contains("sick"));
+        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.LEFT)));
+        bench.run(1_000, Result.OK, 10);
+        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.ACTIVE)));
+        bench.accept(0, 1);
+        bench.run(5_000, Result.OK, 10);
+        assertThat(bench.reports).anyMatch(r -> r.contains("answers again"));
     }
 
-    /** A relay with part of a core cannot spend it on looking at what waits. */
+    /** A relay with a part of a core must not spend it on waiting messages. */
     @Test
     void aRoundOverManyThatWaitMakesLittleGarbage() {
-        Bench b = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a", "1/0/b", "2/0/c", "3/0/d");
+        Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a", "1/0/b", "2/0/c", "3/0/d");
         for (int i = 0; i < 90; i++) {
-            b.take(0, 1 + i % 3);
+            bench.accept(0, 1 + i % 3);
         }
-        b.decide();
+        bench.decide();
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         int rounds = 200;
         long before = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
         for (int i = 0; i < rounds; i++) {
-            b.now += 1;
-            b.decide();
+            bench.now += 1;
+            bench.decide();
         }
         long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
-        assertThat(bytes / rounds / 90).isLessThan(150); // bytes a round for each message that waits
+        assertThat(bytes / rounds / 90).isLessThan(150); // bytes a round for each waiting message
     }
 }
--- a/src/test/java/firstair/control/WindowMarginTest.java
+++ b/src/test/java/firstair/control/WindowMarginTest.java
@@ -7,47 +7,48 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A relay may be held up for 0.15 s between its clock and its write: repeats arrive inside their window (R9, M34). */
+/** Up to 0.15 s pass between reading the clock and the write: repeats still arrive in their window (R9, M34). */
 class WindowMarginTest {
     private static final double WINDOW_MS = 5000; // of Bench.KEYED
-    private static final double HELD_UP_MS = 150;
+    private static final double WRITE_DELAY_MS = 150;
 
     /** A relay that knows calls to take 10 ms, with a keyed message that may have run. */
     private static Bench inDoubt() {
-        Bench b = new Bench(Bench.settings(Bench.KEYED)).endpoints("1/0/a");
+        Bench bench = new Bench(Bench.settings(Bench.KEYED)).endpoints("1/0/a");
         for (int i = 0; i < 60; i++) {
-            b.take(0, 1);
-            b.run(400, Result.OK, 10);
+            bench.accept(0, 1);
+            bench.run(400, Result.OK, 10);
         }
-        b.sent.clear();
-        b.take(0, 1);
-        b.decide();
-        b.now += 10;
-        b.end(b.sent.get(0), Result.RESET, 0);
-        return b;
+        bench.sent.clear();
+        bench.accept(0, 1);
+        bench.decide();
+        bench.now += 10;
+        bench.end(bench.sent.get(0), Result.RESET, 0);
+        return bench;
     }
 
     @Test
-    void noRepeatIsDecidedWhereAPauseWouldTakeItOutOfItsWindow() {
-        Bench b = inDoubt();
-        double first = b.sent.get(0).at();
-        b.run(WINDOW_MS + 500, Result.FULL, 10);
-        assertThat(b.sent).hasSizeGreaterThan(2);
-        assertThat(b.sent).allSatisfy(s -> assertThat(s.at() - first).isLessThanOrEqualTo(WINDOW_MS - HELD_UP_MS));
+    void noRepeatIsSentWhereADelayCouldTakeItOutOfItsWindow() {
+        Bench bench = inDoubt();
+        double first = bench.sent.get(0).at();
+        bench.run(WINDOW_MS + 500, Result.FULL, 10);
+        assertThat(bench.sent).hasSizeGreaterThan(2);
+        assertThat(bench.sent)
+                .allSatisfy(s -> assertThat(s.at() - first).isLessThanOrEqualTo(WINDOW_MS - WRITE_DELAY_MS));
     }
 
-    /** The same for one whose connection comes up late. */
+    /** The same where the connection opens late. */
     @ParameterizedTest
     @ValueSource(doubles = {4851, 4900, 4990})
-    void noRepeatIsWrittenThereThatWasDecidedInTime(double at) {
-        Bench b = inDoubt();
-        double first = b.sent.get(0).at();
-        while (b.sent.size() < 2) {
-            b.now += 5;
-            b.control.timer(b.now);
-            b.decide();
+    void noRepeatIsWrittenTooLateThatWasDecidedInTime(double at) {
+        Bench bench = inDoubt();
+        double first = bench.sent.get(0).at();
+        while (bench.sent.size() < 2) {
+            bench.now += 5;
+            bench.control.timer(bench.now);
+            bench.decide();
         }
-        b.now = first + at;
-        assertThat(b.up(b.sent.get(1))).isFalse();
+        bench.now = first + at;
+        assertThat(bench.connected(bench.sent.get(1))).isFalse();
     }
 }
