--- a/src/main/java/firstair/fleet/fault/package-info.java
+++ b/src/main/java/firstair/fleet/fault/package-info.java
@@ -1,2 +1,2 @@
-/** What can go wrong in a fleet, each with a type and a step for operators. */
+/** The errors of a fleet, each with a type, a stable code and a step for operators. */
 package firstair.fleet.fault;
--- a/src/test/java/firstair/fleet/ErrorsTest.java
+++ b/src/test/java/firstair/fleet/ErrorsTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of failure stands in docs/errors.md, is raised by the program and is provoked by a test. */
+/** Each kind of fault is listed in docs/errors.md, raised by the program and covered by a test. */
 class ErrorsTest {
     private static String sources(String below) throws IOException {
         StringBuilder all = new StringBuilder();
@@ -39,7 +39,7 @@
                     .orElse("")
                     .split(" ")[1];
             assertThat(tests)
-                    .as(name + " provoked by a test")
+                    .as(name + " covered by a test")
                     .containsPattern("Fault\\." + name + "\\b|\"" + code + "\\b");
         }
     }
@@ -48,7 +48,6 @@
     void aFaultIsOneLineWithItsCodeAndAStep() {
         Fault fault = new Fault.TenantQuota("acme", 250);
         assertThat(fault.line())
-                .isEqualTo(
-                        "F305: tenant acme is over its quota; " + "come again after the told wait, or raise the quota");
+                .isEqualTo("F305: tenant acme is over its quota; retry after the given wait, or raise the quota");
     }
 }
