--- a/src/main/java/firstair/fleet/Fleet.java
+++ b/src/main/java/firstair/fleet/Fleet.java
@@ -9,7 +9,7 @@
 import firstair.fleet.booking.Operations;
 import firstair.fleet.budget.Budgets;
 import firstair.fleet.budget.Part;
-import firstair.fleet.count.Counts;
+import firstair.fleet.count.CallCounts;
 import firstair.fleet.count.Total;
 import firstair.fleet.fault.Fault;
 import firstair.fleet.judge.Judgements;
@@ -154,7 +154,7 @@
     private final Gate gate;
     private final Membership members;
     private final Budgets budgets;
-    private final Counts counts;
+    private final CallCounts counts;
     private final Judgements signs;
     private final Contracts contracts;
     private final Residency residency;
@@ -213,7 +213,7 @@
         gate = new Gate(setup, incarnation);
         members = new Membership(setup, incarnation, new Random(random.nextLong()), post);
         budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), post, at, sharing.repeatsEach());
-        counts = new Counts(setup, incarnation);
+        counts = new CallCounts(setup, incarnation);
         signs = new Judgements(
                 setup, incarnation, LONGEST_WAIT_MS, s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
         contracts = new Contracts(
@@ -292,7 +292,7 @@
         if (note instanceof Note.Signs n) {
             signs.heard(now, from, n);
         } else if (note instanceof Note.Counts n) {
-            counts.heard(now, n);
+            counts.merge(now, n);
         } else if (note instanceof Note.StandingAsk
                 || note instanceof Note.StandingAnswer
                 || note instanceof Note.StandingBack
@@ -791,7 +791,7 @@
             if (!told.isEmpty()) {
                 notes.add(new Note.Signs(told));
             }
-            Note.Counts counted = counts.tell(now, SECONDS);
+            Note.Counts counted = counts.recent(now, SECONDS);
             if (!counted.counts().isEmpty()) {
                 notes.add(counted);
             }
--- a/src/main/java/firstair/fleet/count/Total.java
+++ b/src/main/java/firstair/fleet/count/Total.java
@@ -1,11 +1,11 @@
 package firstair.fleet.count;
 
 /**
- * A sum over relays, and what it rests on.
+ * A sum over relays, and how complete it is.
  *
  * @param sum      calls
- * @param relays   how many relays have told anything of that span, we with them
- * @param ofRelays how many there are
- * @param oldestMs how old the newest news of the relay is that has told least lately; 0 if there is none
+ * @param relays   number of relays, including this one, with counts in the requested span
+ * @param ofRelays number of all relays
+ * @param oldestMs age of the newest count of the relay that reported least recently; 0 if there is none
  */
 public record Total(long sum, int relays, int ofRelays, double oldestMs) {}
--- a/src/main/java/firstair/fleet/count/package-info.java
+++ b/src/main/java/firstair/fleet/count/package-info.java
@@ -1,2 +1,2 @@
-/** Sums over relays. */
+/** Sums of calls over all relays. */
 package firstair.fleet.count;
