--- a/src/main/java/firstair/fleet/Fleet.java
+++ b/src/main/java/firstair/fleet/Fleet.java
@@ -12,7 +12,7 @@
 import firstair.fleet.count.CallCounts;
 import firstair.fleet.count.Total;
 import firstair.fleet.fault.Fault;
-import firstair.fleet.judge.Judgements;
+import firstair.fleet.judge.HealthEvidence;
 import firstair.fleet.ledger.AgreedContracts;
 import firstair.fleet.ledger.Agreement;
 import firstair.fleet.ledger.Agreements;
@@ -155,7 +155,7 @@
     private final Membership members;
     private final Budgets budgets;
     private final CallCounts counts;
-    private final Judgements signs;
+    private final HealthEvidence signs;
     private final Contracts contracts;
     private final Residency residency;
     private final Booked booked;
@@ -214,7 +214,7 @@
         members = new Membership(setup, incarnation, new Random(random.nextLong()), post);
         budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), post, at, sharing.repeatsEach());
         counts = new CallCounts(setup, incarnation);
-        signs = new Judgements(
+        signs = new HealthEvidence(
                 setup, incarnation, LONGEST_WAIT_MS, s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
         contracts = new Contracts(
                 setup, at, epochMs, sharing.contractTermMs(), sharing.contracts(), sharing.tenants(), post);
@@ -290,7 +290,7 @@
     private void heard(String from, long sender, Note note) {
         members.heard(now, from, sender, note);
         if (note instanceof Note.Signs n) {
-            signs.heard(now, from, n);
+            signs.merge(now, from, n);
         } else if (note instanceof Note.Counts n) {
             counts.merge(now, n);
         } else if (note instanceof Note.StandingAsk
@@ -466,13 +466,13 @@
         }
         String subject = "e:" + endpoint;
         if (waitMs > 0) {
-            signs.saw(now, subject, Note.Sight.WAIT, 1, Math.min(waitMs, LONGEST_WAIT_MS));
+            signs.observe(now, subject, Note.Sight.WAIT, 1, Math.min(waitMs, LONGEST_WAIT_MS));
         }
         if (answered) {
             e.fails = 0;
-            signs.saw(now, subject, Note.Sight.ANSWERS, 1, ANSWERS_MS);
+            signs.observe(now, subject, Note.Sight.ANSWERS, 1, ANSWERS_MS);
         } else if (failed && ++e.fails >= FAILS) {
-            signs.saw(now, subject, Note.Sight.FAILS, e.fails, FAILS_MS);
+            signs.observe(now, subject, Note.Sight.FAILS, e.fails, FAILS_MS);
         }
         if (!answered && sharing.repeatsEach() > 0 && budgets.repeats(String.valueOf(destination)) == 0) {
             budgets.want(String.valueOf(destination));
@@ -495,7 +495,7 @@
         });
         endpoints.forEach((name, e) -> {
             double wait = signs.waitUntil(now, "e:" + name);
-            boolean avoid = signs.down(now, "e:" + name);
+            boolean avoid = signs.isDown(now, "e:" + name);
             if (wait > Math.max(now, e.waitTold) || avoid || e.avoidTold) {
                 e.waitTold = Math.max(wait, e.waitTold);
                 e.avoidTold = avoid;
@@ -787,7 +787,7 @@
         List<Note> notes = outgoing.computeIfAbsent(to, k -> new ArrayList<>());
         notes.add(note);
         if (note instanceof Note.Hello || note instanceof Note.HelloBack) {
-            List<Note.Sign> told = signs.toTell(now, SIGNS);
+            List<Note.Sign> told = signs.nextToSend(now, SIGNS);
             if (!told.isEmpty()) {
                 notes.add(new Note.Signs(told));
             }
--- a/src/main/java/firstair/fleet/judge/package-info.java
+++ b/src/main/java/firstair/fleet/judge/package-info.java
@@ -1,2 +1,2 @@
-/** What relays saw of endpoints and destinations. */
+/** Evidence of all relays on the health of endpoints and destinations. */
 package firstair.fleet.judge;
