--- a/src/main/java/firstair/fleet/AgreedBookings.java
+++ b/src/main/java/firstair/fleet/AgreedBookings.java
@@ -11,13 +11,13 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** The bookings as the voters agree on them: each operation with the moment at which it was proposed. */
+/** The ledger's state machine for bookings: each operation carries the time at which it was proposed. */
 public final class AgreedBookings implements Agreement {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
     private Bookings bookings = new Bookings(Rules.usual());
 
-    /** An operation for the ledger. */
+    /** Encodes an operation for the ledger. */
     static byte[] operation(long atMs, Operation operation) {
         byte[] text = Operations.write(operation);
         return Agreements.operation(
@@ -28,19 +28,19 @@
                         .array());
     }
 
-    /** @throws Fault as the rules of bookings have it; what time alone brings has happened all the same */
+    /** @throws Fault if a rule of bookings is broken; changes that are due by time alone are made even then */
     @Override
     public byte[] apply(long index, byte[] operation) {
         if (operation.length < Long.BYTES) {
             throw new Fault.Unreadable("an operation on bookings without its time");
         }
         long atMs = ByteBuffer.wrap(operation).getLong();
-        Operation asked = Operations.read(Arrays.copyOfRange(operation, Long.BYTES, operation.length));
-        Result result = bookings.apply(atMs, asked).orThrow();
-        return result.booking() == null ? NOTHING : Operations.show(result.booking());
+        Operation parsed = Operations.read(Arrays.copyOfRange(operation, Long.BYTES, operation.length));
+        Result result = bookings.apply(atMs, parsed).orThrow();
+        return result.booking() == null ? EMPTY : Operations.show(result.booking());
     }
 
-    /** The bookings as they are; not to be changed. */
+    /** The current bookings; callers must not change them. */
     Bookings bookings() {
         return bookings;
     }
--- a/src/main/java/firstair/fleet/ContractTexts.java
+++ b/src/main/java/firstair/fleet/ContractJson.java
@@ -16,23 +16,23 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Contracts as the ledger keeps them: one JSON object each, the same for the same content. */
-final class ContractTexts {
-    private ContractTexts() {}
+/** Contracts as the ledger stores them: one JSON object each, identical for the same content. */
+final class ContractJson {
+    private ContractJson() {}
 
     static List<String> write(Map<String, Contract> contracts) {
         List<String> all = new ArrayList<>();
-        for (Contract c : contracts.values()) {
-            JsonObject o = new JsonObject();
-            o.addProperty("tenant", c.tenant());
-            o.add("zones", names(c.zones()));
+        for (Contract contract : contracts.values()) {
+            JsonObject json = new JsonObject();
+            json.addProperty("tenant", contract.tenant());
+            json.add("zones", names(contract.zones()));
             JsonObject classes = new JsonObject();
-            c.classes().forEach((name, zones) -> classes.add(name, names(zones)));
-            o.add("classes", classes);
-            o.add("always", names(c.always()));
-            o.addProperty("calls_per_s", c.callsPerS());
-            o.addProperty("from", c.from());
-            all.add(o.toString());
+            contract.classes().forEach((name, zones) -> classes.add(name, names(zones)));
+            json.add("classes", classes);
+            json.add("always", names(contract.always()));
+            json.addProperty("calls_per_s", contract.callsPerS());
+            json.addProperty("from", contract.from());
+            all.add(json.toString());
         }
         return all;
     }
@@ -43,22 +43,22 @@
         return all;
     }
 
-    /** @throws Fault.Unreadable if one is no contract */
+    /** @throws Fault.Unreadable if a text is not a contract */
     static Map<String, Contract> read(List<String> texts) {
         Map<String, Contract> all = new LinkedHashMap<>();
         for (String text : texts) {
             try {
-                JsonObject o = JsonParser.parseString(text).getAsJsonObject();
+                JsonObject json = JsonParser.parseString(text).getAsJsonObject();
                 Map<String, Set<String>> classes = new LinkedHashMap<>();
-                o.getAsJsonObject("classes").entrySet().forEach(e -> classes.put(e.getKey(), zones(e.getValue())));
-                Contract c = new Contract(
-                        o.get("tenant").getAsString(),
-                        zones(o.get("zones")),
+                json.getAsJsonObject("classes").entrySet().forEach(e -> classes.put(e.getKey(), zones(e.getValue())));
+                Contract contract = new Contract(
+                        json.get("tenant").getAsString(),
+                        zones(json.get("zones")),
                         classes,
-                        zones(o.get("always")),
-                        o.get("calls_per_s").getAsDouble(),
-                        o.get("from").getAsLong());
-                all.put(c.tenant(), c);
+                        zones(json.get("always")),
+                        json.get("calls_per_s").getAsDouble(),
+                        json.get("from").getAsLong());
+                all.put(contract.tenant(), contract);
             } catch (JsonParseException
                     | IllegalStateException
                     | UnsupportedOperationException
@@ -76,11 +76,11 @@
         return all;
     }
 
-    /** What came of proposing contracts, for operators. */
-    static String told(Outcome outcome) {
+    /** The outcome of a proposal of contracts, for operators. */
+    static String describe(Outcome outcome) {
         if (outcome instanceof Outcome.Agreed agreed) {
             AgreedContracts.Put put = AgreedContracts.result(agreed.result());
-            return put.taken() ? "agreed" : "not taken, version " + put.version() + " is in force";
+            return put.taken() ? "agreed" : "rejected, version " + put.version() + " is in force";
         } else if (outcome instanceof Outcome.Refused refused) {
             return refused.code() + ": " + refused.what() + "; " + refused.step();
         }
--- a/src/main/java/firstair/fleet/Fleet.java
+++ b/src/main/java/firstair/fleet/Fleet.java
@@ -42,155 +42,155 @@
 import java.util.function.Consumer;
 
 /**
- * All that one relay's process decides as one of a fleet. Whoever owns it hands in what is heard and what happens to
- * messages, and calls {@link #timer} when asked to; notes, and what follows for the relay's own decisions, go to
- * {@link Actions}. Times are milliseconds on the relay's own advancing clock; the wall clock is told apart and serves
- * contracts and bookings alone. The same events and seed give the same actions.
+ * All decisions that a relay's process makes as a member of a fleet. The owner passes in received envelopes and what
+ * happens to messages, and calls {@link #timer} when asked to; outgoing notes and the results for the relay's own
+ * decisions go to {@link Actions}. Times are milliseconds on the relay's own monotonic clock; the wall clock is passed
+ * in separately and used for contracts and bookings only. The same events and seed give the same actions.
  */
 public final class Fleet {
-    private static final double ROUND_MS = 250; // how often what follows from others is looked at again
-    private static final double FRESH_MS = 1000; // a share that rests on the wall clock has to be told again
-    private static final double DEMAND_MS = 4000; // over which demand is averaged
-    private static final double HEADROOM = 1.25; // so many times the demand is asked for
-    private static final double LONGEST_WAIT_MS = 60_000;
-    private static final double FAILS_MS = 5000; // failures seen count for so long
-    private static final double ANSWERS_MS = 5000;
-    private static final int FAILS = 3; // in a row at an endpoint that are worth telling
-    private static final int SIGNS = 8; // told with one hello
-    private static final int SECONDS = 2; // of counts told with one hello
+    private static final double UPDATE_MS = 250; // interval at which what follows from other relays is recomputed
+    private static final double WALL_SHARE_TTL_MS = 1000; // a share that depends on the wall clock expires after this
+    private static final double DEMAND_WINDOW_MS = 4000; // time constant of the moving average of demand
+    private static final double DEMAND_HEADROOM = 1.25; // how many times the demand is requested of a budget
+    private static final double MAX_WAIT_MS = 60_000;
+    private static final double FAILURES_HOLD_MS = 5000; // how long failures count as evidence
+    private static final double ANSWERS_HOLD_MS = 5000;
+    private static final int MIN_FAILURES = 3; // consecutive failures at an endpoint that are reported to others
+    private static final int SIGNS_PER_HELLO = 8; // sent with one hello
+    private static final int SECONDS_PER_HELLO = 2; // of counts, sent with one hello
     private static final double QUOTA_BURST_MS = 1000;
-    private static final double ASK_MS = 1000;
-    private static final double PATIENCE_MS = 700;
-    private static final double TICKS_IN_SEAL = 8; // of the ledger's clock, so that relays know their sealed span
-    private static final double TICK_PAUSE_MS = 2000;
-    private static final double FORGET_MS = 60_000; // zones that nobody asked for
-    private static final int MOST_PAIRS = 4096;
-    private static final byte[] NOTHING = new byte[0];
-
-    /** What follows for others and for the relay itself. */
+    private static final double FOLLOWER_POLL_MS = 1000;
+    private static final double FOLLOWER_TIMEOUT_MS = 700;
+    private static final double TICKS_PER_SEAL = 8; // of the ledger's clock: relays learn the sealed period in time
+    private static final double PROPOSAL_PAUSE_MS = 2000;
+    private static final double ZONES_TTL_MS = 60_000; // zone lookups that were not used for so long are removed
+    private static final int MAX_ZONE_LOOKUPS = 4096;
+    private static final byte[] EMPTY = new byte[0];
+
+    /** What the fleet's decisions require of the relay. */
     public interface Actions {
-        /** Sends it once, with no promise that it arrives. */
+        /** Sends an envelope once; delivery is not guaranteed. */
         void send(Envelope envelope);
 
-        /** Asks for {@link Fleet#timer} after a while. */
+        /** Requests a call of {@link Fleet#timer} after a delay. */
         void wake(double inMs);
 
-        /** Our share of a destination; -1 for all that are not told apart. */
+        /** Sets our share of a destination's limit; -1 sets that of all destinations without a share of their own. */
         void share(int destination, Share share);
 
-        /** What others say of an endpoint: a wait, and until when it is held to be sick. */
+        /** Evidence of other relays on an endpoint: the end of a requested wait, and until when to avoid it. */
         void warned(String endpoint, double waitUntil, double avoidUntil);
 
-        /** Zones of held messages may have changed: {@link Fleet#terms} is to be asked for each again. */
+        /** The zones of held messages may have changed: {@link Fleet#terms} has to be called for each of them again. */
         void confine();
 
-        /** A line for the operators. */
+        /** Logs a line for the operators. */
         void report(String text);
     }
 
-    /** How much is asked for, averaged. */
-    private static final class Flow {
+    /** The moving average of a demand. */
+    private static final class Demand {
         private double perS;
         private double at = Double.NEGATIVE_INFINITY;
 
         void add(double now) {
-            perS = perS(now) + 1000 / DEMAND_MS;
+            perS = perS(now) + 1000 / DEMAND_WINDOW_MS;
         }
 
         double perS(double now) {
-            perS *= Math.exp(-(now - at) / DEMAND_MS);
+            perS *= Math.exp(-(now - at) / DEMAND_WINDOW_MS);
             at = now;
             return perS;
         }
     }
 
-    /** One destination, and what was told of it. */
-    private static final class Dest {
-        final Flow flow = new Flow();
-        double limit; // calls a second, 0 while none is known
-        Share told;
+    /** A destination and the share last passed to {@link Actions}. */
+    private static final class DestinationState {
+        final Demand demand = new Demand();
+        double limit; // calls per second, 0 while unknown
+        Share lastShare;
     }
 
-    /** What goes to one destination on one booking. */
-    private static final class Way {
-        final BookedLane lane;
-        final Flow flow = new Flow();
+    /** The calls to one destination on one booking. */
+    private static final class BookedCalls {
+        final BookingTokenBucket bucket;
+        final Demand demand = new Demand();
 
-        Way(double now) {
-            lane = new BookedLane(now);
+        BookedCalls(double now) {
+            bucket = new BookingTokenBucket(now);
         }
     }
 
-    /** One endpoint as we have seen it. */
-    private static final class Seen {
-        int fails;
-        double waitTold = Double.NEGATIVE_INFINITY;
-        boolean avoidTold;
+    /** What we know of an endpoint. */
+    private static final class EndpointState {
+        int failures;
+        double waitReported = Double.NEGATIVE_INFINITY;
+        boolean avoidReported;
     }
 
-    private record Pair(String tenant, String messageClass) {}
+    private record TenantClass(String tenant, String messageClass) {}
 
-    private static final class Asked {
+    private static final class ZoneLookup {
         Set<String> zones;
         double at;
     }
 
-    private final class Post implements Outbox {
+    private final class NoteQueue implements Outbox {
         @Override
         public void send(String to, Note note) {
-            post(to, note);
+            enqueue(to, note);
         }
 
         @Override
         public void report(String text) {
-            act.report(text);
+            actions.report(text);
         }
     }
 
     private final Setup setup;
     private final Sharing sharing;
     private final long incarnation;
-    private final Actions act;
+    private final Actions actions;
     private final Gate gate;
     private final Membership members;
     private final Budgets budgets;
     private final CallCounts counts;
-    private final HealthEvidence signs;
+    private final HealthEvidence health;
     private final Contracts contracts;
     private final Residency residency;
     private final Booked booked;
-    private final Ledger ledger; // where we are a voter and something is agreed on
-    private final Follower follower; // elsewhere
+    private final Ledger ledger; // at voters, if there is anything to agree on
+    private final Follower follower; // at other members
     private final Proposer proposer;
-    private final AgreedBookings own = new AgreedBookings(); // of the ledger
-    private Bookings bookings; // as last agreed, null before
-    private final Map<Integer, Dest> dests = new TreeMap<>();
-    private final Map<String, Seen> endpoints = new LinkedHashMap<>();
-    private final Map<Pair, Asked> pairs = new LinkedHashMap<>();
-    private final Map<String, Flow> tenants = new LinkedHashMap<>();
-    private final Map<String, Way> ways = new LinkedHashMap<>(); // by destination and booking
+    private final AgreedBookings agreedBookings = new AgreedBookings(); // the ledger's state machine
+    private Bookings bookings; // as last agreed, null before that
+    private final Map<Integer, DestinationState> destinationStates = new TreeMap<>();
+    private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
+    private final Map<TenantClass, ZoneLookup> zoneLookups = new LinkedHashMap<>();
+    private final Map<String, Demand> tenants = new LinkedHashMap<>();
+    private final Map<String, BookedCalls> bookedCalls = new LinkedHashMap<>(); // by destination and booking
     private final Map<String, List<Note>> outgoing = new LinkedHashMap<>();
     private double now;
-    private double wallAtZero; // epoch ms at zero of our clock
-    private double roundAt = Double.NEGATIVE_INFINITY;
+    private double wallOffset; // wall clock minus our clock
+    private double updateAt = Double.NEGATIVE_INFINITY;
     private double wakeAt = Double.POSITIVE_INFINITY;
-    private double tickAt = Double.NEGATIVE_INFINITY;
-    private double contractsAt = Double.NEGATIVE_INFINITY;
-    private long contractsHeld; // newest version agreed
-    private List<Map<String, Contract>> versions = List.of(); // that are kept of those agreed
+    private double nextTickAt = Double.NEGATIVE_INFINITY;
+    private double nextContractsAt = Double.NEGATIVE_INFINITY;
+    private long contractVersion; // newest agreed version
+    private List<Map<String, Contract>> contractVersions = List.of(); // agreed versions that are kept
     private long agreedVersion;
-    private byte[] agreedState = NOTHING;
-    private byte[] bookingsHeld = NOTHING;
-    private boolean over; // stepped back, or left
+    private byte[] agreedState = EMPTY;
+    private byte[] bookingsState = EMPTY;
+    private boolean stopped; // stepped down, or left
 
     /**
-     * A process that starts.
+     * Creates the state of a process that starts.
      *
-     * @param incarnation higher than that of all processes before it under this name
-     * @param memory      what this voter remembers of the ledger; null at others, and where nothing is agreed on
-     * @param keeper      keeps its changes, null with {@code memory}
-     * @param at          now
-     * @param epochMs     the wall clock now
+     * @param incarnation higher than those of all earlier processes under this name
+     * @param memory      the ledger that this voter has stored; null at other members or if nothing is agreed on
+     * @param keeper      stores changes of the ledger, null if {@code memory} is
+     * @param at          current time
+     * @param epochMs     current wall clock time
      */
     public Fleet(
             Setup setup,
@@ -205,92 +205,94 @@
         this.setup = setup;
         this.sharing = sharing;
         this.incarnation = incarnation;
-        act = actions;
+        this.actions = actions;
         now = at;
-        wallAtZero = epochMs - at;
+        wallOffset = epochMs - at;
         Random random = new Random(seed);
-        Post post = new Post();
+        NoteQueue queue = new NoteQueue();
         gate = new Gate(setup, incarnation);
-        members = new Membership(setup, incarnation, new Random(random.nextLong()), post);
-        budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), post, at, sharing.repeatsEach());
+        members = new Membership(setup, incarnation, new Random(random.nextLong()), queue);
+        budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), queue, at, sharing.repeatsEach());
         counts = new CallCounts(setup, incarnation);
-        signs = new HealthEvidence(
-                setup, incarnation, LONGEST_WAIT_MS, s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
+        health = new HealthEvidence(
+                setup, incarnation, MAX_WAIT_MS, s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
         contracts = new Contracts(
-                setup, at, epochMs, sharing.contractTermMs(), sharing.contracts(), sharing.tenants(), post);
+                setup, at, epochMs, sharing.contractTermMs(), sharing.contracts(), sharing.tenants(), queue);
         residency = new Residency(setup, contracts, at, QUOTA_BURST_MS);
         booked = new Booked(sharing.skewMs());
-        Random ledgers = new Random(random.nextLong());
+        Random ledgerRandom = new Random(random.nextLong());
         if (memory != null) {
             TreeMap<Integer, Agreement> machines = new TreeMap<>();
             machines.put(Agreements.CONTRACTS, new AgreedContracts(2 * sharing.contractTermMs()));
-            machines.put(Agreements.BOOKINGS, own);
+            machines.put(Agreements.BOOKINGS, agreedBookings);
             ledger = new Ledger(
-                    setup, incarnation, memory, keeper, new Agreements(machines), post, ledgers, this::agreed);
+                    setup, incarnation, memory, keeper, new Agreements(machines), queue, ledgerRandom, this::onAgreed);
         } else {
             ledger = null;
         }
         boolean follows = memory == null && sharing.agrees();
-        follower = follows ? new Follower(setup, post, ledgers, this::agreed, ASK_MS, PATIENCE_MS) : null;
-        proposer = follows ? new Proposer(setup, incarnation, post, ledgers) : null;
+        follower = follows
+                ? new Follower(setup, queue, ledgerRandom, this::onAgreed, FOLLOWER_POLL_MS, FOLLOWER_TIMEOUT_MS)
+                : null;
+        proposer = follows ? new Proposer(setup, incarnation, queue, ledgerRandom) : null;
     }
 
     // ---- events ----
 
-    /** Begins to talk. */
+    /** Starts to exchange notes. */
     public void start(double at) {
         now = at;
-        double kept = sharing.bookings() ? 1 - sharing.bookable() : 1;
-        double sure = (double) setup.sure() / Setup.WHOLE * kept;
-        act.share(-1, new Share(sure, Double.POSITIVE_INFINITY, sure, repeats("")));
+        double unbookable = sharing.bookings() ? 1 - sharing.bookable() : 1;
+        double guaranteed = (double) setup.sure() / Setup.WHOLE * unbookable;
+        actions.share(-1, new Share(guaranteed, Double.POSITIVE_INFINITY, guaranteed, availableRetries("")));
         if (ledger != null) {
             ledger.start(at);
         }
-        timer(at, at + wallAtZero);
+        timer(at, at + wallOffset);
     }
 
-    /** The wall clock was read. */
-    private void wall(double epochMs) {
-        wallAtZero = epochMs - now;
+    /** Sets the wall clock. */
+    private void setWallClock(double epochMs) {
+        wallOffset = epochMs - now;
         contracts.wall(now, epochMs);
     }
 
-    private long wall() {
-        return (long) (now + wallAtZero);
+    private long wallNow() {
+        return (long) (now + wallOffset);
     }
 
     /**
-     * Something came from another relay.
+     * An envelope of another relay has arrived.
      *
-     * @throws Fault if it is not acted on; it is counted
+     * @throws Fault if it is dropped; {@link #drops} counts it
      */
     public void heard(double at, Envelope envelope) {
         now = Math.max(now, at);
         try {
             for (Note note : gate.pass(envelope)) {
-                heard(envelope, note);
+                dispatchSafely(envelope, note);
             }
         } catch (Fault.NameTaken taken) {
-            stepBack();
+            stepDown();
             throw taken;
         } finally {
-            after();
+            flush();
         }
     }
 
-    /** One note that cannot be used does not take the others of its envelope along. */
-    private void heard(Envelope envelope, Note note) {
+    /** An invalid note does not affect the others of its envelope. */
+    private void dispatchSafely(Envelope envelope, Note note) {
         try {
-            heard(envelope.from(), envelope.incarnation(), note);
+            dispatch(envelope.from(), envelope.incarnation(), note);
         } catch (Fault fault) {
             gate.dropped(fault);
         }
     }
 
-    private void heard(String from, long sender, Note note) {
+    private void dispatch(String from, long sender, Note note) {
         members.heard(now, from, sender, note);
         if (note instanceof Note.Signs n) {
-            signs.merge(now, from, n);
+            health.merge(now, from, n);
         } else if (note instanceof Note.Counts n) {
             counts.merge(now, n);
         } else if (note instanceof Note.StandingAsk
@@ -316,25 +318,25 @@
         }
     }
 
-    /** Bytes came that are nothing to act on. */
+    /** Bytes arrived that could not be decoded. */
     public void dropped(Fault fault) {
         gate.dropped(fault);
     }
 
-    /** What was dropped so far, by the code of its fault. */
+    /** Number of envelopes and notes dropped so far, by the code of the fault. */
     public Map<String, Long> drops() {
         return gate.counts();
     }
 
-    /** A wake-up that was asked for, or any other moment; {@code epochMs} by the wall clock. */
+    /** Does what is due; may be called at any time. {@code epochMs} is the wall clock time. */
     public void timer(double at, double epochMs) {
         now = Math.max(now, at);
-        wall(epochMs);
+        setWallClock(epochMs);
         if (now >= wakeAt) {
             wakeAt = Double.POSITIVE_INFINITY;
         }
         double next = Math.min(members.timer(now), budgets.timer(now));
-        signs.timer(now);
+        health.timer(now);
         contracts.timer(now);
         if (ledger != null) {
             ledger.timer(now);
@@ -344,16 +346,16 @@
             proposer.timer(now);
             next = Math.min(next, Math.min(follower.wakeAt(), proposer.wakeAt()));
         }
-        round();
-        wake(Math.min(Math.min(next, roundAt), toldUntil()));
-        after();
+        update();
+        wake(Math.min(Math.min(next, updateAt), nextShareExpiry()));
+        flush();
     }
 
-    /** When the first share that was told ends: what holds from then on is told at once. */
-    private double toldUntil() {
-        return dests.values().stream()
-                .filter(d -> d.told != null && d.told.until() > now)
-                .mapToDouble(d -> d.told.until())
+    /** When the first of the current shares expires: what applies from then on has to be passed on at once. */
+    private double nextShareExpiry() {
+        return destinationStates.values().stream()
+                .filter(state -> state.lastShare != null && state.lastShare.until() > now)
+                .mapToDouble(state -> state.lastShare.until())
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
@@ -361,33 +363,33 @@
     private void wake(double at) {
         if (at < wakeAt) {
             wakeAt = at;
-            act.wake(Math.max(0, at - now));
+            actions.wake(Math.max(0, at - now));
         }
     }
 
-    /** Before each round of the relay's own decisions: a process that was stopped must not go by what it knew. */
+    /** To be called before each round of the relay's own decisions, as a paused process must not use outdated state. */
     public void refresh(double at, double epochMs) {
-        if (at >= roundAt) {
+        if (at >= updateAt) {
             timer(at, epochMs);
         } else {
             now = Math.max(now, at);
-            confine(); // contracts may just have ceased to be confirmed
+            recheckZones(); // the confirmation of contracts may just have expired
         }
     }
 
-    private void round() {
-        if (now < roundAt) {
+    private void update() {
+        if (now < updateAt) {
             return;
         }
-        roundAt = now + ROUND_MS;
+        updateAt = now + UPDATE_MS;
         budgets.alive(new LinkedHashSet<>(members.alive()));
-        dests.forEach((number, d) -> need(budget(number), d.flow, d.limit));
-        ways();
-        quotas();
-        tick();
-        propose();
-        tell();
-        confine();
+        destinationStates.forEach((number, state) -> updateNeed(budget(number), state.demand, state.limit));
+        updateBookings();
+        updateQuotas();
+        proposeTick();
+        proposeContracts();
+        publish();
+        recheckZones();
     }
 
     private static String budget(int destination) {
@@ -398,40 +400,41 @@
         return "b:" + booking;
     }
 
-    /** @param whole calls a second that the whole budget is worth, 0 if unknown */
-    private void need(String budget, Flow flow, double whole) {
+    /** @param whole calls per second of the whole budget, 0 if unknown */
+    private void updateNeed(String budget, Demand demand, double whole) {
         if (whole > 0) {
-            budgets.need(now, budget, (int) Math.min(Setup.WHOLE, HEADROOM * flow.perS(now) / whole * Setup.WHOLE));
+            budgets.need(
+                    now, budget, (int) Math.min(Setup.WHOLE, DEMAND_HEADROOM * demand.perS(now) / whole * Setup.WHOLE));
         }
     }
 
-    // ---- what happens to messages ----
+    // ---- messages and calls ----
 
-    /** A message for a destination was handed in. */
+    /** A message for a destination was accepted. */
     public void taken(double at, int destination) {
-        Dest d = dests.get(destination);
-        if (d != null) {
+        DestinationState state = destinationStates.get(destination);
+        if (state != null) {
             now = Math.max(now, at);
-            d.flow.add(now);
+            state.demand.add(now);
         }
     }
 
-    /** The destinations and endpoints that are listed now; all others are forgotten. */
-    public void listed(double at, Set<Integer> destinations, Set<String> names) {
+    /** Sets the destinations and endpoints that are listed; all others are removed. */
+    public void listed(double at, Set<Integer> destinations, Set<String> endpointNames) {
         now = Math.max(now, at);
-        dests.keySet().retainAll(destinations);
-        destinations.forEach(d -> dests.computeIfAbsent(d, k -> new Dest()));
-        endpoints.keySet().retainAll(names);
-        names.forEach(e -> endpoints.computeIfAbsent(e, k -> new Seen()));
-        roundAt = Math.min(roundAt, now);
+        destinationStates.keySet().retainAll(destinations);
+        destinations.forEach(d -> destinationStates.computeIfAbsent(d, k -> new DestinationState()));
+        endpoints.keySet().retainAll(endpointNames);
+        endpointNames.forEach(e -> endpoints.computeIfAbsent(e, k -> new EndpointState()));
+        updateAt = Math.min(updateAt, now);
         wake(now);
     }
 
-    /** A call is made. */
-    public void called(double at, int destination, boolean repeat) {
+    /** A call has started. */
+    public void called(double at, int destination, boolean retry) {
         now = Math.max(now, at);
         String name = String.valueOf(destination);
-        if (!repeat) {
+        if (!retry) {
             budgets.onFirstAttempt(name);
         } else if (sharing.repeatsEach() > 0) {
             budgets.spendRetry(name);
@@ -442,10 +445,10 @@
     /**
      * A call has ended.
      *
-     * @param answered whether the endpoint has answered it with a delivery
-     * @param failed   whether it failed, reset, did not connect or was not answered in time
-     * @param waitMs   the wait that was told, 0 if none
-     * @param limit    the limit that was reported, calls a second; NaN if none
+     * @param answered whether the endpoint confirmed the delivery
+     * @param failed   whether it failed, was reset, did not connect or timed out
+     * @param waitMs   the wait that the endpoint requested, 0 if none
+     * @param limit    the limit that it reported, calls per second; NaN if none
      */
     public void ended(
             double at,
@@ -456,80 +459,86 @@
             double waitMs,
             double limit) {
         now = Math.max(now, at);
-        Dest d = dests.get(destination);
-        if (d != null && limit > 0) {
-            d.limit = limit;
+        DestinationState state = destinationStates.get(destination);
+        if (state != null && limit > 0) {
+            state.limit = limit;
         }
-        Seen e = endpoints.get(endpoint);
-        if (e == null) {
+        EndpointState endpointState = endpoints.get(endpoint);
+        if (endpointState == null) {
             return;
         }
         String subject = "e:" + endpoint;
         if (waitMs > 0) {
-            signs.observe(now, subject, Note.Sight.WAIT, 1, Math.min(waitMs, LONGEST_WAIT_MS));
+            health.observe(now, subject, Note.Sight.WAIT, 1, Math.min(waitMs, MAX_WAIT_MS));
         }
         if (answered) {
-            e.fails = 0;
-            signs.observe(now, subject, Note.Sight.ANSWERS, 1, ANSWERS_MS);
-        } else if (failed && ++e.fails >= FAILS) {
-            signs.observe(now, subject, Note.Sight.FAILS, e.fails, FAILS_MS);
+            endpointState.failures = 0;
+            health.observe(now, subject, Note.Sight.ANSWERS, 1, ANSWERS_HOLD_MS);
+        } else if (failed && ++endpointState.failures >= MIN_FAILURES) {
+            health.observe(now, subject, Note.Sight.FAILS, endpointState.failures, FAILURES_HOLD_MS);
         }
         if (!answered && sharing.repeatsEach() > 0 && budgets.availableRetries(String.valueOf(destination)) == 0) {
             budgets.requestRetries(String.valueOf(destination));
         }
     }
 
-    // ---- what follows for the relay's own decisions ----
+    // ---- results for the relay's own decisions ----
 
-    private int repeats(String destination) {
+    private int availableRetries(String destination) {
         return sharing.repeatsEach() > 0 ? budgets.availableRetries(destination) : Integer.MAX_VALUE;
     }
 
-    private void tell() {
-        dests.forEach((number, d) -> {
-            Share share = share(number, d);
-            if (!share.equals(d.told)) {
-                d.told = share;
-                act.share(number, share);
+    private void publish() {
+        destinationStates.forEach((number, state) -> {
+            Share share = share(number, state);
+            if (!share.equals(state.lastShare)) {
+                state.lastShare = share;
+                actions.share(number, share);
             }
         });
-        endpoints.forEach((name, e) -> {
-            double wait = signs.waitUntil(now, "e:" + name);
-            boolean avoid = signs.isDown(now, "e:" + name);
-            if (wait > Math.max(now, e.waitTold) || avoid || e.avoidTold) {
-                e.waitTold = Math.max(wait, e.waitTold);
-                e.avoidTold = avoid;
-                act.warned(name, wait, avoid ? now + 2 * ROUND_MS : Double.NEGATIVE_INFINITY);
+        endpoints.forEach((name, state) -> {
+            double wait = health.waitUntil(now, "e:" + name);
+            boolean avoid = health.isDown(now, "e:" + name);
+            if (wait > Math.max(now, state.waitReported) || avoid || state.avoidReported) {
+                state.waitReported = Math.max(wait, state.waitReported);
+                state.avoidReported = avoid;
+                actions.warned(name, wait, avoid ? now + 2 * UPDATE_MS : Double.NEGATIVE_INFINITY);
             }
         });
     }
 
-    private Share share(int number, Dest d) {
-        Allocation p = budgets.allocation(now, budget(number));
-        int left = repeats(String.valueOf(number));
-        double parts = (double) p.parts() / Setup.WHOLE;
-        double sure = (double) p.guaranteed() / Setup.WHOLE;
+    private Share share(int number, DestinationState state) {
+        Allocation allocation = budgets.allocation(now, budget(number));
+        int retriesLeft = availableRetries(String.valueOf(number));
+        double parts = (double) allocation.parts() / Setup.WHOLE;
+        double guaranteed = (double) allocation.guaranteed() / Setup.WHOLE;
         if (!sharing.bookings()) {
-            return new Share(parts, p.until(), sure, left);
-        }
-        double kept = 1 - sharing.bookable();
-        double ordinary = d.limit > 0 ? booked.ordinary(wall(), number, d.limit, sharing.bookable()) / d.limit : kept;
-        double borrowed = d.limit > 0
-                ? booked.borrowed(now, wall(), number, id -> budgets.allocation(now, budget(id))
+            return new Share(parts, allocation.until(), guaranteed, retriesLeft);
+        }
+        double unbookable = 1 - sharing.bookable();
+        double ordinary = state.limit > 0
+                ? booked.ordinary(wallNow(), number, state.limit, sharing.bookable()) / state.limit
+                : unbookable;
+        double borrowed = state.limit > 0
+                ? booked.borrowed(now, wallNow(), number, id -> budgets.allocation(now, budget(id))
                                 .parts())
-                        / d.limit
+                        / state.limit
                 : 0;
-        return new Share(parts * ordinary + borrowed, Math.min(p.until(), now + FRESH_MS), sure * kept, left);
+        return new Share(
+                parts * ordinary + borrowed,
+                Math.min(allocation.until(), now + WALL_SHARE_TTL_MS),
+                guaranteed * unbookable,
+                retriesLeft);
     }
 
     // ---- tenants ----
 
     /**
-     * Whether a message may be taken, and what binds it then. Nothing of it may be stored before.
+     * Decides whether a message may be accepted, and returns its constraints. Nothing of it may be stored before.
      *
-     * @param tenant  as the client names it, or null
-     * @param booking what it is to draw on, or null
-     * @throws Fault why it is not taken
+     * @param tenant  the tenant that the client named, or null
+     * @param booking the booking to use, or null
+     * @throws Fault if the message is rejected
      */
     public Terms admit(double at, String tenant, String messageClass, int destination, String booking) {
         now = Math.max(now, at);
@@ -537,137 +546,140 @@
             throw new Fault.UnknownBooking(booking);
         }
         if (tenant != null && contracts.names(tenant)) {
-            tenants.computeIfAbsent(tenant, t -> new Flow()).add(now); // also what is over quota is wanted
+            tenants.computeIfAbsent(tenant, t -> new Demand()).add(now); // demand includes what exceeds the quota
         }
-        if (booking != null && booked.team(booking) == null && booked.covers(wall())) {
+        if (booking != null && booked.team(booking) == null && booked.covers(wallNow())) {
             throw new Fault.UnknownBooking(booking);
         }
         Optional<Set<String>> zones = residency.admit(now, tenant, messageClass);
-        Lane lane = booking == null ? null : lane(booking, destination);
-        if (ways.containsKey(way(booking, destination))) {
-            ways.get(way(booking, destination)).flow.add(now);
+        Lane lane = booking == null ? null : bucketOf(booking, destination);
+        if (bookedCalls.containsKey(bookedCallsKey(booking, destination))) {
+            bookedCalls.get(bookedCallsKey(booking, destination)).demand.add(now);
             booked.used(now, booking, destination, 1);
         }
-        zones.ifPresent(z -> remember(tenant, messageClass, z));
+        zones.ifPresent(z -> rememberZones(tenant, messageClass, z));
         return new Terms(zones.orElse(null), lane);
     }
 
-    /** What binds a message that is held. */
+    /** The constraints of a message that was accepted before. */
     public Terms terms(double at, String tenant, String messageClass, int destination, String booking) {
         now = Math.max(now, at);
         Optional<Set<String>> zones = residency.zones(now, tenant, messageClass);
-        zones.ifPresent(z -> remember(tenant, messageClass, z));
-        return new Terms(zones.orElse(null), booking == null ? null : lane(booking, destination));
+        zones.ifPresent(z -> rememberZones(tenant, messageClass, z));
+        return new Terms(zones.orElse(null), booking == null ? null : bucketOf(booking, destination));
     }
 
-    private void remember(String tenant, String messageClass, Set<String> zones) {
-        if (pairs.size() < MOST_PAIRS || pairs.containsKey(new Pair(tenant, messageClass))) {
-            Asked a = pairs.computeIfAbsent(new Pair(tenant, messageClass), p -> new Asked());
-            a.zones = zones;
-            a.at = now;
+    private void rememberZones(String tenant, String messageClass, Set<String> zones) {
+        if (zoneLookups.size() < MAX_ZONE_LOOKUPS || zoneLookups.containsKey(new TenantClass(tenant, messageClass))) {
+            ZoneLookup lookup =
+                    zoneLookups.computeIfAbsent(new TenantClass(tenant, messageClass), key -> new ZoneLookup());
+            lookup.zones = zones;
+            lookup.at = now;
         }
     }
 
-    private void confine() {
+    private void recheckZones() {
         boolean changed = false;
-        for (Map.Entry<Pair, Asked> e : pairs.entrySet()) {
+        for (Map.Entry<TenantClass, ZoneLookup> e : zoneLookups.entrySet()) {
             Set<String> zones = residency
                     .zones(now, e.getKey().tenant(), e.getKey().messageClass())
                     .orElse(null);
             changed |= !e.getValue().zones.equals(zones);
         }
-        pairs.values().removeIf(a -> now - a.at > FORGET_MS);
+        zoneLookups.values().removeIf(lookup -> now - lookup.at > ZONES_TTL_MS);
         if (changed) {
-            pairs.clear(); // those that are still held are asked for again
-            act.confine();
+            zoneLookups.clear(); // those still in use are looked up again
+            actions.confine();
         }
     }
 
-    private void quotas() {
+    private void updateQuotas() {
         tenants.keySet().removeIf(t -> !contracts.names(t));
-        tenants.forEach((tenant, flow) -> {
+        tenants.forEach((tenant, demand) -> {
             String budget = Residency.budget(tenant);
-            need(budget, flow, contracts.quota(tenant));
-            Allocation p = budgets.allocation(now, budget);
-            residency.part(now, tenant, p.parts(), p.until(), p.guaranteed());
+            updateNeed(budget, demand, contracts.quota(tenant));
+            Allocation allocation = budgets.allocation(now, budget);
+            residency.part(now, tenant, allocation.parts(), allocation.until(), allocation.guaranteed());
         });
     }
 
     // ---- bookings ----
 
-    private static String way(String booking, int destination) {
+    private static String bookedCallsKey(String booking, int destination) {
         return destination + " " + booking;
     }
 
-    /** A lane that is shut where nothing is known of the booking here. */
-    private Lane lane(String booking, int destination) {
+    /** The token bucket of a booking; one that stays empty if the booking is unknown here. */
+    private Lane bucketOf(String booking, int destination) {
         if (booked.team(booking) == null) {
-            return new BookedLane(now);
+            return new BookingTokenBucket(now);
         }
-        Way way = ways.computeIfAbsent(way(booking, destination), k -> new Way(now));
-        told(way.lane, booking, destination);
-        return way.lane;
+        BookedCalls calls =
+                bookedCalls.computeIfAbsent(bookedCallsKey(booking, destination), k -> new BookedCalls(now));
+        updateBucket(calls.bucket, booking, destination);
+        return calls.bucket;
     }
 
-    private void ways() {
-        ways.keySet().removeIf(k -> booked.team(k.substring(k.indexOf(' ') + 1)) == null);
-        ways.forEach((key, way) -> {
+    private void updateBookings() {
+        bookedCalls.keySet().removeIf(k -> booked.team(k.substring(k.indexOf(' ') + 1)) == null);
+        bookedCalls.forEach((key, calls) -> {
             int space = key.indexOf(' ');
             int destination = Integer.parseInt(key.substring(0, space));
             String booking = key.substring(space + 1);
-            long sent = way.lane.sent();
+            long sent = calls.bucket.takeSent();
             if (sent > 0) {
                 counts.add(now, budget(booking), sent);
             }
-            need(budget(booking), way.flow, booked.calls(booking, destination));
-            told(way.lane, booking, destination);
+            updateNeed(budget(booking), calls.demand, booked.calls(booking, destination));
+            updateBucket(calls.bucket, booking, destination);
         });
     }
 
-    private void told(BookedLane lane, String booking, int destination) {
-        Allocation p = budgets.allocation(now, budget(booking));
-        double rate = booked.rate(wall(), booking, booked.team(booking), destination, p.parts());
-        lane.told(now, rate, Math.min(p.until(), now + FRESH_MS));
+    private void updateBucket(BookingTokenBucket bucket, String booking, int destination) {
+        Allocation allocation = budgets.allocation(now, budget(booking));
+        double rate = booked.rate(wallNow(), booking, booked.team(booking), destination, allocation.parts());
+        bucket.setRate(now, rate, Math.min(allocation.until(), now + WALL_SHARE_TTL_MS));
     }
 
-    /** The ledger's time goes on only with operations: its leader sees to that, often enough for what is sealed. */
-    private void tick() {
-        if (ledger == null || !ledger.leads() || now < tickAt || !sharing.bookings()) {
+    /** The ledger's clock advances only with operations: the leader proposes them often enough for sealing bookings. */
+    private void proposeTick() {
+        if (ledger == null || !ledger.leads() || now < nextTickAt || !sharing.bookings()) {
             return;
         }
-        Bookings b = own.bookings();
-        double due = b.time() + b.rules().sealBeforeMs() / TICKS_IN_SEAL;
-        if (b.time() == 0 || wall() >= Math.min(b.nextMs(), due)) {
-            tickAt = now + TICK_PAUSE_MS;
-            ledger.propose(now, AgreedBookings.operation(wall(), new Operation.Tick()), o -> {});
+        Bookings b = agreedBookings.bookings();
+        double due = b.time() + b.rules().sealBeforeMs() / TICKS_PER_SEAL;
+        if (b.time() == 0 || wallNow() >= Math.min(b.nextMs(), due)) {
+            nextTickAt = now + PROPOSAL_PAUSE_MS;
+            ledger.propose(now, AgreedBookings.operation(wallNow(), new Operation.Tick()), o -> {});
         }
     }
 
-    /** Contracts of the settings file that follow the agreed ones are proposed by the leader. */
-    private void propose() {
+    /** The leader proposes the contracts of the settings file if they are the next version after the agreed ones. */
+    private void proposeContracts() {
         if (ledger == null
                 || !ledger.leads()
-                || now < contractsAt
+                || now < nextContractsAt
                 || !sharing.tenants()
-                || sharing.contractVersion() != contractsHeld + 1) {
+                || sharing.contractVersion() != contractVersion + 1) {
             return;
         }
-        contractsAt = now + TICK_PAUSE_MS;
+        nextContractsAt = now + PROPOSAL_PAUSE_MS;
         try {
-            Contract.follows(versions, sharing.contracts());
+            Contract.follows(contractVersions, sharing.contracts());
         } catch (Fault fault) {
-            contractsAt = Double.POSITIVE_INFINITY; // until a start with other ones
-            act.report(fault.line());
+            nextContractsAt = Double.POSITIVE_INFINITY; // until a restart with other contracts
+            actions.report(fault.line());
             return;
         }
         ledger.propose(
                 now,
-                AgreedContracts.put(contractsHeld, wall(), ContractTexts.write(sharing.contracts())),
-                o -> act.report("contracts, version " + sharing.contractVersion() + ": " + ContractTexts.told(o)));
+                AgreedContracts.put(contractVersion, wallNow(), ContractJson.write(sharing.contracts())),
+                o -> actions.report(
+                        "contracts, version " + sharing.contractVersion() + ": " + ContractJson.describe(o)));
     }
 
-    /** Something is agreed, or what is held was confirmed. */
-    private void agreed(long version, byte[] state, boolean sure, double askedAt) {
+    /** A new state was agreed, or the current one was confirmed. */
+    private void onAgreed(long version, byte[] state, boolean confirmed, double askedAt) {
         if (state.length == 0) {
             return;
         }
@@ -676,34 +688,34 @@
         Map<Integer, byte[]> parts = Agreements.parts(state);
         List<Map<String, Contract>> all = new ArrayList<>();
         for (AgreedContracts.Version v : AgreedContracts.read(parts.get(Agreements.CONTRACTS))) {
-            all.add(ContractTexts.read(v.contracts()));
+            all.add(ContractJson.read(v.contracts()));
             contracts.agreed(now, v.number(), all.get(all.size() - 1), true);
-            contractsHeld = Math.max(contractsHeld, v.number());
+            contractVersion = Math.max(contractVersion, v.number());
         }
-        versions = all;
-        if (sure) {
-            contracts.confirmed(now, askedAt, contractsHeld);
+        contractVersions = all;
+        if (confirmed) {
+            contracts.confirmed(now, askedAt, contractVersion);
         }
         byte[] bytes = parts.get(Agreements.BOOKINGS);
-        if (sharing.bookings() && !Arrays.equals(bytes, bookingsHeld)) {
-            bookingsHeld = bytes;
+        if (sharing.bookings() && !Arrays.equals(bytes, bookingsState)) {
+            bookingsState = bytes;
             bookings = Bookings.restore(bytes);
             booked.agreed(bookings.sealedSet(bookings.time()));
         }
-        roundAt = Math.min(roundAt, now);
+        updateAt = Math.min(updateAt, now);
     }
 
-    /** Whether this voter leads the others as far as it knows. */
+    /** Whether this voter is the leader as far as it knows. */
     public boolean leads() {
         return ledger != null && ledger.leads();
     }
 
-    /** Version of what is agreed, as far as it is known here; 0 before the first. */
+    /** Version of the newest agreed state known here; 0 if none. */
     public long agreedVersion() {
         return agreedVersion;
     }
 
-    /** What is agreed, as {@link Agreements#parts} reads it; empty before the first. */
+    /** The agreed state, to be read by {@link Agreements#parts}; empty if none. */
     public byte[] agreedState() {
         return agreedState.clone();
     }
@@ -717,31 +729,31 @@
         return Operations.show(b);
     }
 
-    /** Calls on a booking over the fleet in the last span of time, and from how many relays that is known. */
+    /** Calls on a booking of the whole fleet in the last {@code spanMs}, and how many relays reported them. */
     public Total used(double at, String id, double spanMs) {
         return counts.total(Math.max(now, at), budget(id), spanMs);
     }
 
     /**
-     * Has operations on bookings agreed on, one after the other.
+     * Proposes operations on bookings, one after the other.
      *
-     * @param done is told what came of the last one, or of the first that was refused
-     * @throws Fault.NotNow where nothing is agreed on here
+     * @param done receives the outcome of the last one, or of the first that was not agreed
+     * @throws Fault.NotNow if bookings are disabled or this process has stopped
      */
     public void book(double at, List<Operation> operations, Consumer<Outcome> done) {
         now = Math.max(now, at);
-        if (!sharing.bookings() || over) {
-            throw new Fault.NotNow(LONGEST_WAIT_MS);
+        if (!sharing.bookings() || stopped) {
+            throw new Fault.NotNow(MAX_WAIT_MS);
         }
-        book(operations, 0, done);
-        after();
+        propose(operations, 0, done);
+        flush();
     }
 
-    private void book(List<Operation> operations, int next, Consumer<Outcome> done) {
-        byte[] operation = AgreedBookings.operation(wall(), operations.get(next));
+    private void propose(List<Operation> operations, int next, Consumer<Outcome> done) {
+        byte[] operation = AgreedBookings.operation(wallNow(), operations.get(next));
         Consumer<Outcome> then = o -> {
             if (o instanceof Outcome.Agreed && next + 1 < operations.size()) {
-                book(operations, next + 1, done);
+                propose(operations, next + 1, done);
             } else {
                 done.accept(o);
             }
@@ -754,11 +766,11 @@
         wake(now);
     }
 
-    // ---- end ----
+    // ---- shutdown ----
 
-    private void stepBack() {
-        if (!over) {
-            over = true;
+    private void stepDown() {
+        if (!stopped) {
+            stopped = true;
             members.nameTaken();
             budgets.stepDown(now);
             if (ledger != null) {
@@ -767,59 +779,59 @@
         }
     }
 
-    /** The process ends in order: what it holds goes back at once, the others are told. */
+    /** The process shuts down in order: what it holds is released at once, and the others are notified. */
     public void leave(double at) {
         now = Math.max(now, at);
-        if (!over) {
-            over = true;
+        if (!stopped) {
+            stopped = true;
             budgets.leave(now);
             if (ledger != null) {
                 ledger.leave(now);
             }
             members.leave();
-            after();
+            flush();
         }
     }
 
-    // ---- notes on their way out ----
+    // ---- outgoing notes ----
 
-    private void post(String to, Note note) {
+    private void enqueue(String to, Note note) {
         List<Note> notes = outgoing.computeIfAbsent(to, k -> new ArrayList<>());
         notes.add(note);
         if (note instanceof Note.Hello || note instanceof Note.HelloBack) {
-            List<Note.Sign> told = signs.nextToSend(now, SIGNS);
-            if (!told.isEmpty()) {
-                notes.add(new Note.Signs(told));
+            List<Note.Sign> signs = health.nextToSend(now, SIGNS_PER_HELLO);
+            if (!signs.isEmpty()) {
+                notes.add(new Note.Signs(signs));
             }
-            Note.Counts counted = counts.recent(now, SECONDS);
-            if (!counted.counts().isEmpty()) {
-                notes.add(counted);
+            Note.Counts callCounts = counts.recent(now, SECONDS_PER_HELLO);
+            if (!callCounts.counts().isEmpty()) {
+                notes.add(callCounts);
             }
         }
     }
 
-    /** Notes of one event to one member travel together. */
-    private void after() {
-        tell(); // parts that a note lends or gives back are used no more before it goes out
+    /** Sends all notes of one event to one member in one envelope. */
+    private void flush() {
+        publish(); // parts that a note lends or returns must be out of use before it is sent
         Map<String, List<Note>> all = new LinkedHashMap<>(outgoing);
         outgoing.clear();
-        all.forEach((to, notes) -> act.send(new Envelope(
+        all.forEach((to, notes) -> actions.send(new Envelope(
                 setup.fleet(), Envelope.VERSION, setup.self(), incarnation, to, gate.seen(to), List.copyOf(notes))));
     }
 
-    /** How many members are held to be there, ourselves with them. */
-    public int alive() {
+    /** How many members are considered alive, including this one. */
+    public int liveMembers() {
         return members.alive().size() + 1;
     }
 
-    /** Whether a majority of the voters is heard. */
-    public boolean stands(double at) {
+    /** Whether a majority of the voters is reachable. */
+    public boolean hasQuorum(double at) {
         return budgets.holdsOwnLease(Math.max(now, at));
     }
 
-    /** Whether another process has taken our name, or ours has left. */
-    public boolean isOver() {
-        return over;
+    /** Whether this process has stepped down, because a later one has its name, or has left. */
+    public boolean isStopped() {
+        return stopped;
     }
 
     /** What may be used of a destination's limit now. */
--- a/src/main/java/firstair/fleet/Outbox.java
+++ b/src/main/java/firstair/fleet/Outbox.java
@@ -2,11 +2,11 @@
 
 import firstair.fleet.talk.Note;
 
-/** How decisions of the fleet reach others. */
+/** Where the fleet's decisions send notes and reports. */
 public interface Outbox {
-    /** Sends a note to a member, once, with no promise that it arrives. */
+    /** Sends a note to a member once; delivery is not guaranteed. */
     void send(String to, Note note);
 
-    /** A line for the operators. */
+    /** Logs a line for the operators. */
     void report(String text);
 }
--- a/src/main/java/firstair/fleet/Setup.java
+++ b/src/main/java/firstair/fleet/Setup.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * What a relay is told of its fleet; all relays are told the same but for {@code self} and {@code zone}.
+ * The configuration of a fleet, identical at all relays except for {@code self} and {@code zone}.
  *
  * @param fleet   name of the fleet
  * @param self    our name, one of {@code members}
  * @param zone    our zone
  * @param members names of all relays, in the same order everywhere
- * @param voters  3 or 5 of them, who agree on contracts and bookings and grant standings
+ * @param voters  3 or 5 of the members, which agree on contracts and bookings and grant leases
  * @param helloMs pause between hellos
- * @param quietMs a relay that has heard no majority of the voters for so long uses its cut part only
- * @param delayMs longest time that a note may be under way and still count
- * @param drift   clocks run faster or slower by this share at most
- * @param cut     share of its even part that a relay uses where it hears nobody
+ * @param quietMs term of a lease: a relay that has not reached a majority of the voters for so long uses only its
+ *                guaranteed parts
+ * @param delayMs longest time that a note may be in transit and still count
+ * @param drift   largest relative error of a clock's rate
+ * @param cut     fraction of its equal share that is guaranteed to a relay, also while it is isolated
  */
 public record Setup(
         String fleet,
@@ -27,20 +28,20 @@
         double delayMs,
         double drift,
         double cut) {
-    /** A whole budget in parts; parts are whole numbers, so that sums are exact. */
+    /** The parts of a whole budget; parts are integers, so that sums are exact. */
     public static final int WHOLE = 1_000_000;
 
-    /** How many voters are a majority. */
+    /** The number of voters that form a majority. */
     public int majority() {
         return voters.size() / 2 + 1;
     }
 
-    /** The even part of a budget, parts. */
+    /** The equal share of one relay in a budget, in parts. */
     public int even() {
         return WHOLE / members.size();
     }
 
-    /** What a relay may use of a budget whatever it hears, parts. */
+    /** The parts of a budget that a relay may always use, whatever notes arrive. */
     public int sure() {
         return (int) (even() * cut);
     }
--- a/src/main/java/firstair/fleet/Terms.java
+++ b/src/main/java/firstair/fleet/Terms.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * What binds a message beyond its class.
+ * The constraints of a message in addition to those of its class.
  *
- * @param zones names of the zones in which it may be sent, or null for all
- * @param lane  what was booked for it, or null
+ * @param zones names of the zones to which it may be sent, or null for all
+ * @param lane  rate limit of its booking, or null if it has none
  */
 public record Terms(Set<String> zones, Lane lane) {}
--- a/src/main/java/firstair/fleet/package-info.java
+++ b/src/main/java/firstair/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** What relays share: decisions without I/O, clock, thread or randomness of their own (docs/fleet.md). */
+/** State that relays share. The code does no I/O and has no clock, thread or randomness of its own (docs/fleet.md). */
 package firstair.fleet;
