--- a/src/main/java/firstair/fleet/ledger/AgreedContracts.java
+++ b/src/main/java/firstair/fleet/ledger/AgreedContracts.java
@@ -5,102 +5,103 @@
 import java.util.List;
 
 /**
- * The versions of the contracts, as the voters agree on them. What a contract says is not read here: a version is a
- * list of texts (one JSON object each). A new version counts only if it names the version that it follows, so that
- * of two written at the same time one is refused.
+ * Replicated state machine for the versions of the contracts. Contracts are opaque here: a version is a list of texts
+ * (one JSON object each). A new version is accepted only if it names the current version as its predecessor, so that
+ * one of two concurrent updates is rejected.
  *
- * <p>Versions that have been followed by another one are kept for a span, because relays that could not confirm the
- * newest act by the strictest that they know. Moments are those that the operations tell, from the wall clock of
- * whoever proposed, and never run back here; as such a clock may be wrong, {@value #LEAST} versions stay whatever
- * their age, and at most {@value #MOST}.
+ * <p>Superseded versions are retained for a while, because relays that could not confirm the newest version apply the
+ * strictest that they know. Timestamps come with the operations, from the wall clock of the proposer, and are made
+ * monotonic here. As such a clock may be wrong, at least {@value #MIN_VERSIONS} versions are kept whatever their age,
+ * and at most {@value #MAX_VERSIONS}.
  */
 public final class AgreedContracts implements Agreement {
-    static final int LEAST = 8;
-    static final int MOST = 64;
+    static final int MIN_VERSIONS = 8;
+    static final int MAX_VERSIONS = 64;
 
     /**
-     * Contracts that were agreed together.
+     * One committed version of all contracts.
      *
      * @param number    1 for the first, then one more each
-     * @param atMs      when, milliseconds since 1970 by the clock of who proposed them; never lower than of the one
-     *                  before
+     * @param atMs      when it was proposed, milliseconds since 1970 by the proposer's clock; never less than for the
+     *                  previous version
      * @param contracts one text each, in the order in which they were proposed
      */
     public record Version(long number, long atMs, List<String> contracts) {}
 
     /**
-     * What came of a {@link #put}.
+     * The result of a {@link #put}.
      *
-     * @param taken   whether it is in force
-     * @param version the number in force: its own, or that of the version that it did not name
+     * @param taken   whether the new version was accepted
+     * @param version the number in force: the new one, or the current one if the put named another predecessor
      */
     public record Put(boolean taken, long version) {}
 
-    private final double keepMs;
+    private final double retentionMs;
     private List<Version> versions = List.of();
 
-    /** @param keepMs how long a version that has been followed is kept, ms; the same at all voters */
-    public AgreedContracts(double keepMs) {
-        this.keepMs = keepMs;
+    /** @param retentionMs how long a superseded version is kept, ms; must be the same at all voters */
+    public AgreedContracts(double retentionMs) {
+        this.retentionMs = retentionMs;
     }
 
-    /** The operation that puts contracts in force if the version before is the one named; 0 if there is none yet. */
+    /** Encodes the operation that makes contracts current if version {@code follows} is; 0 if there is none yet. */
     public static byte[] put(long follows, long atMs, List<String> contracts) {
         return Agreements.operation(
                 Agreements.CONTRACTS,
-                new Packed.Writer()
+                new MessagePackFormat.Writer()
                         .number(follows)
                         .number(atMs)
                         .texts(contracts)
-                        .done());
+                        .toBytes());
     }
 
     /**
-     * Reads the result of {@link #put}.
+     * Decodes the result of {@link #put}.
      *
-     * @throws Fault.Unreadable if it is none
+     * @throws Fault.Unreadable if the bytes are not such a result
      */
     public static Put result(byte[] bytes) {
-        Packed.Reader in = new Packed.Reader(bytes);
-        Put put = new Put(in.flag(), in.count());
-        in.end();
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(bytes);
+        Put put = new Put(in.flag(), in.nonNegativeLong());
+        in.expectEnd();
         return put;
     }
 
     @Override
     public byte[] apply(long index, byte[] operation) {
-        Packed.Reader in = new Packed.Reader(operation);
-        long follows = in.count();
-        long atMs = in.count();
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(operation);
+        long follows = in.nonNegativeLong();
+        long atMs = in.nonNegativeLong();
         List<String> contracts = in.texts();
-        in.end();
+        in.expectEnd();
         long newest = versions.isEmpty() ? 0 : versions.get(versions.size() - 1).number();
         if (follows != newest) {
-            return new Packed.Writer().flag(false).number(newest).done();
+            return new MessagePackFormat.Writer().flag(false).number(newest).toBytes();
         }
         long at = versions.isEmpty()
                 ? atMs
                 : Math.max(atMs, versions.get(versions.size() - 1).atMs());
         List<Version> next = new ArrayList<>(versions);
         next.add(new Version(newest + 1, at, List.copyOf(contracts)));
-        // A version is over when its follower comes: its follower's age counts, not its own.
-        while (next.size() > MOST || next.size() > LEAST && at - next.get(1).atMs() > keepMs) {
+        // A version ends when the next one begins, so its age is counted from the next one's timestamp.
+        while (next.size() > MAX_VERSIONS
+                || next.size() > MIN_VERSIONS && at - next.get(1).atMs() > retentionMs) {
             next.remove(0);
         }
         versions = List.copyOf(next);
-        return new Packed.Writer().flag(true).number(newest + 1).done();
+        return new MessagePackFormat.Writer().flag(true).number(newest + 1).toBytes();
     }
 
-    /** The versions that are kept, the newest last. */
+    /** The retained versions, the newest last. */
     public List<Version> versions() {
         return versions;
     }
 
     @Override
     public byte[] snapshot() {
-        Packed.Writer out = new Packed.Writer().number(versions.size());
+        MessagePackFormat.Writer out = new MessagePackFormat.Writer().number(versions.size());
         versions.forEach(v -> out.number(v.number()).number(v.atMs()).texts(v.contracts()));
-        return out.done();
+        return out.toBytes();
     }
 
     @Override
@@ -109,17 +110,17 @@
     }
 
     /**
-     * Reads a {@link #snapshot}: what a relay that is no voter gets.
+     * Decodes a {@link #snapshot}, as relays that are not voters receive it.
      *
-     * @throws Fault.Unreadable if it is none
+     * @throws Fault.Unreadable if the bytes are not a snapshot
      */
     public static List<Version> read(byte[] state) {
-        Packed.Reader in = new Packed.Reader(state);
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(state);
         List<Version> read = new ArrayList<>();
-        for (int n = in.size(); n > 0; n--) {
-            read.add(new Version(in.count(), in.count(), List.copyOf(in.texts())));
+        for (int n = in.listSize(); n > 0; n--) {
+            read.add(new Version(in.nonNegativeLong(), in.nonNegativeLong(), List.copyOf(in.texts())));
         }
-        in.end();
+        in.expectEnd();
         return List.copyOf(read);
     }
 }
--- a/src/main/java/firstair/fleet/ledger/Agreement.java
+++ b/src/main/java/firstair/fleet/ledger/Agreement.java
@@ -1,29 +1,30 @@
 package firstair.fleet.ledger;
 
 /**
- * What is agreed on, as a machine that every voter runs over the same operations in the same order. It has to be
- * deterministic to the last byte: no clock, no randomness, no iteration without a fixed order; moments come inside
- * of operations. It must be bounded in size, and is told whole in {@link #snapshot}.
+ * A replicated state machine: every voter applies the same operations in the same order. It must be deterministic to
+ * the last byte: no clock, no randomness, no iteration in unspecified order; timestamps come inside of operations. Its
+ * state must be bounded in size, since {@link #snapshot} transfers all of it.
  */
 public interface Agreement {
     /**
-     * Runs one operation that has been agreed.
+     * Applies one committed operation.
      *
-     * @param index     of the operation among all that were agreed; grows
-     * @param operation without the byte of its kind
-     * @return what whoever proposed it is told
-     * @throws firstair.fleet.fault.Fault if it is refused: nothing may be changed then, and all voters must refuse
-     *         it alike. {@code UnknownEntry} says that this program cannot know what it does: the voter then stops.
+     * @param index     log index of the operation; increases from call to call
+     * @param operation without the leading byte that gives its kind
+     * @return the result, sent to the proposer
+     * @throws firstair.fleet.fault.Fault if the operation is rejected: the state must be unchanged then, and all
+     *         voters must reject it alike. {@code UnknownEntry} means that this version of the program does not know
+     *         the operation: the voter then stops.
      */
     byte[] apply(long index, byte[] operation);
 
-    /** All that is known, as bytes; the same bytes after the same operations. */
+    /** The whole state as bytes; the same bytes after the same operations. */
     byte[] snapshot();
 
     /**
-     * Takes the place of all that is known.
+     * Replaces the whole state.
      *
-     * @throws firstair.fleet.fault.Fault if these bytes are of no {@link #snapshot}
+     * @throws firstair.fleet.fault.Fault if the bytes are not a {@link #snapshot}
      */
     void restore(byte[] state);
 }
--- a/src/main/java/firstair/fleet/ledger/Agreements.java
+++ b/src/main/java/firstair/fleet/ledger/Agreements.java
@@ -8,10 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * All machines of the ledger as one. An operation's first byte says whose it is. A proposal that comes twice, because
- * its answer was lost, counts once: the results of the last {@value #KEPT} of each member's newest process are kept,
- * and a proposal that is older than these, or of an earlier process, is refused, applied or not. Members propose no
- * more than half as many at a time ({@link Proposer}).
+ * Combines the ledger's state machines into one and removes duplicate proposals. The first byte of an operation selects
+ * its state machine. A proposal that is sent again because its answer was lost is applied once: the last
+ * {@value #MAX_RESULTS_PER_MEMBER} results of each member's newest process are kept, and a proposal that is older than
+ * these, or from an earlier process, is rejected, whether it was applied or not. Members have at most half as many
+ * proposals open at a time ({@link Proposer}).
  */
 public final class Agreements {
     /** Kind of operations on contracts. */
@@ -19,171 +20,173 @@
     /** Kind of operations on bookings. */
     public static final int BOOKINGS = 2;
 
-    static final int KEPT = 64;
-    private static final int MOST_PROPOSERS = 1800; // more than a fleet has members
+    static final int MAX_RESULTS_PER_MEMBER = 64;
+    private static final int MAX_MEMBERS = 1800; // more than a fleet has members
 
-    /** What is known of the proposals of one member. */
-    private static final class Proposer {
+    /** The latest proposals of one member and their results. */
+    private static final class MemberResults {
         private long incarnation;
-        private long forgotten; // proposals up to this number are refused
-        private long usedAt; // index of the last one that counted
-        private final TreeMap<Long, byte[]> answers = new TreeMap<>();
+        private long lastEvicted; // proposals up to this number are rejected
+        private long lastIndex; // log index of the last proposal that was applied
+        private final TreeMap<Long, byte[]> byNumber = new TreeMap<>();
     }
 
-    private final SortedMap<Integer, Agreement> machines;
-    private final Map<String, Proposer> proposers = new TreeMap<>();
+    private final SortedMap<Integer, Agreement> stateMachines;
+    private final Map<String, MemberResults> resultsByMember = new TreeMap<>();
     private long version;
 
-    /** @param machines by the kind of the operations that they run, 0 to 255 */
-    public Agreements(SortedMap<Integer, Agreement> machines) {
-        this.machines = new TreeMap<>(machines);
+    /** @param stateMachines by the kind of the operations that they apply, 0 to 255 */
+    public Agreements(SortedMap<Integer, Agreement> stateMachines) {
+        this.stateMachines = new TreeMap<>(stateMachines);
     }
 
-    /** An operation of a kind. */
-    public static byte[] operation(int kind, byte[] rest) {
-        byte[] all = new byte[rest.length + 1];
+    /** Prefixes an operation with its kind. */
+    public static byte[] operation(int kind, byte[] payload) {
+        byte[] all = new byte[payload.length + 1];
         all[0] = (byte) kind;
-        System.arraycopy(rest, 0, all, 1, rest.length);
+        System.arraycopy(payload, 0, all, 1, payload.length);
         return all;
     }
 
-    /** Index of the last operation that a machine has run; what the state is called by. */
+    /** Log index of the last applied operation; identifies the state. */
     public long version() {
         return version;
     }
 
-    boolean knows(int kind) {
-        return machines.containsKey(kind);
+    boolean supports(int kind) {
+        return stateMachines.containsKey(kind);
     }
 
     /**
-     * Runs a proposal unless it has been run, and says what came of it as {@link Outcome#read} reads it.
+     * Applies a proposal unless it has been applied, and returns its outcome encoded for {@link Outcome#decode}.
      *
-     * @throws Fault.UnknownEntry if this program doesn't know what it does; the voter must go no further
+     * @throws Fault.UnknownEntry if this version doesn't know the operation; the voter must apply nothing after it
      */
     byte[] apply(long index, byte[] bytes) {
-        Proposal proposal = Proposal.read(bytes);
-        Proposer known = proposers.get(proposal.by());
-        if (known != null) {
-            byte[] answer = known.incarnation == proposal.incarnation() ? known.answers.get(proposal.number()) : null;
-            if (answer != null) {
-                return answer;
+        Proposal proposal = Proposal.decode(bytes);
+        MemberResults results = resultsByMember.get(proposal.proposer());
+        if (results != null) {
+            byte[] result =
+                    results.incarnation == proposal.incarnation() ? results.byNumber.get(proposal.number()) : null;
+            if (result != null) {
+                return result;
             }
-            if (proposal.incarnation() < known.incarnation
-                    || proposal.incarnation() == known.incarnation && proposal.number() <= known.forgotten) {
-                return Outcome.refused(new Fault.OldIncarnation(proposal.by(), proposal.incarnation()));
+            if (proposal.incarnation() < results.incarnation
+                    || proposal.incarnation() == results.incarnation && proposal.number() <= results.lastEvicted) {
+                return Outcome.encodeRefused(new Fault.OldIncarnation(proposal.proposer(), proposal.incarnation()));
             }
         }
-        byte[] answer = run(index, proposal);
-        remember(index, proposal, answer);
+        byte[] result = execute(index, proposal);
+        keepResult(index, proposal, result);
         version = index;
-        return answer;
+        return result;
     }
 
-    private byte[] run(long index, Proposal proposal) {
-        Agreement machine = machines.get(proposal.kind());
-        if (machine == null) {
+    private byte[] execute(long index, Proposal proposal) {
+        Agreement stateMachine = stateMachines.get(proposal.kind());
+        if (stateMachine == null) {
             throw new Fault.UnknownEntry(Integer.toString(proposal.kind()));
         }
         byte[] operation = proposal.operation();
         try {
-            return Outcome.agreed(machine.apply(index, Arrays.copyOfRange(operation, 1, operation.length)));
+            return Outcome.encodeAgreed(stateMachine.apply(index, Arrays.copyOfRange(operation, 1, operation.length)));
         } catch (Fault.UnknownEntry e) {
             throw e;
         } catch (Fault e) {
-            return Outcome.refused(e);
+            return Outcome.encodeRefused(e);
         }
     }
 
-    private void remember(long index, Proposal proposal, byte[] answer) {
-        Proposer known = proposers.computeIfAbsent(proposal.by(), b -> new Proposer());
-        if (known.incarnation != proposal.incarnation()) {
-            known.incarnation = proposal.incarnation();
-            known.forgotten = 0;
-            known.answers.clear();
+    private void keepResult(long index, Proposal proposal, byte[] result) {
+        MemberResults results = resultsByMember.computeIfAbsent(proposal.proposer(), b -> new MemberResults());
+        if (results.incarnation != proposal.incarnation()) {
+            results.incarnation = proposal.incarnation();
+            results.lastEvicted = 0;
+            results.byNumber.clear();
         }
-        known.usedAt = index;
-        known.answers.put(proposal.number(), answer);
-        while (known.answers.size() > KEPT) {
-            known.forgotten = known.answers.pollFirstEntry().getKey();
+        results.lastIndex = index;
+        results.byNumber.put(proposal.number(), result);
+        while (results.byNumber.size() > MAX_RESULTS_PER_MEMBER) {
+            results.lastEvicted = results.byNumber.pollFirstEntry().getKey();
         }
-        if (proposers.size() > MOST_PROPOSERS) {
+        if (resultsByMember.size() > MAX_MEMBERS) {
             String oldest = null;
-            for (Map.Entry<String, Proposer> e : proposers.entrySet()) {
-                if (oldest == null || e.getValue().usedAt < proposers.get(oldest).usedAt) {
+            for (Map.Entry<String, MemberResults> e : resultsByMember.entrySet()) {
+                if (oldest == null || e.getValue().lastIndex < resultsByMember.get(oldest).lastIndex) {
                     oldest = e.getKey();
                 }
             }
-            proposers.remove(oldest);
+            resultsByMember.remove(oldest);
         }
     }
 
-    /** What all machines know, without what is kept to tell doubled proposals; {@link #parts} reads it. */
+    /** The state of all state machines, without the results kept for deduplication; decoded by {@link #parts}. */
     public byte[] state() {
-        Packed.Writer out = new Packed.Writer().number(machines.size());
-        machines.forEach((kind, machine) -> out.number(kind).bytes(machine.snapshot()));
-        return out.done();
+        MessagePackFormat.Writer out = new MessagePackFormat.Writer().number(stateMachines.size());
+        stateMachines.forEach((kind, stateMachine) -> out.number(kind).bytes(stateMachine.snapshot()));
+        return out.toBytes();
     }
 
     /**
-     * The snapshots of the machines in a {@link #state}, by kind.
+     * Decodes a {@link #state} into the snapshots of the state machines, by kind.
      *
-     * @throws Fault.Unreadable if it is none
+     * @throws Fault.Unreadable if the bytes are not such a state
      */
     public static Map<Integer, byte[]> parts(byte[] state) {
-        Packed.Reader in = new Packed.Reader(state);
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(state);
         Map<Integer, byte[]> parts = new LinkedHashMap<>();
-        for (int n = in.size(); n > 0; n--) {
-            parts.put(in.whole(), in.bytes());
+        for (int n = in.listSize(); n > 0; n--) {
+            parts.put(in.nonNegativeInt(), in.bytes());
         }
-        in.end();
+        in.expectEnd();
         return parts;
     }
 
-    /** Everything, for the ledger's own snapshots. */
+    /** The state of all state machines and the results kept for deduplication, for snapshots of the Raft log. */
     byte[] snapshot() {
-        Packed.Writer out = new Packed.Writer().number(version).bytes(state()).number(proposers.size());
-        proposers.forEach((by, p) -> {
-            out.text(by)
-                    .number(p.incarnation)
-                    .number(p.forgotten)
-                    .number(p.usedAt)
-                    .number(p.answers.size());
-            p.answers.forEach((number, answer) -> out.number(number).bytes(answer));
+        MessagePackFormat.Writer out =
+                new MessagePackFormat.Writer().number(version).bytes(state()).number(resultsByMember.size());
+        resultsByMember.forEach((member, results) -> {
+            out.text(member)
+                    .number(results.incarnation)
+                    .number(results.lastEvicted)
+                    .number(results.lastIndex)
+                    .number(results.byNumber.size());
+            results.byNumber.forEach((number, result) -> out.number(number).bytes(result));
         });
-        return out.done();
+        return out.toBytes();
     }
 
     /**
-     * Takes the place of everything.
+     * Replaces everything by a {@link #snapshot}.
      *
-     * @throws Fault.Unreadable   if it is no snapshot
-     * @throws Fault.UnknownEntry if it has a machine that this program has not
+     * @throws Fault.Unreadable   if the bytes are not a snapshot
+     * @throws Fault.UnknownEntry if it contains a state machine that this version doesn't have
      */
     void restore(byte[] snapshot) {
-        Packed.Reader in = new Packed.Reader(snapshot);
-        final long at = in.count();
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(snapshot);
+        final long at = in.nonNegativeLong();
         Map<Integer, byte[]> parts = parts(in.bytes());
-        Map<String, Proposer> read = new TreeMap<>();
-        for (int n = in.size(); n > 0; n--) {
-            Proposer p = new Proposer();
-            read.put(in.text(), p);
-            p.incarnation = in.count();
-            p.forgotten = in.count();
-            p.usedAt = in.count();
-            for (int m = in.size(); m > 0; m--) {
-                p.answers.put(in.count(), in.bytes());
+        Map<String, MemberResults> read = new TreeMap<>();
+        for (int n = in.listSize(); n > 0; n--) {
+            MemberResults results = new MemberResults();
+            read.put(in.text(), results);
+            results.incarnation = in.nonNegativeLong();
+            results.lastEvicted = in.nonNegativeLong();
+            results.lastIndex = in.nonNegativeLong();
+            for (int m = in.listSize(); m > 0; m--) {
+                results.byNumber.put(in.nonNegativeLong(), in.bytes());
             }
         }
-        in.end();
+        in.expectEnd();
         for (int kind : parts.keySet()) {
-            if (!machines.containsKey(kind)) {
+            if (!stateMachines.containsKey(kind)) {
                 throw new Fault.UnknownEntry(Integer.toString(kind));
             }
         }
-        parts.forEach((kind, part) -> machines.get(kind).restore(part));
-        proposers.clear();
-        proposers.putAll(read);
+        parts.forEach((kind, part) -> stateMachines.get(kind).restore(part));
+        resultsByMember.clear();
+        resultsByMember.putAll(read);
         version = at;
     }
 }
--- a/src/main/java/firstair/fleet/ledger/Follower.java
+++ b/src/main/java/firstair/fleet/ledger/Follower.java
@@ -9,57 +9,57 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps up with what the voters have agreed: asks one of them every so often, another one where it is silent or
- * cannot be sure, and puts the pieces of what is new together. What it holds never goes back. Times are milliseconds
- * of the caller's own advancing clock.
+ * Replicates the committed state to a relay: polls a voter regularly, switches to another one if that one doesn't
+ * answer or is not a leader with a quorum, and assembles newer versions from their chunks. The version held never
+ * decreases. Times are milliseconds on the caller's monotonic clock.
  *
- * <p>An answer is <em>sure</em> if a leader has heard a majority after the ask had reached it and still led then.
- * What it tells was the newest at some moment after the ask was sent; so who holds that version, or a newer one,
- * knew at {@code askedAt} of all that had been agreed until then.
+ * <p>An answer is <em>linearizable</em> if a leader received the request, was then confirmed by a majority, and was
+ * still the leader. Its version was the newest at some moment after the request was sent, so a relay that holds this
+ * version or a newer one has everything that was committed before {@code requestedAt}.
  */
 public final class Follower {
-    private static final int MOST_PIECES = 4096;
-    private static final int MOST_BYTES = 64 << 20;
-    private static final int ASKS = 8; // asks that an answer may still come to
-    private static final int PARTIALS = 2; // versions that are put together at a time
+    private static final int MAX_CHUNKS = 4096;
+    private static final int MAX_STATE_BYTES = 64 << 20;
+    private static final int MAX_OPEN_REQUESTS = 8; // answers to older ones are dropped
+    private static final int MAX_PARTIAL_VERSIONS = 2; // versions that are assembled at a time
 
-    /** Is told what is held. */
+    /** Receives the committed state. */
     @FunctionalInterface
     public interface Listener {
         /**
-         * Something new is held, or what is held was confirmed.
+         * Called when a newer version is held, or when the version held was confirmed.
          *
-         * @param version index of the last operation in it; 0 before the first
-         * @param state   what {@link Agreements#parts} reads; empty before the first
-         * @param sure    whether it held all that had been agreed when it was asked for
-         * @param askedAt when that was, on the caller's clock
+         * @param version      log index of the last operation in it; 0 before the first
+         * @param state        to be decoded by {@link Agreements#parts}; empty before the first operation
+         * @param linearizable whether it contains everything that was committed before {@code requestedAt}
+         * @param requestedAt  when the request was sent, on the caller's clock
          */
-        void agreed(long version, byte[] state, boolean sure, double askedAt);
+        void agreed(long version, byte[] state, boolean linearizable, double requestedAt);
     }
 
-    private record Ask(double at, String of) {}
+    private record Request(double sentAt, String voter) {}
 
-    /** Pieces of one version as one voter tells it. */
+    /** Chunks of one version from one voter. */
     private static final class Partial {
         private final String from;
-        private final byte[][] pieces;
+        private final byte[][] chunks;
         private int missing;
         private int bytes;
-        private double sureAt = Double.NEGATIVE_INFINITY;
-        private double askedAt = Double.NEGATIVE_INFINITY;
+        private double linearizableAt = Double.NEGATIVE_INFINITY;
+        private double requestedAt = Double.NEGATIVE_INFINITY;
 
-        private Partial(String from, int pieces) {
+        private Partial(String from, int chunks) {
             this.from = from;
-            this.pieces = new byte[pieces][];
-            this.missing = pieces;
+            this.chunks = new byte[chunks][];
+            this.missing = chunks;
         }
 
-        private byte[] whole() {
+        private byte[] assemble() {
             byte[] all = new byte[bytes];
             int at = 0;
-            for (byte[] piece : pieces) {
-                System.arraycopy(piece, 0, all, at, piece.length);
-                at += piece.length;
+            for (byte[] chunk : chunks) {
+                System.arraycopy(chunk, 0, all, at, chunk.length);
+                at += chunk.length;
             }
             return all;
         }
@@ -69,157 +69,160 @@
     private final Outbox outbox;
     private final RandomGenerator random;
     private final Listener listener;
-    private final double everyMs;
-    private final double patienceMs;
-    private final Map<Long, Ask> asks = new LinkedHashMap<>();
+    private final double pollIntervalMs;
+    private final double timeoutMs;
+    private final Map<Long, Request> requests = new LinkedHashMap<>();
     private final TreeMap<Long, Partial> partials = new TreeMap<>();
     private long version;
     private byte[] state = new byte[0];
-    private double sureAt = Double.NEGATIVE_INFINITY;
-    private int voter;
-    private int moves; // to another voter since the last answer that was sure
-    private boolean told; // the newest ask has had a sure answer
-    private double nextAt; // of the next ask
-    private double silentAt = Double.POSITIVE_INFINITY;
+    private double linearizableAt = Double.NEGATIVE_INFINITY; // send time of the newest request answered so
+    private int voterIndex;
+    private int voterChanges; // since the last linearizable answer
+    private boolean answered; // the newest request has had a linearizable answer
+    private double nextPollAt;
+    private double timeoutAt = Double.POSITIVE_INFINITY;
     private long dropped;
 
     /**
-     * A follower that holds nothing and asks at its first {@link #timer}.
+     * Creates a follower that holds nothing and sends its first request at the first {@link #timer}.
      *
-     * @param everyMs    pause between asks while all is well
-     * @param patienceMs so long an answer may take before another voter is asked
+     * @param pollIntervalMs time between requests if all are answered
+     * @param timeoutMs      how long to wait for an answer before another voter is polled
      */
     public Follower(
-            Setup setup, Outbox outbox, RandomGenerator random, Listener listener, double everyMs, double patienceMs) {
+            Setup setup,
+            Outbox outbox,
+            RandomGenerator random,
+            Listener listener,
+            double pollIntervalMs,
+            double timeoutMs) {
         this.setup = setup;
         this.outbox = outbox;
         this.random = random;
         this.listener = listener;
-        this.everyMs = everyMs;
-        this.patienceMs = patienceMs;
-        this.voter = random.nextInt(setup.voters().size());
-        this.nextAt = Double.NEGATIVE_INFINITY;
+        this.pollIntervalMs = pollIntervalMs;
+        this.timeoutMs = timeoutMs;
+        this.voterIndex = random.nextInt(setup.voters().size());
+        this.nextPollAt = Double.NEGATIVE_INFINITY;
     }
 
-    /** Version that is held; 0 if none. */
+    /** The version held; 0 if none. */
     public long version() {
         return version;
     }
 
-    /** Answers that belonged to no ask or could not be used, so far. */
+    /** Number of answers so far that matched no request or were invalid. */
     public long dropped() {
         return dropped;
     }
 
-    /** Asks where it is time. */
+    /** Sends requests that are due. */
     public void timer(double now) {
-        if (silentAt <= now) {
-            if (!told) { // else only pieces were lost
-                next();
+        if (timeoutAt <= now) {
+            if (!answered) { // otherwise only chunks were lost
+                nextVoter();
             }
-            ask(now);
-        } else if (nextAt <= now) {
-            moves = 0;
-            ask(now);
+            poll(now);
+        } else if (nextPollAt <= now) {
+            voterChanges = 0;
+            poll(now);
         }
     }
 
-    /** When {@link #timer} has something to do, if nothing is heard until then. */
+    /** When {@link #timer} has to be called next if no answer arrives before. */
     public double wakeAt() {
-        return Math.min(nextAt, silentAt);
+        return Math.min(nextPollAt, timeoutAt);
     }
 
-    private void next() {
-        voter = (voter + 1) % setup.voters().size();
-        moves++;
+    private void nextVoter() {
+        voterIndex = (voterIndex + 1) % setup.voters().size();
+        voterChanges++;
     }
 
-    private void ask(double now) {
+    private void poll(double now) {
         long nonce = random.nextLong();
-        String of = setup.voters().get(voter);
-        asks.put(nonce, new Ask(now, of));
-        if (asks.size() > ASKS) {
-            asks.remove(asks.keySet().iterator().next());
+        String voter = setup.voters().get(voterIndex);
+        requests.put(nonce, new Request(now, voter));
+        if (requests.size() > MAX_OPEN_REQUESTS) {
+            requests.remove(requests.keySet().iterator().next());
         }
-        told = false;
-        nextAt = now + everyMs;
-        // With all of them silent or unsure there is nobody better to ask: the next round does.
-        silentAt = moves < setup.voters().size() ? now + patienceMs : Double.POSITIVE_INFINITY;
-        outbox.send(of, new Note.AgreedAsk(nonce, version));
+        answered = false;
+        nextPollAt = now + pollIntervalMs;
+        // Once all voters have been tried without a linearizable answer, wait for the next poll.
+        timeoutAt = voterChanges < setup.voters().size() ? now + timeoutMs : Double.POSITIVE_INFINITY;
+        outbox.send(voter, new Note.AgreedAsk(nonce, version));
     }
 
-    /** An answer has come. */
+    /** Receives an answer. */
     public void heard(double now, String from, Note.Agreed note) {
-        Ask ask = asks.get(note.nonce());
-        if (ask == null || !ask.of().equals(from) || note.version() < 0 || !fits(note)) {
+        Request request = requests.get(note.nonce());
+        if (request == null || !request.voter().equals(from) || note.version() < 0 || !isValid(note)) {
             dropped++;
             return;
         }
         boolean confirmed = note.sure() && note.version() <= version;
         boolean newer = note.version() > version;
         if (newer && note.pieces() == 0) {
-            dropped++; // it says that there is more and does not tell it
+            dropped++; // announces a newer version without its state
             return;
         }
         if (newer) {
-            piece(from, ask, note);
-        } else if (confirmed && ask.at() > sureAt) {
-            sureAt = ask.at();
-            listener.agreed(version, state.clone(), true, sureAt);
+            addChunk(from, request, note);
+        } else if (confirmed && request.sentAt() > linearizableAt) {
+            linearizableAt = request.sentAt();
+            listener.agreed(version, state.clone(), true, linearizableAt);
         }
         if (note.sure()) {
-            moves = 0;
-            told = true;
+            voterChanges = 0;
+            answered = true;
             if (note.version() <= version) {
-                silentAt = Double.POSITIVE_INFINITY; // all of it is here; else the patience goes on for the rest
+                timeoutAt = Double.POSITIVE_INFINITY; // complete; otherwise the timeout goes on for the other chunks
             }
-        } else if (from.equals(setup.voters().get(voter))
+        } else if (from.equals(setup.voters().get(voterIndex))
                 && note.piece() == 0
-                && moves + 1 < setup.voters().size()) {
-            next();
-            ask(now);
+                && voterChanges + 1 < setup.voters().size()) {
+            nextVoter();
+            poll(now);
         }
     }
 
-    private static boolean fits(Note.Agreed note) {
+    private static boolean isValid(Note.Agreed note) {
         return note.pieces() == 0
                 ? note.bytes().length == 0
-                : note.pieces() > 0
-                        && note.pieces() <= MOST_PIECES
-                        && note.piece() >= 0
-                        && note.piece() < note.pieces();
+                : note.pieces() > 0 && note.pieces() <= MAX_CHUNKS && note.piece() >= 0 && note.piece() < note.pieces();
     }
 
-    private void piece(String from, Ask ask, Note.Agreed note) {
-        Partial p = partials.get(note.version());
-        if (p == null || !p.from.equals(from) || p.pieces.length != note.pieces()) {
-            p = new Partial(from, note.pieces());
-            partials.put(note.version(), p);
-            if (partials.size() > PARTIALS) {
+    private void addChunk(String from, Request request, Note.Agreed note) {
+        Partial partial = partials.get(note.version());
+        if (partial == null || !partial.from.equals(from) || partial.chunks.length != note.pieces()) {
+            partial = new Partial(from, note.pieces());
+            partials.put(note.version(), partial);
+            if (partials.size() > MAX_PARTIAL_VERSIONS) {
                 partials.pollFirstEntry();
             }
         }
-        p.askedAt = Math.max(p.askedAt, ask.at());
+        partial.requestedAt = Math.max(partial.requestedAt, request.sentAt());
         if (note.sure()) {
-            p.sureAt = Math.max(p.sureAt, ask.at());
+            partial.linearizableAt = Math.max(partial.linearizableAt, request.sentAt());
         }
-        if (p.pieces[note.piece()] == null) {
-            if (p.bytes + note.bytes().length > MOST_BYTES) {
+        if (partial.chunks[note.piece()] == null) {
+            if (partial.bytes + note.bytes().length > MAX_STATE_BYTES) {
                 dropped++;
                 partials.remove(note.version());
                 return;
             }
-            p.pieces[note.piece()] = note.bytes();
-            p.bytes += note.bytes().length;
-            p.missing--;
+            partial.chunks[note.piece()] = note.bytes();
+            partial.bytes += note.bytes().length;
+            partial.missing--;
         }
-        if (p.missing == 0) {
+        if (partial.missing == 0) {
             version = note.version();
-            state = p.whole();
+            state = partial.assemble();
             partials.headMap(version, true).clear();
-            boolean sure = p.sureAt > sureAt;
-            sureAt = Math.max(sureAt, p.sureAt);
-            listener.agreed(version, state.clone(), sure, sure ? p.sureAt : p.askedAt);
+            boolean linearizable = partial.linearizableAt > linearizableAt;
+            linearizableAt = Math.max(linearizableAt, partial.linearizableAt);
+            listener.agreed(
+                    version, state.clone(), linearizable, linearizable ? partial.linearizableAt : partial.requestedAt);
         }
     }
 }
--- a/src/main/java/firstair/fleet/ledger/Keeper.java
+++ b/src/main/java/firstair/fleet/ledger/Keeper.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 
 /**
- * Where the changes of a {@link LedgerMemory} are kept. A change that was kept may be lost until the next
- * {@link #force}, but then all behind it are lost too. After any failure it fails for good: what a failed write or
- * force has left is not known.
+ * Durable storage for the changes of a {@link LedgerMemory}. An appended change may be lost until the next
+ * {@link #force}, but then all later ones are lost too. After a failure every further call fails, because it is unknown
+ * what a failed write or sync left on disk.
  */
 public interface Keeper {
-    /** Takes a change on, behind all before it. */
+    /** Appends a change. */
     void keep(byte[] change) throws IOException;
 
-    /** Returns when all that was kept lasts: the engine goes on to answer others by it. */
+    /** Returns once all appended changes are durable; the engine then answers other voters on that basis. */
     void force() throws IOException;
 }
--- a/src/main/java/firstair/fleet/ledger/Ledger.java
+++ b/src/main/java/firstair/fleet/ledger/Ledger.java
@@ -43,112 +43,113 @@
 import java.util.function.Consumer;
 
 /**
- * One voter: an engine for agreement by majority (MicroRaft), driven from outside. Whoever owns it hands in what is
- * heard and calls {@link #timer} at {@link #wakeAt}; the engine runs inside of these calls, on the caller's thread,
- * and starts none of its own. Times are milliseconds of the relay's own advancing clock; the wall clock plays no
- * part, so that it may jump. The same calls with the same {@code Random} give the same notes.
+ * One voter: a node of a Raft group (MicroRaft), driven from outside. The owner passes received notes to {@link #heard}
+ * and calls {@link #timer} at {@link #wakeAt}; the engine runs inside of these calls, on the caller's thread, and
+ * starts no thread of its own. Times are milliseconds on the relay's monotonic clock; the wall clock isn't used, so it
+ * may jump. The same calls with the same {@code Random} give the same notes.
  *
- * <p>The engine counts in whole seconds and takes a whole one to ask a voter again whose answer was lost. Its clock
- * runs {@value #SPEED} times faster than ours, so that both take a quarter; the pauses that it waits vary here, for
- * its own variation is too small to keep candidates apart.
+ * <p>The engine's timing has a granularity of one second, and it waits a whole second before it sends again to a voter
+ * whose answer was lost. Its clock runs {@value #CLOCK_SPEEDUP} times faster than ours, so that both take a quarter.
+ * Jitter is added to its delays here, because its own is too small to keep candidates apart.
  *
- * <p>Three things keep the engine safe where its own care ends:
+ * <p>Three measures cover cases that the engine doesn't handle safely:
  * <ul>
- * <li>It takes late answers to what it sent in an earlier term of its own as leader for answers of this term, and may
- * then count an entry as held by a voter that has cut it off since. Answers of an earlier term are dropped here.
- * <li>It lets questions that come while others are out join them, and would then count answers to notes that were
- * sent before the question came. Only one question is out at a time here; what comes meanwhile waits for the next.
- * <li>It goes on after its store has failed, with entries in memory that are not on disk. Here nothing more leaves
- * it once its store has failed: this voter stops and says why.
+ * <li>After it has become leader again, it takes late responses to requests of its earlier term for responses of the
+ * current term, and may then count an entry as replicated on a voter that has truncated it since. Responses of an
+ * earlier term are dropped here.
+ * <li>Queries that arrive while another one is in flight join it, so that they would count responses to requests sent
+ * before they arrived. Only one query is in flight at a time here; later ones wait for the next.
+ * <li>It goes on after its store has failed, with entries in memory that are not on disk. Here it sends nothing more
+ * once its store has failed: this voter stops and reports why.
  * </ul>
  *
- * <p>Questions are put as {@link QueryPolicy#LINEARIZABLE}: a majority has answered notes sent after the question
- * came. {@link QueryPolicy#LEADER_LEASE} would save that round trip, but counts from when answers came in and not
- * from when what they answer was sent, and needs clocks that run alike and a process that is never stopped; neither
- * is given here.
+ * <p>Reads use {@link QueryPolicy#LINEARIZABLE}: a majority has answered requests that were sent after the query
+ * arrived. {@link QueryPolicy#LEADER_LEASE} would save that round trip, but its lease counts from the arrival of
+ * responses and not from the sending of the requests, and it needs clocks of equal rate and a process that is never
+ * suspended; neither is given here.
  */
 public final class Ledger {
-    private static final int SPEED = 4; // the engine's clock runs so many times faster
-    private static final int HEARTBEAT_S = 1; // of the engine's
-    private static final double LEAST_TIMEOUT_MS = 2000; // without a leader, then there is an election
-    private static final double TIMEOUT_DELAYS = 10; // but never sooner than after so many longest delays
-    private static final double LEAST_ELECTION_MS = 500;
-    private static final double ELECTION_DELAYS = 4;
-    private static final double JITTER = 0.25; // pauses are longer by this share at most
-    private static final int ENTRIES_EACH = 8; // of up to 64 KiB: half a MiB in one note at most
-    private static final int MOST_PENDING = 256;
-    private static final int SNAPSHOT_EVERY = 1000; // entries
-    private static final int PIECE_BYTES = 16_384;
-    private static final double ASK_MS = 1000;
-    private static final double ASK_PATIENCE_MS = 700;
-    private static final double AGAIN_MS = 300; // a proposer may ask the next voter
-    private static final byte[] NO_OPERATION = new byte[0]; // what a new leader begins its term with
-    private static final Object QUESTION = new Object();
-
-    private record Later(double at, long order, Runnable task) implements Comparable<Later> {
+    private static final int CLOCK_SPEEDUP = 4; // of the engine's clock against ours
+    private static final int HEARTBEAT_S = 1; // on the engine's clock
+    private static final double MIN_LEADER_TIMEOUT_MS = 2000; // without a heartbeat, before an election starts
+    private static final double LEADER_TIMEOUT_DELAYS = 10; // but at least so many times the maximum network delay
+    private static final double MIN_ELECTION_TIMEOUT_MS = 500;
+    private static final double ELECTION_TIMEOUT_DELAYS = 4; // at least so many times the maximum network delay
+    private static final double MAX_JITTER = 0.25; // share by which a delay is lengthened at most
+    private static final int MAX_ENTRIES_PER_APPEND = 8; // of up to 64 KiB: at most half a MiB in one note
+    private static final int MAX_PENDING_ENTRIES = 256;
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 1000;
+    private static final int CHUNK_BYTES = 16_384;
+    private static final double POLL_INTERVAL_MS = 1000;
+    private static final double POLL_TIMEOUT_MS = 700;
+    private static final double RETRY_AFTER_MS = 300; // until the proposer tries the next voter
+    private static final byte[] NO_OPERATION = new byte[0]; // first entry of a new leader's term
+    private static final Object READ_BARRIER = new Object(); // a query that reads nothing
+
+    private record ScheduledTask(double at, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Later other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final Setup setup;
-    private final Agreements machines;
+    private final Agreements stateMachines;
     private final Random random;
     private final Outbox outbox;
     private final Proposer proposer;
     private final Follower follower;
     private final RaftNode node;
     private final Deque<Runnable> queue = new ArrayDeque<>();
-    private final PriorityQueue<Later> later = new PriorityQueue<>();
-    private final Map<String, Note.AgreedAsk> waiting = new LinkedHashMap<>(); // by asker, the newest of each
-    private boolean asking;
+    private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>();
+    private final Map<String, Note.AgreedAsk> pendingReads = new LinkedHashMap<>(); // by sender, the newest of each
+    private boolean reading; // a query is in flight
     private boolean running;
-    private boolean draining;
-    private long order;
+    private boolean runningTasks;
+    private long nextSequence;
     private double now;
     private long dropped;
     private Fault fault;
 
     /**
-     * A voter that has not started.
+     * Creates a voter that is not started yet.
      *
-     * @param incarnation of this process, higher than of all before it under our name
-     * @param memory      what this voter remembers, or {@link LedgerMemory#founded} at the very first start
-     * @param keeper      keeps its changes
-     * @param machines    what is agreed on, empty
-     * @param random      for pauses between elections
-     * @param listener    is told what is agreed, as {@link Follower} tells it on members that are no voters
-     * @throws Fault.BadSetup if the memory is of another voter, fleet or set of voters
+     * @param incarnation   of this process, higher than that of all earlier ones with this name
+     * @param memory        the stored state of this voter, or {@link LedgerMemory#founded} at its very first start
+     * @param keeper        stores changes to it
+     * @param stateMachines in their initial state
+     * @param random        for delays and nonces
+     * @param listener      receives the committed state, as from the {@link Follower} of a relay that is not a voter
+     * @throws Fault.BadSetup if the stored state belongs to another voter, fleet or set of voters
      */
     public Ledger(
             Setup setup,
             long incarnation,
             LedgerMemory memory,
             Keeper keeper,
-            Agreements machines,
+            Agreements stateMachines,
             Outbox outbox,
             Random random,
             Follower.Listener listener) {
         if (!memory.fleet().equals(setup.fleet()) || !memory.self().equals(setup.self())) {
             throw new Fault.BadSetup(
-                    "fleet.name", "the ledger here is that of " + memory.self() + " in fleet " + memory.fleet());
+                    "fleet.name", "the stored ledger belongs to " + memory.self() + " in fleet " + memory.fleet());
         }
         if (!List.copyOf(memory.voters()).containsAll(setup.voters())
                 || memory.voters().size() != setup.voters().size()) {
             throw new Fault.BadSetup(
                     "fleet.voters",
-                    "the ledger here is of " + memory.voters() + ", and voters cannot be changed under it");
+                    "the stored ledger has the voters " + memory.voters() + ", which cannot be changed");
         }
         this.setup = setup;
-        this.machines = machines;
+        this.stateMachines = stateMachines;
         this.random = random;
         Outbox out = new Outbox() {
             @Override
             public void send(String to, Note note) {
                 if (to.equals(setup.self())) {
-                    queue.add(() -> own(note));
+                    queue.add(() -> handleOwn(note));
                 } else {
                     outbox.send(to, note);
                 }
@@ -161,111 +162,113 @@
         };
         this.outbox = out;
         this.proposer = new Proposer(setup, incarnation, out, random);
-        this.follower = new Follower(setup, out, random, listener, ASK_MS, ASK_PATIENCE_MS);
-        double election = Math.max(LEAST_ELECTION_MS, ELECTION_DELAYS * setup.delayMs());
-        double timeout = Math.max(LEAST_TIMEOUT_MS, TIMEOUT_DELAYS * setup.delayMs());
+        this.follower = new Follower(setup, out, random, listener, POLL_INTERVAL_MS, POLL_TIMEOUT_MS);
+        double electionTimeout = Math.max(MIN_ELECTION_TIMEOUT_MS, ELECTION_TIMEOUT_DELAYS * setup.delayMs());
+        double leaderTimeout = Math.max(MIN_LEADER_TIMEOUT_MS, LEADER_TIMEOUT_DELAYS * setup.delayMs());
         RaftConfig config = RaftConfig.newBuilder()
                 .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                .setLeaderHeartbeatTimeoutSecs((long) Math.ceil(timeout * SPEED / 1000))
-                .setLeaderElectionTimeoutMillis((long) (election * SPEED))
-                .setAppendEntriesRequestBatchSize(ENTRIES_EACH)
-                .setMaxPendingLogEntryCount(MOST_PENDING)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
+                .setLeaderHeartbeatTimeoutSecs((long) Math.ceil(leaderTimeout * CLOCK_SPEEDUP / 1000))
+                .setLeaderElectionTimeoutMillis((long) (electionTimeout * CLOCK_SPEEDUP))
+                .setAppendEntriesRequestBatchSize(MAX_ENTRIES_PER_APPEND)
+                .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+                .setCommitCountToTakeSnapshot(SNAPSHOT_INTERVAL_ENTRIES)
                 .setTransferSnapshotsFromFollowersEnabled(false)
                 .build();
         this.node = RaftNode.newBuilder()
                 .setGroupId(setup.fleet())
-                .setRestoredState(memory.restored())
+                .setRestoredState(memory.restoredState())
                 .setConfig(config)
-                .setExecutor(new Queue())
-                .setTransport(new Wire())
-                .setStateMachine(new Machine())
-                .setStore(new Watched(memory.store(keeper)))
-                .setModelFactory(EngineForm.MODEL)
+                .setExecutor(new TaskQueue())
+                .setTransport(new EngineTransport())
+                .setStateMachine(new EngineStateMachine())
+                .setStore(new FailStopStore(memory.store(keeper)))
+                .setModelFactory(RaftCodec.MODEL)
                 .setRandom(random)
-                .setClock(new Ticks())
+                .setClock(new EngineClock())
                 .build();
     }
 
-    // ---- what happens to it ----
+    // ---- events ----
 
-    /** Starts; once. */
+    /** Starts the voter; to be called once. */
     public void start(double at) {
         running = true;
-        enter(at, node::start);
+        runEvent(at, node::start);
     }
 
     /**
-     * Something was heard.
+     * Receives a note.
      *
-     * @throws Fault if it cannot be used; it has changed nothing then
+     * @throws Fault if the note is rejected; nothing has changed then
      */
     public void heard(double at, String from, Note note) {
         if (note instanceof Note.Proposed m) {
-            enter(at, () -> proposer.heard(now, from, m));
+            runEvent(at, () -> proposer.heard(now, from, m));
         } else if (note instanceof Note.Agreed m) {
-            enter(at, () -> follower.heard(now, from, m));
+            runEvent(at, () -> follower.heard(now, from, m));
         } else if (!setup.members().contains(from)) {
             throw new Fault.Stranger(from);
         } else if (note instanceof Note.Engine m) {
-            RaftMessage message = message(from, m.bytes());
-            enter(at, () -> engine(message));
+            RaftMessage message = decode(from, m.bytes());
+            runEvent(at, () -> handleRaftMessage(message));
         } else if (note instanceof Note.Propose m) {
-            Proposal proposal = Proposal.read(m.operation());
-            if (!setup.members().contains(proposal.by())) {
-                throw new Fault.Stranger(proposal.by());
+            Proposal proposal = Proposal.decode(m.operation());
+            if (!setup.members().contains(proposal.proposer())) {
+                throw new Fault.Stranger(proposal.proposer());
             }
-            enter(at, () -> proposed(from, m, proposal));
+            runEvent(at, () -> handleProposal(from, m, proposal));
         } else if (note instanceof Note.AgreedAsk m) {
-            enter(at, () -> asked(from, m));
+            runEvent(at, () -> handleRead(from, m));
         } else {
             dropped++;
         }
     }
 
-    /** Does what is due. */
+    /** Runs the tasks that are due. */
     public void timer(double at) {
-        enter(at, () -> {});
+        runEvent(at, () -> {});
     }
 
-    /** When {@link #timer} has something to do, if nothing is heard until then; infinite if never. */
+    /** When {@link #timer} has to be called next if no note arrives before; infinite if never. */
     public double wakeAt() {
-        double engine =
-                later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().at();
+        double engine = scheduled.isEmpty()
+                ? Double.POSITIVE_INFINITY
+                : scheduled.peek().at();
         return Math.min(engine, Math.min(proposer.wakeAt(), follower.wakeAt()));
     }
 
     /**
-     * Has an operation agreed, wherever the leader is.
+     * Proposes an operation, whichever voter is the leader.
      *
      * @param operation its kind in the first byte, as {@link Agreements#operation} writes it
-     * @param done      is told once what came of it, {@link Outcome.NotNow} at the latest after 8 s
-     * @throws Fault.TooLarge if it is longer than operations may be
+     * @param callback  called once with the outcome; with {@link Outcome.NotNow} after 8 s at the latest
+     * @throws Fault.TooLarge if the operation is too long
      */
-    public void propose(double at, byte[] operation, Consumer<Outcome> done) {
-        enter(at, () -> proposer.propose(now, operation, done));
+    public void propose(double at, byte[] operation, Consumer<Outcome> callback) {
+        runEvent(at, () -> proposer.propose(now, operation, callback));
     }
 
     /**
-     * Hands the lead to the voter that was heard last, if it is ours. It takes a round trip or two: whoever ends in
-     * order waits until {@link #leads} says no, but not for long, for the others find a new leader without it too.
+     * Transfers leadership, if this voter is the leader, to the voter heard from most recently. That takes a round trip
+     * or two: at a regular shutdown, wait until {@link #leads} returns false, but not for long, since the others also
+     * elect a new leader without a transfer.
      */
     public void leave(double at) {
-        enter(at, () -> {
+        runEvent(at, () -> {
             if (leads()) {
-                node.getReport().thenAccept(r -> hand(r.getResult()));
+                node.getReport().thenAccept(r -> transferLeadership(r.getResult()));
             }
         });
     }
 
-    private void hand(RaftNodeReport report) {
+    private void transferLeadership(RaftNodeReport report) {
         RaftEndpoint best = null;
         long bestAt = Long.MIN_VALUE;
-        for (String name : setup.voters()) { // in one order: the report's is the engine's own
-            Long heardAt = report.getHeartbeatTimestamps().get(new Voter(name));
-            if (heardAt != null && !name.equals(setup.self()) && heardAt > bestAt) {
+        for (String name : setup.voters()) { // for a deterministic order, which the report doesn't have
+            Long heartbeatAt = report.getHeartbeatTimestamps().get(new Voter(name));
+            if (heartbeatAt != null && !name.equals(setup.self()) && heartbeatAt > bestAt) {
                 best = new Voter(name);
-                bestAt = heardAt;
+                bestAt = heartbeatAt;
             }
         }
         if (best != null) {
@@ -273,87 +276,87 @@
         }
     }
 
-    /** Ends; what it remembers stays with its keeper. */
+    /** Stops the voter; its stored state remains. */
     public void stop(double at) {
-        enter(at, () -> {
+        runEvent(at, () -> {
             running = false;
             node.terminate();
         });
     }
 
-    // ---- what it knows ----
+    // ---- state ----
 
-    /** Index of the last operation that was applied here; 0 before the first. */
+    /** Log index of the last operation that was applied here; 0 before the first. */
     public long version() {
-        return machines.version();
+        return stateMachines.version();
     }
 
-    /** Whether this voter leads as far as it knows. */
+    /** Whether this voter is the leader as far as it knows. */
     public boolean leads() {
         return running
                 && fault == null
                 && new Voter(setup.self()).equals(node.getTerm().getLeaderEndpoint());
     }
 
-    /** The newest term that it has seen. */
+    /** The newest term that this voter has seen. */
     public int term() {
         return node.getTerm().getTerm();
     }
 
     /**
-     * Why this voter takes part no more, or null while it does. It goes on proposing and following as a member that
-     * is no voter. Whoever owns it may open what it remembers anew, and start another ledger from that.
+     * Why this voter no longer participates, or null while it does. It still proposes and follows like a relay that is
+     * not a voter. The owner may open the stored state again and start a new ledger from it.
      */
     public Fault fault() {
         return fault;
     }
 
-    /** Notes that were of no use here, so far. */
+    /** Number of notes dropped so far. */
     public long dropped() {
         return dropped;
     }
 
-    // ---- inside ----
+    // ---- internals ----
 
-    private void enter(double at, Runnable event) {
+    private void runEvent(double at, Runnable event) {
         now = Math.max(now, at);
         event.run();
         proposer.timer(now);
         follower.timer(now);
-        while (!later.isEmpty() && later.peek().at() <= now) {
-            queue.add(later.poll().task());
+        while (!scheduled.isEmpty() && scheduled.peek().at() <= now) {
+            queue.add(scheduled.poll().task());
         }
-        drain();
+        runQueuedTasks();
     }
 
-    private void drain() {
-        if (draining) {
-            return; // called from inside of a task by whoever was told something: the loop below gets there
+    private void runQueuedTasks() {
+        if (runningTasks) {
+            return; // called by a callback from inside of a task: the running loop below gets to it
         }
-        draining = true;
+        runningTasks = true;
         try {
             for (Runnable task = queue.poll(); task != null; task = queue.poll()) {
                 task.run();
             }
         } finally {
-            draining = false;
+            runningTasks = false;
         }
     }
 
-    private void own(Note note) {
+    private void handleOwn(Note note) {
         if (note instanceof Note.Proposed m) {
             proposer.heard(now, setup.self(), m);
         } else if (note instanceof Note.Agreed m) {
             follower.heard(now, setup.self(), m);
         } else if (note instanceof Note.Propose m) {
-            proposed(setup.self(), m, Proposal.read(m.operation()));
+            handleProposal(setup.self(), m, Proposal.decode(m.operation()));
         } else if (note instanceof Note.AgreedAsk m) {
-            asked(setup.self(), m);
+            handleRead(setup.self(), m);
         }
     }
 
-    private RaftMessage message(String from, byte[] bytes) {
-        RaftMessage message = EngineForm.message(bytes);
+    private RaftMessage decode(String from, byte[] bytes) {
+        RaftMessage message = RaftCodec.decode(bytes);
         if (!message.getGroupId().equals(setup.fleet())) {
             throw new Fault.OtherFleet((String) message.getGroupId());
         }
@@ -363,115 +366,115 @@
         return message;
     }
 
-    private void engine(RaftMessage message) {
-        boolean answer = message instanceof AppendEntriesSuccessResponse
+    private void handleRaftMessage(RaftMessage message) {
+        boolean response = message instanceof AppendEntriesSuccessResponse
                 || message instanceof AppendEntriesFailureResponse
                 || message instanceof InstallSnapshotResponse
                 || message instanceof VoteResponse
                 || message instanceof PreVoteResponse;
         if (!running
                 || fault != null
-                || answer && message.getTerm() < node.getTerm().getTerm()) {
+                || response && message.getTerm() < node.getTerm().getTerm()) {
             dropped++;
         } else {
             node.handle(message);
         }
     }
 
-    private void proposed(String from, Note.Propose note, Proposal proposal) {
+    private void handleProposal(String from, Note.Propose note, Proposal proposal) {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         if (!running || fault != null) {
-            notNow(proposal, note.nonce());
+            replyNotNow(proposal, note.nonce());
         } else if (leads()) {
-            if (!machines.knows(proposal.kind())) {
-                // Agreed on, it would stop every voter of this version.
+            if (!stateMachines.supports(proposal.kind())) {
+                // Once committed, it would stop every voter of this version.
                 outbox.send(
-                        proposal.by(),
+                        proposal.proposer(),
                         new Note.Proposed(
                                 note.nonce(),
                                 true,
-                                Outcome.refused(new Fault.UnknownEntry(Integer.toString(proposal.kind()))),
+                                Outcome.encodeRefused(new Fault.UnknownEntry(Integer.toString(proposal.kind()))),
                                 0));
                 return;
             }
-            node.<byte[]>replicate(note.operation()).whenComplete((agreed, failure) -> {
-                if (failure == null && agreed.getResult() != null) {
-                    outbox.send(proposal.by(), new Note.Proposed(note.nonce(), true, agreed.getResult(), 0));
+            node.<byte[]>replicate(note.operation()).whenComplete((committed, failure) -> {
+                if (failure == null && committed.getResult() != null) {
+                    outbox.send(proposal.proposer(), new Note.Proposed(note.nonce(), true, committed.getResult(), 0));
                 } else {
-                    notNow(proposal, note.nonce());
+                    replyNotNow(proposal, note.nonce());
                 }
             });
-        } else if (leader != null && from.equals(proposal.by())) {
-            outbox.send(Voter.nameOf(leader), note); // once: it answers the proposer itself
+        } else if (leader != null && from.equals(proposal.proposer())) {
+            outbox.send(Voter.nameOf(leader), note); // forwarded once; the leader answers the proposer directly
         } else {
-            notNow(proposal, note.nonce());
+            replyNotNow(proposal, note.nonce());
         }
     }
 
-    private void notNow(Proposal proposal, long nonce) {
-        outbox.send(proposal.by(), new Note.Proposed(nonce, false, new byte[0], AGAIN_MS));
+    private void replyNotNow(Proposal proposal, long nonce) {
+        outbox.send(proposal.proposer(), new Note.Proposed(nonce, false, new byte[0], RETRY_AFTER_MS));
     }
 
-    private void asked(String from, Note.AgreedAsk ask) {
+    private void handleRead(String from, Note.AgreedAsk request) {
         if (!running || fault != null) {
-            dropped++; // it may have missed something: silence sends the asker elsewhere
+            dropped++; // the state may be stale; without an answer the sender tries another voter
         } else if (!leads()) {
-            answer(from, ask, false);
+            sendState(from, request, false);
         } else {
-            waiting.put(from, ask);
-            question();
+            pendingReads.put(from, request);
+            startRead();
         }
     }
 
-    private void question() {
-        if (asking || waiting.isEmpty()) {
+    private void startRead() {
+        if (reading || pendingReads.isEmpty()) {
             return;
         }
-        asking = true;
-        Map<String, Note.AgreedAsk> answered = new LinkedHashMap<>(waiting);
-        waiting.clear();
-        node.query(QUESTION, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+        reading = true;
+        Map<String, Note.AgreedAsk> batch = new LinkedHashMap<>(pendingReads);
+        pendingReads.clear();
+        node.query(READ_BARRIER, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((done, failure) -> {
-                    asking = false;
-                    answered.forEach((from, ask) -> answer(from, ask, failure == null));
-                    queue.add(this::question);
+                    reading = false;
+                    batch.forEach((from, request) -> sendState(from, request, failure == null));
+                    queue.add(this::startRead);
                 });
     }
 
-    private void answer(String from, Note.AgreedAsk ask, boolean sure) {
+    private void sendState(String to, Note.AgreedAsk request, boolean linearizable) {
         if (fault != null) {
             return;
         }
-        if (ask.version() >= version()) {
-            outbox.send(from, new Note.Agreed(ask.nonce(), version(), sure, 0, 0, new byte[0]));
+        if (request.version() >= version()) {
+            outbox.send(to, new Note.Agreed(request.nonce(), version(), linearizable, 0, 0, new byte[0]));
             return;
         }
-        List<byte[]> pieces = pieces(machines.state());
-        for (int i = 0; i < pieces.size(); i++) {
-            outbox.send(from, new Note.Agreed(ask.nonce(), version(), sure, i, pieces.size(), pieces.get(i)));
+        List<byte[]> chunks = chunks(stateMachines.state());
+        for (int i = 0; i < chunks.size(); i++) {
+            outbox.send(to, new Note.Agreed(request.nonce(), version(), linearizable, i, chunks.size(), chunks.get(i)));
         }
     }
 
-    private static List<byte[]> pieces(byte[] all) {
-        List<byte[]> pieces = new ArrayList<>();
-        for (int at = 0; at == 0 || at < all.length; at += PIECE_BYTES) {
-            pieces.add(Arrays.copyOfRange(all, at, Math.min(all.length, at + PIECE_BYTES)));
+    private static List<byte[]> chunks(byte[] all) {
+        List<byte[]> chunks = new ArrayList<>();
+        for (int at = 0; at == 0 || at < all.length; at += CHUNK_BYTES) {
+            chunks.add(Arrays.copyOfRange(all, at, Math.min(all.length, at + CHUNK_BYTES)));
         }
-        return pieces;
+        return chunks;
     }
 
-    /** Takes part no more: nothing leaves the engine from now on. */
-    private void halt(Fault why) {
+    /** Stops participating: the engine sends nothing from now on. */
+    private void fail(Fault why) {
         if (fault == null) {
             fault = why;
             outbox.report(why.line());
-            waiting.clear();
+            pendingReads.clear();
             node.terminate();
         }
     }
 
-    /** The engine's tasks, run in order on the thread that calls us. */
-    private final class Queue implements RaftNodeExecutor {
+    /** Runs the engine's tasks in order on the caller's thread. */
+    private final class TaskQueue implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
             queue.add(task);
@@ -485,14 +488,14 @@
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
             if (running && fault == null) {
-                double ms = unit.toMicros(delay) / 1000.0 / SPEED * (1 + JITTER * random.nextDouble());
-                later.add(new Later(now + ms, order++, task));
+                double ms = unit.toMicros(delay) / 1000.0 / CLOCK_SPEEDUP * (1 + MAX_JITTER * random.nextDouble());
+                scheduled.add(new ScheduledTask(now + ms, nextSequence++, task));
             }
         }
     }
 
-    /** The relay's own clock as the engine reads it, faster by {@link #SPEED}. */
-    private final class Ticks extends Clock {
+    /** The relay's monotonic clock as the engine reads it, faster by {@link #CLOCK_SPEEDUP}. */
+    private final class EngineClock extends Clock {
         @Override
         public ZoneId getZone() {
             return ZoneOffset.UTC;
@@ -510,44 +513,44 @@
 
         @Override
         public long millis() {
-            return (long) (now * SPEED);
+            return (long) (now * CLOCK_SPEEDUP);
         }
     }
 
-    private final class Wire implements Transport {
+    private final class EngineTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
             if (fault == null) {
-                outbox.send(Voter.nameOf(to), new Note.Engine(EngineForm.bytes(message)));
+                outbox.send(Voter.nameOf(to), new Note.Engine(RaftCodec.encode(message)));
             }
         }
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            return true; // nobody knows; silence shows it
+            return true; // unknown; a missing answer shows it
         }
     }
 
-    private final class Machine implements StateMachine {
+    private final class EngineStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
-            if (operation == QUESTION || ((byte[]) operation).length == 0 || fault != null) {
+            if (operation == READ_BARRIER || ((byte[]) operation).length == 0 || fault != null) {
                 return null;
             }
             try {
-                return machines.apply(index, (byte[]) operation);
+                return stateMachines.apply(index, (byte[]) operation);
             } catch (Fault e) {
-                halt(e);
+                fail(e);
                 throw e;
             }
         }
 
         @Override
-        public void takeSnapshot(long index, Consumer<Object> chunks) {
+        public void takeSnapshot(long index, Consumer<Object> consumer) {
             if (fault != null) {
-                throw fault; // it would pass for one that holds what could not be applied
+                throw fault; // the snapshot would claim to contain an operation that could not be applied
             }
-            pieces(machines.snapshot()).forEach(chunks);
+            chunks(stateMachines.snapshot()).forEach(consumer);
         }
 
         @Override
@@ -559,91 +562,91 @@
             byte[] all = new byte[length];
             int at = 0;
             for (Object chunk : chunks) {
-                byte[] piece = (byte[]) chunk;
-                System.arraycopy(piece, 0, all, at, piece.length);
-                at += piece.length;
+                byte[] bytes = (byte[]) chunk;
+                System.arraycopy(bytes, 0, all, at, bytes.length);
+                at += bytes.length;
             }
             try {
-                machines.restore(all);
+                stateMachines.restore(all);
             } catch (Fault e) {
-                halt(e);
+                fail(e);
                 throw e;
             }
         }
 
         @Override
         public Object getNewTermOperation() {
-            return NO_OPERATION; // entries of terms before are agreed only behind one of the leader's own
+            return NO_OPERATION; // entries of earlier terms are committed only together with one of the current term
         }
     }
 
-    private interface Step {
+    private interface StoreCall {
         void run() throws IOException;
     }
 
-    /** The store; its first failure is the voter's end. */
-    private final class Watched implements RaftStore {
+    /** Passes calls to a store; the first failure stops the voter. */
+    private final class FailStopStore implements RaftStore {
         private final RaftStore store;
 
-        private Watched(RaftStore store) {
+        private FailStopStore(RaftStore store) {
             this.store = store;
         }
 
-        private void step(Step step) throws IOException {
+        private void call(StoreCall call) throws IOException {
             if (fault != null) {
                 throw new IOException(fault.getMessage());
             }
             try {
-                step.run();
+                call.run();
             } catch (IOException e) {
-                halt(new Fault.LedgerUnwritten(e.getMessage()));
+                fail(new Fault.LedgerUnwritten(e.getMessage()));
                 throw e;
             }
         }
 
         @Override
         public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-            step(() -> store.persistAndFlushLocalEndpoint(state));
+            call(() -> store.persistAndFlushLocalEndpoint(state));
         }
 
         @Override
         public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-            step(() -> store.persistAndFlushInitialGroupMembers(members));
+            call(() -> store.persistAndFlushInitialGroupMembers(members));
         }
 
         @Override
         public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-            step(() -> store.persistAndFlushTerm(state));
+            call(() -> store.persistAndFlushTerm(state));
         }
 
         @Override
         public void persistLogEntries(List<LogEntry> entries) throws IOException {
-            step(() -> store.persistLogEntries(entries));
+            call(() -> store.persistLogEntries(entries));
         }
 
         @Override
         public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-            step(() -> store.persistSnapshotChunk(chunk));
+            call(() -> store.persistSnapshotChunk(chunk));
         }
 
         @Override
         public void truncateLogEntriesFrom(long index) throws IOException {
-            step(() -> store.truncateLogEntriesFrom(index));
+            call(() -> store.truncateLogEntriesFrom(index));
         }
 
         @Override
         public void truncateLogEntriesUntil(long index) throws IOException {
-            step(() -> store.truncateLogEntriesUntil(index));
+            call(() -> store.truncateLogEntriesUntil(index));
         }
 
         @Override
         public void deleteSnapshotChunks(long index, int count) throws IOException {
-            step(() -> store.deleteSnapshotChunks(index, count));
+            call(() -> store.deleteSnapshotChunks(index, count));
         }
 
         @Override
         public void flush() throws IOException {
-            step(store::flush);
+            call(store::flush);
         }
     }
 }
--- a/src/main/java/firstair/fleet/ledger/LedgerMemory.java
+++ b/src/main/java/firstair/fleet/ledger/LedgerMemory.java
@@ -17,19 +17,20 @@
 import java.util.TreeMap;
 
 /**
- * What a voter must not forget: whose ledger it is, the term, the vote in it, the entries, the newest snapshot. It is
- * a sequence of changes as bytes; a {@link Keeper} keeps them, {@link #of} takes them back. Every prefix of the
- * changes is a memory that this voter has had, so one whose last changes were cut off is whole.
+ * The persistent Raft state of a voter: fleet and voter names, the term, the vote in it, the log entries, the newest
+ * snapshot. It is stored as a sequence of encoded changes, which a {@link Keeper} stores and {@link #of} replays. Every
+ * prefix of the changes is a state that this voter has had, so a sequence whose last changes were cut off is valid.
  */
 public final class LedgerMemory {
+    /** Encoded by ordinal: the order is part of the stored format. */
     private enum Type {
-        FOUNDED,
+        CREATED,
         TERM,
         ENTRY,
-        CUT_FROM,
-        CUT_UNTIL,
-        CHUNK,
-        CHUNKS_GONE
+        TRUNCATE_FROM,
+        TRUNCATE_UNTIL,
+        SNAPSHOT_CHUNK,
+        SNAPSHOT_DELETED
     }
 
     private String fleet;
@@ -42,7 +43,7 @@
 
     private LedgerMemory() {}
 
-    /** The memory of a voter that starts for the first time. */
+    /** The initial state of a voter that starts for the first time. */
     public static LedgerMemory founded(String fleet, String self, List<String> voters) {
         LedgerMemory memory = new LedgerMemory();
         memory.fleet = fleet;
@@ -52,88 +53,87 @@
     }
 
     /**
-     * Takes back what was kept.
+     * Replays stored changes.
      *
-     * @throws Fault.Unreadable if these are not the changes of a memory
+     * @throws Fault.Unreadable if they don't yield the state of a voter
      */
     public static LedgerMemory of(Iterable<byte[]> changes) {
         LedgerMemory memory = new LedgerMemory();
-        changes.forEach(memory::take);
+        changes.forEach(memory::apply);
         if (memory.fleet == null) {
-            throw new Fault.Unreadable("nobody's ledger");
+            throw new Fault.Unreadable("a ledger without fleet and voter");
         }
-        memory.restored();
+        memory.restoredState();
         return memory;
     }
 
-    /** Name of the fleet whose ledger it is. */
+    /** Name of the fleet that the ledger belongs to. */
     public String fleet() {
         return fleet;
     }
 
-    /** Name of the voter whose memory it is. */
+    /** Name of the voter that the state belongs to. */
     public String self() {
         return self;
     }
 
-    /** All voters. */
+    /** Names of all voters. */
     public List<String> voters() {
         return voters;
     }
 
-    /** The newest term that it has seen. */
+    /** The newest term that the voter has seen. */
     public int term() {
         return term;
     }
 
-    /** Whom it has given its vote in this term; null if nobody. */
+    /** The candidate that got its vote in this term; null if none. */
     public String votedFor() {
         return votedFor;
     }
 
-    /** Index of the last entry, or of the newest snapshot if that reaches farther; 0 if there is neither. */
+    /** Index of the last entry, or of the newest complete snapshot if that is higher; 0 if there is neither. */
     public long last() {
-        return Math.max(entries.isEmpty() ? 0 : entries.lastKey(), snapshot() < 0 ? 0 : snapshot());
+        return Math.max(entries.isEmpty() ? 0 : entries.lastKey(), newestSnapshot() < 0 ? 0 : newestSnapshot());
     }
 
-    /** Takes one change. */
-    private void take(byte[] change) {
-        Packed.Reader in = new Packed.Reader(change);
-        int number = in.whole();
-        if (number >= Type.values().length || (fleet == null) != (number == Type.FOUNDED.ordinal())) {
-            throw new Fault.Unreadable("a change of type " + number);
+    private void apply(byte[] change) {
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(change);
+        int typeNumber = in.nonNegativeInt();
+        if (typeNumber >= Type.values().length || (fleet == null) != (typeNumber == Type.CREATED.ordinal())) {
+            throw new Fault.Unreadable("a change of type " + typeNumber);
         }
-        switch (Type.values()[number]) {
-            case FOUNDED -> {
+        switch (Type.values()[typeNumber]) {
+            case CREATED -> {
                 fleet = in.text();
                 self = in.text();
                 voters = List.copyOf(in.texts());
             }
             case TERM -> {
-                term = in.whole();
+                term = in.nonNegativeInt();
                 votedFor = in.textOrNull();
             }
             case ENTRY -> {
-                LogEntry entry = EngineForm.entry(in);
+                LogEntry entry = RaftCodec.entry(in);
                 entries.put(entry.getIndex(), entry);
             }
-            case CUT_FROM -> entries.tailMap(in.count(), true).clear();
-            case CUT_UNTIL -> entries.headMap(in.count(), true).clear();
-            case CHUNK -> {
-                SnapshotChunk chunk = EngineForm.chunk(in);
+            case TRUNCATE_FROM -> entries.tailMap(in.nonNegativeLong(), true).clear();
+            case TRUNCATE_UNTIL -> entries.headMap(in.nonNegativeLong(), true).clear();
+            case SNAPSHOT_CHUNK -> {
+                SnapshotChunk chunk = RaftCodec.chunk(in);
                 snapshots
                         .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
-                snapshots.headMap(snapshot(), false).clear(); // those before the newest whole one
+                snapshots.headMap(newestSnapshot(), false).clear(); // superseded by the newest complete one
             }
-            case CHUNKS_GONE -> snapshots.remove(in.count());
-            default -> throw new Fault.Unreadable("a change of type " + number);
+            case SNAPSHOT_DELETED -> snapshots.remove(in.nonNegativeLong());
+            default -> throw new Fault.Unreadable("a change of type " + typeNumber);
         }
-        in.end();
+        in.expectEnd();
     }
 
-    /** Index of the newest snapshot of which all pieces are there, or -1. */
-    private long snapshot() {
+    /** Index of the newest snapshot of which all chunks are there, or -1. */
+    private long newestSnapshot() {
         for (Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> s :
                 snapshots.descendingMap().entrySet()) {
             if (s.getValue().size() == s.getValue().firstEntry().getValue().getSnapshotChunkCount()) {
@@ -143,59 +143,61 @@
         return -1;
     }
 
-    /** All that is held, as few changes as tell it. */
+    /** The shortest sequence of changes that yields the current state. */
     public List<byte[]> changes() {
         List<byte[]> all = new ArrayList<>();
-        all.add(change(Type.FOUNDED).text(fleet).text(self).texts(voters).done());
-        all.add(change(Type.TERM).number(term).text(votedFor).done());
+        all.add(change(Type.CREATED).text(fleet).text(self).texts(voters).toBytes());
+        all.add(change(Type.TERM).number(term).text(votedFor).toBytes());
         snapshots.values().forEach(s -> s.values()
-                .forEach(c -> all.add(EngineForm.chunk(change(Type.CHUNK), c).done())));
+                .forEach(c ->
+                        all.add(RaftCodec.chunk(change(Type.SNAPSHOT_CHUNK), c).toBytes())));
         entries.values()
-                .forEach(e -> all.add(EngineForm.entry(change(Type.ENTRY), e).done()));
+                .forEach(e -> all.add(RaftCodec.entry(change(Type.ENTRY), e).toBytes()));
         return all;
     }
 
-    private static Packed.Writer change(Type type) {
-        return new Packed.Writer().number(type.ordinal());
+    private static MessagePackFormat.Writer change(Type type) {
+        return new MessagePackFormat.Writer().number(type.ordinal());
     }
 
-    /** What the engine starts from. */
-    RestoredRaftState restored() {
-        long whole = snapshot();
+    /** The state for the engine to start from. */
+    RestoredRaftState restoredState() {
+        long snapshotIndex = newestSnapshot();
         SnapshotEntry snapshot = null;
-        if (whole >= 0) {
-            List<SnapshotChunk> chunks = List.copyOf(snapshots.get(whole).values());
-            snapshot = EngineForm.MODEL
+        if (snapshotIndex >= 0) {
+            List<SnapshotChunk> chunks =
+                    List.copyOf(snapshots.get(snapshotIndex).values());
+            snapshot = RaftCodec.MODEL
                     .createSnapshotEntryBuilder()
-                    .setIndex(whole)
+                    .setIndex(snapshotIndex)
                     .setTerm(chunks.get(0).getTerm())
                     .setSnapshotChunks(chunks)
                     .setGroupMembersView(chunks.get(0).getGroupMembersView())
                     .build();
         }
-        List<LogEntry> behind =
-                new ArrayList<>(entries.tailMap(Math.max(0, whole), false).values());
-        long next = Math.max(0, whole) + 1;
-        for (LogEntry e : behind) {
-            if (e.getIndex() != next) {
-                throw new Fault.Unreadable("entry " + next + " is missing");
+        List<LogEntry> entriesAfter = new ArrayList<>(
+                entries.tailMap(Math.max(0, snapshotIndex), false).values());
+        long next = Math.max(0, snapshotIndex) + 1;
+        for (LogEntry entry : entriesAfter) {
+            if (entry.getIndex() != next) {
+                throw new Fault.Unreadable("log entry " + next + " is missing");
             }
             next++;
         }
-        RaftEndpointPersistentState own = EngineForm.MODEL
+        RaftEndpointPersistentState own = RaftCodec.MODEL
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new Voter(self))
                 .setVoting(true)
                 .build();
-        RaftTermPersistentState vote = EngineForm.MODEL
+        RaftTermPersistentState vote = RaftCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(votedFor == null ? null : new Voter(votedFor))
                 .build();
-        return new RestoredRaftState(own, EngineForm.members(0, voters, voters), vote, snapshot, behind);
+        return new RestoredRaftState(own, RaftCodec.members(0, voters, voters), vote, snapshot, entriesAfter);
     }
 
-    /** What the engine writes to: each change is taken here and handed to the keeper. */
+    /** A store for the engine, which applies each change here and passes it to the keeper. */
     RaftStore store(Keeper keeper) {
         return new Store(keeper);
     }
@@ -207,16 +209,16 @@
             this.keeper = keeper;
         }
 
-        private void keep(Packed.Writer change) throws IOException {
-            byte[] bytes = change.done();
-            take(bytes);
+        private void append(MessagePackFormat.Writer change) throws IOException {
+            byte[] bytes = change.toBytes();
+            apply(bytes);
             keeper.keep(bytes);
         }
 
         @Override
         public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
             if (!state.isVoting() || !Voter.nameOf(state.getLocalEndpoint()).equals(self)) {
-                throw new IOException("the engine takes itself for another voter");
+                throw new IOException("the engine reports another local voter");
             }
         }
 
@@ -227,41 +229,41 @@
                 names.add(Voter.nameOf(e));
             }
             if (!names.containsAll(voters) || names.size() != voters.size()) {
-                throw new IOException("the engine takes others for voters");
+                throw new IOException("the engine reports other voters");
             }
         }
 
         @Override
         public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-            keep(change(Type.TERM).number(state.getTerm()).text(Voter.nameOf(state.getVotedFor())));
+            append(change(Type.TERM).number(state.getTerm()).text(Voter.nameOf(state.getVotedFor())));
             keeper.force();
         }
 
         @Override
         public void persistLogEntries(List<LogEntry> all) throws IOException {
             for (LogEntry e : all) {
-                keep(EngineForm.entry(change(Type.ENTRY), e));
+                append(RaftCodec.entry(change(Type.ENTRY), e));
             }
         }
 
         @Override
         public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-            keep(EngineForm.chunk(change(Type.CHUNK), chunk));
+            append(RaftCodec.chunk(change(Type.SNAPSHOT_CHUNK), chunk));
         }
 
         @Override
         public void truncateLogEntriesFrom(long index) throws IOException {
-            keep(change(Type.CUT_FROM).number(index));
+            append(change(Type.TRUNCATE_FROM).number(index));
         }
 
         @Override
         public void truncateLogEntriesUntil(long index) throws IOException {
-            keep(change(Type.CUT_UNTIL).number(index));
+            append(change(Type.TRUNCATE_UNTIL).number(index));
         }
 
         @Override
         public void deleteSnapshotChunks(long index, int count) throws IOException {
-            keep(change(Type.CHUNKS_GONE).number(index));
+            append(change(Type.SNAPSHOT_DELETED).number(index));
         }
 
         @Override
--- a/src/main/java/firstair/fleet/ledger/MemoryKeeper.java
+++ b/src/main/java/firstair/fleet/ledger/MemoryKeeper.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Keeps changes in memory, for fleets in one process. It can lose what was not forced, as a killed process does. */
+/** Keeps changes in memory, for fleets simulated in one process. Can lose unforced changes like a killed process. */
 public final class MemoryKeeper implements Keeper {
     private List<byte[]> changes;
-    private int forced;
-    private int forces;
+    private int forcedCount;
+    private int forceCalls;
 
-    /** Begins with all that the memory holds, forced. */
+    /** Starts with all changes of the memory, as if forced. */
     public MemoryKeeper(LedgerMemory memory) {
         changes = new ArrayList<>(memory.changes());
-        forced = changes.size();
+        forcedCount = changes.size();
     }
 
     @Override
@@ -23,22 +23,22 @@
 
     @Override
     public void force() {
-        forced = changes.size();
-        forces++;
-        if (changes.size() > 4096) { // the same, told in fewer changes
+        forcedCount = changes.size();
+        forceCalls++;
+        if (changes.size() > 4096) { // compacts to the fewest changes with the same state
             changes = new ArrayList<>(LedgerMemory.of(changes).changes());
-            forced = changes.size();
+            forcedCount = changes.size();
         }
     }
 
-    /** How often {@link #force} was called. */
-    public int forces() {
-        return forces;
+    /** Number of calls to {@link #force}. */
+    public int forceCalls() {
+        return forceCalls;
     }
 
-    /** What a process finds that starts after this one was killed: all that was forced, and some of the rest. */
+    /** What the next process finds after a kill: all forced changes, and a random number of the others. */
     public LedgerMemory killed(RandomGenerator random) {
-        int left = forced + random.nextInt(changes.size() - forced + 1);
-        return LedgerMemory.of(changes.subList(0, left));
+        int survivors = forcedCount + random.nextInt(changes.size() - forcedCount + 1);
+        return LedgerMemory.of(changes.subList(0, survivors));
     }
 }
--- a/src/main/java/firstair/fleet/ledger/Packed.java
+++ b/src/main/java/firstair/fleet/ledger/MessagePackFormat.java
@@ -11,37 +11,37 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** Values one behind the other in MessagePack. Reading any bytes ends in values or in {@link Fault.Unreadable}. */
-final class Packed {
+/** A sequence of values in MessagePack. Reading arbitrary bytes yields values or throws {@link Fault.Unreadable}. */
+final class MessagePackFormat {
 
     /** Writes values. */
     static final class Writer {
         private final MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
 
-        private interface Step {
+        private interface Write {
             void run() throws IOException;
         }
 
-        private Writer step(Step step) {
+        private Writer unchecked(Write write) {
             try {
-                step.run();
+                write.run();
                 return this;
             } catch (IOException e) {
-                throw new UncheckedIOException(e); // a buffer in memory raises none
+                throw new UncheckedIOException(e); // a buffer in memory throws none
             }
         }
 
         Writer number(long value) {
-            return step(() -> packer.packLong(value));
+            return unchecked(() -> packer.packLong(value));
         }
 
         Writer flag(boolean value) {
-            return step(() -> packer.packBoolean(value));
+            return unchecked(() -> packer.packBoolean(value));
         }
 
-        /** A text, or null. */
+        /** Writes a text, or null. */
         Writer text(String value) {
-            return step(() -> {
+            return unchecked(() -> {
                 if (value == null) {
                     packer.packNil();
                 } else {
@@ -51,7 +51,7 @@
         }
 
         Writer bytes(byte[] value) {
-            return step(() -> packer.packBinaryHeader(value.length).writePayload(value));
+            return unchecked(() -> packer.packBinaryHeader(value.length).writePayload(value));
         }
 
         Writer texts(Collection<String> values) {
@@ -60,7 +60,7 @@
             return this;
         }
 
-        byte[] done() {
+        byte[] toBytes() {
             return packer.toByteArray();
         }
     }
@@ -75,53 +75,52 @@
             length = bytes.length;
         }
 
-        private interface Step<T> {
+        private interface Read<T> {
             T run() throws IOException;
         }
 
-        private <T> T step(Step<T> step) {
+        private <T> T checked(Read<T> read) {
             try {
-                return step.run();
+                return read.run();
             } catch (IOException | MessagePackException e) {
                 throw new Fault.Unreadable("byte " + unpacker.getTotalReadBytes());
             }
         }
 
         long number() {
-            return step(unpacker::unpackLong);
+            return checked(unpacker::unpackLong);
         }
 
-        /** A number that is not negative. */
-        long count() {
+        long nonNegativeLong() {
             long value = number();
             if (value < 0) {
-                throw new Fault.Unreadable("a count below zero");
+                throw new Fault.Unreadable("a negative number");
             }
             return value;
         }
 
-        /** How many values follow; each takes a byte at least, so no more than there are bytes. */
-        int size() {
-            long value = count();
+        /** Reads how many values follow; each takes at least a byte, so it cannot exceed the length of the input. */
+        int listSize() {
+            long value = nonNegativeLong();
             if (value > length) {
-                throw new Fault.Unreadable("more values than bytes");
+                throw new Fault.Unreadable("more values announced than bytes available");
             }
             return (int) value;
         }
 
-        int whole() {
-            long value = count();
+        int nonNegativeInt() {
+            long value = nonNegativeLong();
             if (value > Integer.MAX_VALUE) {
-                throw new Fault.Unreadable("a number too high");
+                throw new Fault.Unreadable("a number exceeds the range of int");
             }
             return (int) value;
         }
 
         boolean flag() {
-            return step(unpacker::unpackBoolean);
+            return checked(unpacker::unpackBoolean);
         }
 
-        /** A text that is there. */
+        /** Reads a text; null is an error. */
         String text() {
             String value = textOrNull();
             if (value == null) {
@@ -131,14 +130,14 @@
         }
 
         String textOrNull() {
-            return step(() -> unpacker.tryUnpackNil() ? null : unpacker.unpackString());
+            return checked(() -> unpacker.tryUnpackNil() ? null : unpacker.unpackString());
         }
 
         byte[] bytes() {
-            return step(() -> {
+            return checked(() -> {
                 int size = unpacker.unpackBinaryHeader();
-                if (size < 0 || size > length) { // told before any room is made for it
-                    throw new Fault.Unreadable("more bytes told than there are");
+                if (size < 0 || size > length) { // checked before memory is allocated for it
+                    throw new Fault.Unreadable("more bytes announced than available");
                 }
                 return unpacker.readPayload(size);
             });
@@ -146,19 +145,19 @@
 
         List<String> texts() {
             List<String> values = new ArrayList<>();
-            for (int n = size(); n > 0; n--) {
+            for (int n = listSize(); n > 0; n--) {
                 values.add(text());
             }
             return values;
         }
 
-        /** Nothing may follow. */
-        void end() {
-            if (step(unpacker::hasNext)) {
-                throw new Fault.Unreadable("bytes behind its end");
+        /** Checks that the input has been read to its end. */
+        void expectEnd() {
+            if (checked(unpacker::hasNext)) {
+                throw new Fault.Unreadable("bytes after the end");
             }
         }
     }
 
-    private Packed() {}
+    private MessagePackFormat() {}
 }
--- a/src/main/java/firstair/fleet/ledger/Outcome.java
+++ b/src/main/java/firstair/fleet/ledger/Outcome.java
@@ -2,45 +2,45 @@
 
 import firstair.fleet.fault.Fault;
 
-/** What came of a proposal. */
+/** The outcome of a proposal. */
 public sealed interface Outcome {
 
-    /** It is agreed, once, and this is the machine's result. */
+    /** The operation was committed and applied once; {@code result} is what the state machine returned. */
     record Agreed(byte[] result) implements Outcome {}
 
-    /** It is agreed that it changes nothing: the code, the text and the step of the fault that the machine raised. */
+    /** The operation was rejected and changed nothing: code, message and remedy of the state machine's fault. */
     record Refused(String code, String what, String step) implements Outcome {}
 
     /**
-     * No majority could be heard in time. The proposal may still come to be agreed later, once at most; who proposes
-     * the same again should name things so that doing it twice does no harm.
+     * No quorum was reachable in time. The proposal may still be committed later, at most once; whoever proposes the
+     * same again should make the operation idempotent.
      */
     record NotNow(Fault.NotNow fault) implements Outcome {}
 
-    /** The bytes in which voters tell what came of a proposal. */
-    static byte[] agreed(byte[] result) {
-        return new Packed.Writer().flag(true).bytes(result).done();
+    /** Encodes {@link Agreed}. */
+    static byte[] encodeAgreed(byte[] result) {
+        return new MessagePackFormat.Writer().flag(true).bytes(result).toBytes();
     }
 
-    /** The bytes in which voters tell that a proposal is refused. */
-    static byte[] refused(Fault fault) {
-        return new Packed.Writer()
+    /** Encodes {@link Refused}. */
+    static byte[] encodeRefused(Fault fault) {
+        return new MessagePackFormat.Writer()
                 .flag(false)
                 .text(fault.code())
                 .text(fault.getMessage())
                 .text(fault.step())
-                .done();
+                .toBytes();
     }
 
     /**
-     * Reads what {@link #agreed} or {@link #refused} wrote.
+     * Decodes what {@link #encodeAgreed} or {@link #encodeRefused} wrote.
      *
-     * @throws Fault.Unreadable if it is neither
+     * @throws Fault.Unreadable if the bytes are neither
      */
-    static Outcome read(byte[] bytes) {
-        Packed.Reader in = new Packed.Reader(bytes);
+    static Outcome decode(byte[] bytes) {
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(bytes);
         Outcome outcome = in.flag() ? new Agreed(in.bytes()) : new Refused(in.text(), in.text(), in.text());
-        in.end();
+        in.expectEnd();
         return outcome;
     }
 }
--- a/src/main/java/firstair/fleet/ledger/Proposer.java
+++ b/src/main/java/firstair/fleet/ledger/Proposer.java
@@ -12,129 +12,130 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Has operations agreed on: hands them to a voter, to another one where that is silent or hears no majority, and
- * says what came of them. Each has an id, so that it counts once however often it is handed over. Times are
- * milliseconds of the caller's own advancing clock.
+ * Proposes operations: sends them to a voter, tries the next voter if that one doesn't answer or reaches no quorum,
+ * and reports the outcome. Each operation has an id, so that it is applied once however often it is sent. Times are
+ * milliseconds on the caller's monotonic clock.
  */
 public final class Proposer {
-    /** Open at a time; half of what {@link Agreements} remembers, so that no open one is forgotten there. */
-    static final int MOST = Agreements.KEPT / 2;
+    /** Half of the results that {@link Agreements} keeps, so that none of an open proposal is evicted there. */
+    static final int MAX_OPEN = Agreements.MAX_RESULTS_PER_MEMBER / 2;
 
     private static final double RETRY_MS = 500; // an answer takes two round trips and two writes to disk
-    private static final double PATIENCE_MS = 8000; // a leader that died is followed by another one in this time
-    private static final double AGAIN_MS = 2000; // an election later
+    private static final double TIMEOUT_MS = 8000; // a failed leader is replaced within this time
+    private static final double RETRY_AFTER_MS = 2000; // about the time of an election
 
-    private static final class Open {
+    private static final class OpenProposal {
         private final byte[] bytes;
-        private final Consumer<Outcome> done;
-        private final double until;
+        private final Consumer<Outcome> callback;
+        private final double deadline;
         private double retryAt;
 
-        private Open(byte[] bytes, Consumer<Outcome> done, double until) {
+        private OpenProposal(byte[] bytes, Consumer<Outcome> callback, double deadline) {
             this.bytes = bytes;
-            this.done = done;
-            this.until = until;
+            this.callback = callback;
+            this.deadline = deadline;
         }
     }
 
     private final Setup setup;
     private final long incarnation;
     private final Outbox outbox;
-    private final long offset; // nonces of another process of ours differ
-    private final Map<Long, Open> open = new LinkedHashMap<>();
-    private long number;
-    private int voter;
+    private final long nonceOffset; // random, so that nonces differ from those of our earlier processes
+    private final Map<Long, OpenProposal> open = new LinkedHashMap<>();
+    private long lastNumber;
+    private int voterIndex;
 
-    /** @param incarnation of this process, higher than of all before it under our name */
+    /** @param incarnation of this process, higher than that of all earlier ones with this name */
     public Proposer(Setup setup, long incarnation, Outbox outbox, RandomGenerator random) {
         this.setup = setup;
         this.incarnation = incarnation;
         this.outbox = outbox;
-        this.offset = random.nextLong();
+        this.nonceOffset = random.nextLong();
         int own = setup.voters().indexOf(setup.self());
-        this.voter = own >= 0 ? own : random.nextInt(setup.voters().size());
+        this.voterIndex = own >= 0 ? own : random.nextInt(setup.voters().size());
     }
 
     /**
      * Proposes an operation.
      *
      * @param operation its kind in the first byte, as {@link Agreements#operation} writes it
-     * @param done      is told once what came of it, {@link Outcome.NotNow} at the latest after 8 s
-     * @throws Fault.TooLarge if it is longer than operations may be
+     * @param callback  called once with the outcome; with {@link Outcome.NotNow} after 8 s at the latest
+     * @throws Fault.TooLarge if the operation is too long
      */
-    public void propose(double now, byte[] operation, Consumer<Outcome> done) {
+    public void propose(double now, byte[] operation, Consumer<Outcome> callback) {
         if (operation.length == 0) {
             throw new Fault.Unreadable("an operation without a kind");
         }
-        if (operation.length > Proposal.MOST_BYTES) {
-            throw new Fault.TooLarge(operation.length, Proposal.MOST_BYTES);
+        if (operation.length > Proposal.MAX_OPERATION_BYTES) {
+            throw new Fault.TooLarge(operation.length, Proposal.MAX_OPERATION_BYTES);
         }
-        if (!open.isEmpty() && number + 1 - open.keySet().iterator().next() >= MOST) {
-            done.accept(new Outcome.NotNow(new Fault.NotNow(AGAIN_MS)));
+        if (!open.isEmpty() && lastNumber + 1 - open.keySet().iterator().next() >= MAX_OPEN) {
+            callback.accept(new Outcome.NotNow(new Fault.NotNow(RETRY_AFTER_MS)));
             return;
         }
-        number++;
-        Open o = new Open(new Proposal(setup.self(), incarnation, number, operation).bytes(), done, now + PATIENCE_MS);
-        open.put(number, o);
-        send(now, number, o);
+        lastNumber++;
+        OpenProposal proposal = new OpenProposal(
+                new Proposal(setup.self(), incarnation, lastNumber, operation).encode(), callback, now + TIMEOUT_MS);
+        open.put(lastNumber, proposal);
+        send(now, lastNumber, proposal);
     }
 
-    private void send(double now, long id, Open o) {
-        o.retryAt = Math.min(o.until, now + RETRY_MS);
-        outbox.send(setup.voters().get(voter), new Note.Propose(offset + id, o.bytes));
+    private void send(double now, long id, OpenProposal proposal) {
+        proposal.retryAt = Math.min(proposal.deadline, now + RETRY_MS);
+        outbox.send(setup.voters().get(voterIndex), new Note.Propose(nonceOffset + id, proposal.bytes));
     }
 
     /**
-     * An answer has come; one to nothing that is open is dropped.
+     * Receives an answer; it is dropped if no open proposal matches.
      *
-     * @throws Fault.Unreadable if its result is none
+     * @throws Fault.Unreadable if its result cannot be decoded
      */
     public void heard(double now, String from, Note.Proposed note) {
-        Open o = open.get(note.nonce() - offset);
-        if (o == null || !setup.voters().contains(from)) {
+        OpenProposal proposal = open.get(note.nonce() - nonceOffset);
+        if (proposal == null || !setup.voters().contains(from)) {
             return;
         }
         if (note.done()) {
-            final Outcome outcome = Outcome.read(note.result());
-            open.remove(note.nonce() - offset);
-            voter = setup.voters().indexOf(from);
-            o.done.accept(outcome);
-        } else if (from.equals(setup.voters().get(voter))) {
-            next();
+            final Outcome outcome = Outcome.decode(note.result());
+            open.remove(note.nonce() - nonceOffset);
+            voterIndex = setup.voters().indexOf(from);
+            proposal.callback.accept(outcome);
+        } else if (from.equals(setup.voters().get(voterIndex))) {
+            nextVoter();
             double wait = note.againAfterMs();
-            o.retryAt = Math.min(o.retryAt, now + (wait >= 0 ? wait : RETRY_MS));
+            proposal.retryAt = Math.min(proposal.retryAt, now + (wait >= 0 ? wait : RETRY_MS));
         }
     }
 
-    private void next() {
-        voter = (voter + 1) % setup.voters().size();
+    private void nextVoter() {
+        voterIndex = (voterIndex + 1) % setup.voters().size();
     }
 
-    /** Tries again what has had no answer, and gives up what has had none for too long. */
+    /** Sends unanswered proposals again, and fails those past their deadline. */
     public void timer(double now) {
-        boolean silent = false;
-        List<Open> over = new ArrayList<>();
-        for (Map.Entry<Long, Open> e : List.copyOf(open.entrySet())) {
-            Open o = e.getValue();
-            if (o.until <= now) {
-                open.remove(e.getKey());
-                over.add(o);
-            } else if (o.retryAt <= now) {
-                if (!silent) {
-                    silent = true;
-                    next();
+        boolean switched = false;
+        List<OpenProposal> expired = new ArrayList<>();
+        for (Map.Entry<Long, OpenProposal> entry : List.copyOf(open.entrySet())) {
+            OpenProposal proposal = entry.getValue();
+            if (proposal.deadline <= now) {
+                open.remove(entry.getKey());
+                expired.add(proposal);
+            } else if (proposal.retryAt <= now) {
+                if (!switched) {
+                    switched = true;
+                    nextVoter();
                 }
-                send(now, e.getKey(), o);
+                send(now, entry.getKey(), proposal);
             }
         }
-        over.forEach(o -> o.done.accept(new Outcome.NotNow(new Fault.NotNow(AGAIN_MS))));
+        expired.forEach(p -> p.callback.accept(new Outcome.NotNow(new Fault.NotNow(RETRY_AFTER_MS))));
     }
 
-    /** When {@link #timer} has something to do, if nothing is heard until then; infinite if never. */
+    /** When {@link #timer} has to be called next if no answer arrives before; infinite if never. */
     public double wakeAt() {
         double at = Double.POSITIVE_INFINITY;
-        for (Open o : open.values()) {
-            at = Math.min(at, Math.min(o.retryAt, o.until));
+        for (OpenProposal proposal : open.values()) {
+            at = Math.min(at, Math.min(proposal.retryAt, proposal.deadline));
         }
         return at;
     }
--- a/src/main/java/firstair/fleet/ledger/EngineForm.java
+++ b/src/main/java/firstair/fleet/ledger/RaftCodec.java
@@ -24,29 +24,30 @@
 import java.util.List;
 import java.util.Set;
 
-/** The engine's messages, entries and pieces of snapshots as bytes and back. Operations are bytes throughout. */
-final class EngineForm {
+/** Encodes and decodes messages, log entries and snapshot chunks of the Raft engine. Operations are byte arrays. */
+final class RaftCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
+    /** Encoded by ordinal: the order is part of the wire format. */
     private enum Type {
         APPEND,
-        APPENDED,
-        NOT_APPENDED,
-        INSTALL,
-        INSTALLED,
+        APPEND_SUCCESS,
+        APPEND_FAILURE,
+        INSTALL_SNAPSHOT,
+        INSTALL_SNAPSHOT_RESPONSE,
         PRE_VOTE,
-        PRE_VOTED,
+        PRE_VOTE_RESPONSE,
         VOTE,
-        VOTED,
-        TAKE_THE_LEAD
+        VOTE_RESPONSE,
+        TRIGGER_ELECTION
     }
 
-    private EngineForm() {}
+    private RaftCodec() {}
 
-    static byte[] bytes(RaftMessage message) {
-        Packed.Writer out = new Packed.Writer();
+    static byte[] encode(RaftMessage message) {
+        MessagePackFormat.Writer out = new MessagePackFormat.Writer();
         if (message instanceof AppendEntriesRequest m) {
-            head(out, Type.APPEND, m)
+            header(out, Type.APPEND, m)
                     .number(m.getPreviousLogTerm())
                     .number(m.getPreviousLogIndex())
                     .number(m.getCommitIndex())
@@ -55,17 +56,17 @@
                     .number(m.getLogEntries().size());
             m.getLogEntries().forEach(e -> entry(out, e));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            head(out, Type.APPENDED, m)
+            header(out, Type.APPEND_SUCCESS, m)
                     .number(m.getLastLogIndex())
                     .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            head(out, Type.NOT_APPENDED, m)
+            header(out, Type.APPEND_FAILURE, m)
                     .number(m.getExpectedNextIndex())
                     .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest m) {
-            head(out, Type.INSTALL, m)
+            header(out, Type.INSTALL_SNAPSHOT, m)
                     .flag(m.isSenderLeader())
                     .number(m.getSnapshotTerm())
                     .number(m.getSnapshotIndex())
@@ -82,31 +83,31 @@
                 chunk(out, m.getSnapshotChunk());
             }
         } else if (message instanceof InstallSnapshotResponse m) {
-            head(out, Type.INSTALLED, m)
+            header(out, Type.INSTALL_SNAPSHOT_RESPONSE, m)
                     .number(m.getSnapshotIndex())
                     .number(m.getRequestedSnapshotChunkIndex())
                     .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest m) {
-            head(out, Type.PRE_VOTE, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
+            header(out, Type.PRE_VOTE, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
         } else if (message instanceof PreVoteResponse m) {
-            head(out, Type.PRE_VOTED, m).flag(m.isGranted());
+            header(out, Type.PRE_VOTE_RESPONSE, m).flag(m.isGranted());
         } else if (message instanceof VoteRequest m) {
-            head(out, Type.VOTE, m)
+            header(out, Type.VOTE, m)
                     .number(m.getLastLogTerm())
                     .number(m.getLastLogIndex())
                     .flag(m.isSticky());
         } else if (message instanceof VoteResponse m) {
-            head(out, Type.VOTED, m).flag(m.isGranted());
+            header(out, Type.VOTE_RESPONSE, m).flag(m.isGranted());
         } else if (message instanceof TriggerLeaderElectionRequest m) {
-            head(out, Type.TAKE_THE_LEAD, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
+            header(out, Type.TRIGGER_ELECTION, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
         } else {
             throw new IllegalArgumentException(message.getClass().getName());
         }
-        return out.done();
+        return out.toBytes();
     }
 
-    private static Packed.Writer head(Packed.Writer out, Type type, RaftMessage message) {
+    private static MessagePackFormat.Writer header(MessagePackFormat.Writer out, Type type, RaftMessage message) {
         return out.number(type.ordinal())
                 .text((String) message.getGroupId())
                 .text(Voter.nameOf(message.getSender()))
@@ -114,87 +115,88 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws Fault.Unreadable if it is none, or none that an engine would send
+     * @throws Fault.Unreadable if the bytes are not a message that an engine would send
      */
-    static RaftMessage message(byte[] bytes) {
-        Packed.Reader in = new Packed.Reader(bytes);
-        int number = in.whole();
-        if (number >= Type.values().length) {
-            throw new Fault.Unreadable("a message of type " + number);
+    static RaftMessage decode(byte[] bytes) {
+        MessagePackFormat.Reader in = new MessagePackFormat.Reader(bytes);
+        int typeNumber = in.nonNegativeInt();
+        if (typeNumber >= Type.values().length) {
+            throw new Fault.Unreadable("a message of type " + typeNumber);
         }
-        RaftMessage message = message(in, Type.values()[number], in.text(), new Voter(in.text()), in.whole());
-        in.end();
+        RaftMessage message =
+                decode(in, Type.values()[typeNumber], in.text(), new Voter(in.text()), in.nonNegativeInt());
+        in.expectEnd();
         return message;
     }
 
-    private static RaftMessage message(Packed.Reader in, Type type, String group, Voter sender, int term) {
+    private static RaftMessage decode(MessagePackFormat.Reader in, Type type, String group, Voter sender, int term) {
         return switch (type) {
             case APPEND -> {
                 var m = MODEL.createAppendEntriesRequestBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setPreviousLogTerm(in.whole())
-                        .setPreviousLogIndex(in.count());
-                m.setCommitIndex(in.count())
-                        .setQuerySequenceNumber(in.count())
-                        .setFlowControlSequenceNumber(in.count());
+                        .setPreviousLogTerm(in.nonNegativeInt())
+                        .setPreviousLogIndex(in.nonNegativeLong());
+                m.setCommitIndex(in.nonNegativeLong())
+                        .setQuerySequenceNumber(in.nonNegativeLong())
+                        .setFlowControlSequenceNumber(in.nonNegativeLong());
                 yield m.setLogEntries(entries(in)).build();
             }
-            case APPENDED ->
+            case APPEND_SUCCESS ->
                 MODEL.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogIndex(in.count())
-                        .setQuerySequenceNumber(in.count())
-                        .setFlowControlSequenceNumber(in.count())
+                        .setLastLogIndex(in.nonNegativeLong())
+                        .setQuerySequenceNumber(in.nonNegativeLong())
+                        .setFlowControlSequenceNumber(in.nonNegativeLong())
                         .build();
-            case NOT_APPENDED ->
+            case APPEND_FAILURE ->
                 MODEL.createAppendEntriesFailureResponseBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setExpectedNextIndex(in.count())
-                        .setQuerySequenceNumber(in.count())
-                        .setFlowControlSequenceNumber(in.count())
+                        .setExpectedNextIndex(in.nonNegativeLong())
+                        .setQuerySequenceNumber(in.nonNegativeLong())
+                        .setFlowControlSequenceNumber(in.nonNegativeLong())
                         .build();
-            case INSTALL -> {
+            case INSTALL_SNAPSHOT -> {
                 var m = MODEL.createInstallSnapshotRequestBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
                         .setSenderLeader(in.flag())
-                        .setSnapshotTerm(in.whole())
-                        .setSnapshotIndex(in.count());
-                m.setTotalSnapshotChunkCount(in.whole())
+                        .setSnapshotTerm(in.nonNegativeInt())
+                        .setSnapshotIndex(in.nonNegativeLong());
+                m.setTotalSnapshotChunkCount(in.nonNegativeInt())
                         .setSnapshottedMembers(voters(in.texts()))
-                        .setQuerySequenceNumber(in.count())
-                        .setFlowControlSequenceNumber(in.count());
+                        .setQuerySequenceNumber(in.nonNegativeLong())
+                        .setFlowControlSequenceNumber(in.nonNegativeLong());
                 m.setGroupMembersView(in.flag() ? members(in) : null);
                 yield m.setSnapshotChunk(in.flag() ? chunk(in) : null).build();
             }
-            case INSTALLED ->
+            case INSTALL_SNAPSHOT_RESPONSE ->
                 MODEL.createInstallSnapshotResponseBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setSnapshotIndex(in.count())
-                        .setRequestedSnapshotChunkIndex(in.whole())
-                        .setQuerySequenceNumber(in.count())
-                        .setFlowControlSequenceNumber(in.count())
+                        .setSnapshotIndex(in.nonNegativeLong())
+                        .setRequestedSnapshotChunkIndex(in.nonNegativeInt())
+                        .setQuerySequenceNumber(in.nonNegativeLong())
+                        .setFlowControlSequenceNumber(in.nonNegativeLong())
                         .build();
             case PRE_VOTE ->
                 MODEL.createPreVoteRequestBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(in.whole())
-                        .setLastLogIndex(in.count())
+                        .setLastLogTerm(in.nonNegativeInt())
+                        .setLastLogIndex(in.nonNegativeLong())
                         .build();
-            case PRE_VOTED ->
+            case PRE_VOTE_RESPONSE ->
                 MODEL.createPreVoteResponseBuilder()
                         .setGroupId(group)
                         .setSender(sender)
@@ -206,54 +208,54 @@
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(in.whole())
-                        .setLastLogIndex(in.count())
+                        .setLastLogTerm(in.nonNegativeInt())
+                        .setLastLogIndex(in.nonNegativeLong())
                         .setSticky(in.flag())
                         .build();
-            case VOTED ->
+            case VOTE_RESPONSE ->
                 MODEL.createVoteResponseBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
                         .setGranted(in.flag())
                         .build();
-            case TAKE_THE_LEAD ->
+            case TRIGGER_ELECTION ->
                 MODEL.createTriggerLeaderElectionRequestBuilder()
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(in.whole())
-                        .setLastLogIndex(in.count())
+                        .setLastLogTerm(in.nonNegativeInt())
+                        .setLastLogIndex(in.nonNegativeLong())
                         .build();
         };
     }
 
-    private static List<LogEntry> entries(Packed.Reader in) {
+    private static List<LogEntry> entries(MessagePackFormat.Reader in) {
         List<LogEntry> entries = new ArrayList<>();
-        for (int n = in.size(); n > 0; n--) {
+        for (int n = in.listSize(); n > 0; n--) {
             LogEntry entry = entry(in);
             if (!entries.isEmpty()
                     && entry.getIndex() != entries.get(entries.size() - 1).getIndex() + 1) {
-                throw new Fault.Unreadable("entries with a gap");
+                throw new Fault.Unreadable("log entries with a gap");
             }
             entries.add(entry);
         }
         return entries;
     }
 
-    static Packed.Writer entry(Packed.Writer out, LogEntry entry) {
+    static MessagePackFormat.Writer entry(MessagePackFormat.Writer out, LogEntry entry) {
         return out.number(entry.getIndex()).number(entry.getTerm()).bytes((byte[]) entry.getOperation());
     }
 
-    static LogEntry entry(Packed.Reader in) {
+    static LogEntry entry(MessagePackFormat.Reader in) {
         return MODEL.createLogEntryBuilder()
-                .setIndex(in.count())
-                .setTerm(in.whole())
+                .setIndex(in.nonNegativeLong())
+                .setTerm(in.nonNegativeInt())
                 .setOperation(in.bytes())
                 .build();
     }
 
-    static Packed.Writer chunk(Packed.Writer out, SnapshotChunk chunk) {
+    static MessagePackFormat.Writer chunk(MessagePackFormat.Writer out, SnapshotChunk chunk) {
         out.number(chunk.getIndex())
                 .number(chunk.getTerm())
                 .number(chunk.getSnapshotChunkIndex())
@@ -262,27 +264,27 @@
         return members(out, chunk.getGroupMembersView());
     }
 
-    static SnapshotChunk chunk(Packed.Reader in) {
+    static SnapshotChunk chunk(MessagePackFormat.Reader in) {
         SnapshotChunk chunk = MODEL.createSnapshotChunkBuilder()
-                .setIndex(in.count())
-                .setTerm(in.whole())
-                .setSnapshotChunkIndex(in.whole())
-                .setSnapshotChunkCount(in.whole())
+                .setIndex(in.nonNegativeLong())
+                .setTerm(in.nonNegativeInt())
+                .setSnapshotChunkIndex(in.nonNegativeInt())
+                .setSnapshotChunkCount(in.nonNegativeInt())
                 .setOperation(in.bytes())
                 .setGroupMembersView(members(in))
                 .build();
         if (chunk.getSnapshotChunkIndex() >= chunk.getSnapshotChunkCount()) {
-            throw new Fault.Unreadable("a piece behind the last of its snapshot");
+            throw new Fault.Unreadable("a snapshot chunk beyond the last one");
         }
         return chunk;
     }
 
-    private static Packed.Writer members(Packed.Writer out, RaftGroupMembersView view) {
+    private static MessagePackFormat.Writer members(MessagePackFormat.Writer out, RaftGroupMembersView view) {
         return out.number(view.getLogIndex()).texts(names(view.getMembers())).texts(names(view.getVotingMembers()));
     }
 
-    private static RaftGroupMembersView members(Packed.Reader in) {
-        return members(in.count(), in.texts(), in.texts());
+    private static RaftGroupMembersView members(MessagePackFormat.Reader in) {
+        return members(in.nonNegativeLong(), in.texts(), in.texts());
     }
 
     static RaftGroupMembersView members(long index, List<String> members, List<String> voting) {
@@ -294,7 +296,7 @@
     }
 
     private static Set<RaftEndpoint> voters(List<String> names) {
-        Set<RaftEndpoint> voters = new LinkedHashSet<>(); // the engine walks it: in the same order each time
+        Set<RaftEndpoint> voters = new LinkedHashSet<>(); // the engine iterates over it, which must be deterministic
         names.forEach(n -> voters.add(new Voter(n)));
         return voters;
     }
--- a/src/main/java/firstair/fleet/ledger/Voter.java
+++ b/src/main/java/firstair/fleet/ledger/Voter.java
@@ -2,7 +2,7 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A voter as the engine knows it. */
+/** A voter as an endpoint of the Raft engine. */
 record Voter(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
--- a/src/test/java/firstair/fleet/ledger/AgreementsTest.java
+++ b/src/test/java/firstair/fleet/ledger/AgreementsTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 class AgreementsTest {
-    private static final double KEEP_MS = 10_000;
-    private AgreedContracts contracts = new AgreedContracts(KEEP_MS);
-    private Agreements all = new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, contracts)));
+    private static final double RETENTION_MS = 10_000;
+    private AgreedContracts contracts = new AgreedContracts(RETENTION_MS);
+    private Agreements agreements = new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, contracts)));
     private long index;
 
     private Outcome apply(String by, long incarnation, long number, byte[] operation) {
-        return Outcome.read(all.apply(++index, new Proposal(by, incarnation, number, operation).bytes()));
+        return Outcome.decode(agreements.apply(++index, new Proposal(by, incarnation, number, operation).encode()));
     }
 
     private static byte[] put(long follows, long atMs) {
@@ -28,96 +28,98 @@
     }
 
     @Test
-    void aDoubledProposalCountsOnceAndHasTheFirstAnswer() {
+    void aDuplicateProposalIsAppliedOnceAndReturnsTheFirstResult() {
         Outcome first = apply("a", 1, 1, put(0, 5));
-        long version = all.version();
+        long version = agreements.version();
         Outcome again = apply("a", 1, 1, put(0, 5));
         assertThat(put(again)).isEqualTo(put(first)).isEqualTo(new AgreedContracts.Put(true, 1));
         assertThat(contracts.versions()).hasSize(1);
-        assertThat(all.version()).isEqualTo(version);
+        assertThat(agreements.version()).isEqualTo(version);
     }
 
     @Test
-    void aDoubledProposalOfALargeFleetCountsOnceToo() {
+    void aDuplicateProposalInALargeFleetIsAppliedOnce() {
         Outcome first = apply("r0", 1, 1, put(0, 5));
         for (int n = 1; n < 1500; n++) {
             apply("r" + n, 1, 1, put(n, 5));
         }
-        long version = all.version();
+        long version = agreements.version();
         assertThat(put(apply("r0", 1, 1, put(0, 5)))).isEqualTo(put(first));
-        assertThat(all.version()).isEqualTo(version);
+        assertThat(agreements.version()).isEqualTo(version);
     }
 
     @Test
-    void whatIsOlderThanWhatIsRememberedIsRefusedNotRunAgain() {
-        for (int n = 1; n <= Agreements.KEPT + 1; n++) {
+    void aProposalOlderThanTheKeptResultsIsRejectedNotAppliedAgain() {
+        for (int n = 1; n <= Agreements.MAX_RESULTS_PER_MEMBER + 1; n++) {
             apply("a", 1, n, put(n - 1, n));
         }
-        assertThat(apply("a", 1, 1, put(Agreements.KEPT + 1, 99))).isInstanceOf(Outcome.Refused.class);
-        apply("a", 2, 1, put(Agreements.KEPT + 1, 99)); // its next process
-        assertThat(apply("a", 1, 99, put(Agreements.KEPT + 2, 99))).isInstanceOf(Outcome.Refused.class);
+        assertThat(apply("a", 1, 1, put(Agreements.MAX_RESULTS_PER_MEMBER + 1, 99)))
+                .isInstanceOf(Outcome.Refused.class);
+        apply("a", 2, 1, put(Agreements.MAX_RESULTS_PER_MEMBER + 1, 99)); // the next process of the member
+        assertThat(apply("a", 1, 99, put(Agreements.MAX_RESULTS_PER_MEMBER + 2, 99)))
+                .isInstanceOf(Outcome.Refused.class);
         assertThat(contracts.versions().get(contracts.versions().size() - 1).number())
-                .isEqualTo(Agreements.KEPT + 2);
+                .isEqualTo(Agreements.MAX_RESULTS_PER_MEMBER + 2);
     }
 
     @Test
-    void ofTwoThatFollowTheSameVersionOneIsRefused() {
+    void ofTwoUpdatesToTheSameVersionOneIsRejected() {
         apply("a", 1, 1, put(0, 5));
         assertThat(put(apply("b", 1, 1, put(1, 6)))).isEqualTo(new AgreedContracts.Put(true, 2));
         assertThat(put(apply("a", 1, 2, put(1, 7)))).isEqualTo(new AgreedContracts.Put(false, 2));
     }
 
     @Test
-    void followedVersionsStayForTheirSpanAndTimeNeverRunsBack() {
+    void supersededVersionsAreRetainedAndTimestampsAreMonotonic() {
         for (int n = 0; n < 20; n++) {
             apply("a", 1, n + 1, put(n, 100_000 + n));
         }
         assertThat(contracts.versions()).hasSize(20);
-        apply("a", 1, 21, put(20, 3)); // a clock that was set back
+        apply("a", 1, 21, put(20, 3)); // proposed by a clock that was set back
         assertThat(contracts.versions().get(20).atMs()).isEqualTo(100_019);
         apply("a", 1, 22, put(21, 200_000));
-        assertThat(contracts.versions()).hasSize(AgreedContracts.LEAST);
+        assertThat(contracts.versions()).hasSize(AgreedContracts.MIN_VERSIONS);
         for (int n = 22; n < 200; n++) {
             apply("a", 1, n + 1, put(n, 200_000));
         }
-        assertThat(contracts.versions()).hasSize(AgreedContracts.MOST);
+        assertThat(contracts.versions()).hasSize(AgreedContracts.MAX_VERSIONS);
     }
 
     @Test
-    void aSnapshotBringsBackEverythingWhatWasDoubledToo() {
+    void aSnapshotRestoresStateAndKeptResults() {
         apply("a", 1, 1, put(0, 5));
         apply("b", 3, 1, put(1, 6));
-        byte[] snapshot = all.snapshot();
-        contracts = new AgreedContracts(KEEP_MS);
-        all = new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, contracts)));
-        all.restore(snapshot);
-        assertThat(all.snapshot()).isEqualTo(snapshot);
-        assertThat(all.version()).isEqualTo(2);
+        byte[] snapshot = agreements.snapshot();
+        contracts = new AgreedContracts(RETENTION_MS);
+        agreements = new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, contracts)));
+        agreements.restore(snapshot);
+        assertThat(agreements.snapshot()).isEqualTo(snapshot);
+        assertThat(agreements.version()).isEqualTo(2);
         assertThat(put(apply("b", 3, 1, put(1, 6)))).isEqualTo(new AgreedContracts.Put(true, 2));
-        assertThat(AgreedContracts.read(Agreements.parts(all.state()).get(Agreements.CONTRACTS)))
+        assertThat(AgreedContracts.read(Agreements.parts(agreements.state()).get(Agreements.CONTRACTS)))
                 .isEqualTo(contracts.versions())
                 .hasSize(2);
     }
 
     @Test
-    void aRefusalChangesNothingAndAnUnknownKindGoesNoFurther() {
+    void aRejectedOperationChangesNothingAndAnUnknownKindThrows() {
         byte[] before = contracts.snapshot();
         Outcome refused = apply("a", 1, 1, new byte[] {Agreements.CONTRACTS, 1});
         assertThat(((Outcome.Refused) refused).code()).isEqualTo("F102");
         assertThat(contracts.snapshot()).isEqualTo(before);
         assertThatThrownBy(() -> apply("a", 1, 2, new byte[] {99})).isInstanceOf(Fault.UnknownEntry.class);
-        assertThatThrownBy(() -> all.restore(new byte[] {1, 2})).isInstanceOf(Fault.Unreadable.class);
+        assertThatThrownBy(() -> agreements.restore(new byte[] {1, 2})).isInstanceOf(Fault.Unreadable.class);
     }
 
     @Test
-    void whatIsRememberedOfProposersIsBounded() {
+    void keptResultsAreBoundedByTheNumberOfMembers() {
         for (int n = 0; n < 2000; n++) {
             apply("m" + n, 1, 1, put(0, 5));
         }
-        int many = all.snapshot().length;
+        int many = agreements.snapshot().length;
         for (int n = 2000; n < 4000; n++) {
             apply("m" + n, 1, 1, put(0, 5));
         }
-        assertThat(all.snapshot().length).isLessThan(many + 2000);
+        assertThat(agreements.snapshot().length).isLessThan(many + 2000);
     }
 }
--- a/src/test/java/firstair/fleet/ledger/LedgerStepsTest.java
+++ b/src/test/java/firstair/fleet/ledger/LedgerStepsTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Three voters whose notes the test hands over one by one. */
+/** Three voters; the test delivers their notes one by one. */
 class LedgerStepsTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
-    private static final Random NOTHING_LEFT = new Random(0) {
+    private static final Random LOSE_ALL_UNFORCED = new Random(0) {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -35,14 +35,14 @@
 
     private record Sent(String from, String to, Note note) {
         RaftMessage message() {
-            return note instanceof Note.Engine e ? EngineForm.message(e.bytes()) : null;
+            return note instanceof Note.Engine e ? RaftCodec.decode(e.bytes()) : null;
         }
     }
 
     private final Map<String, Ledger> ledgers = new LinkedHashMap<>();
     private final List<Sent> wire = new ArrayList<>();
     private final List<String> reports = new ArrayList<>();
-    private boolean broken;
+    private boolean storeFails;
     private double now;
 
     private Ledger ledger(String name, LedgerMemory memory, Keeper keeper) {
@@ -84,15 +84,15 @@
                 new Agreements(new TreeMap<>(Map.of(7, echo))),
                 outbox,
                 new Random(name.charAt(0)),
-                (v, s, sure, at) -> {});
+                (version, state, linearizable, requestedAt) -> {});
     }
 
-    private static LedgerMemory founded(String name) {
+    private static LedgerMemory created(String name) {
         return LedgerMemory.founded("fleet", name, VOTERS);
     }
 
-    /** Hands over what is on the wire and fits, and what comes of it; returns what went to members. */
-    private List<Sent> pump(Predicate<Sent> which) {
+    /** Delivers the matching notes on the wire and those sent in response; returns those sent to other members. */
+    private List<Sent> deliver(Predicate<Sent> which) {
         List<Sent> toMembers = new ArrayList<>();
         for (boolean more = true; more; ) {
             more = false;
@@ -118,12 +118,12 @@
     @BeforeEach
     void elect() {
         for (String v : VOTERS) {
-            LedgerMemory memory = founded(v);
+            LedgerMemory memory = created(v);
             MemoryKeeper kept = new MemoryKeeper(memory);
             ledgers.put(v, ledger(v, memory, new Keeper() {
                 @Override
                 public void keep(byte[] change) throws IOException {
-                    if (broken) {
+                    if (storeFails) {
                         throw new IOException("no space left");
                     }
                     kept.keep(change);
@@ -135,38 +135,38 @@
                 }
             }));
         }
-        ledgers.values().forEach(l -> l.start(now));
+        ledgers.values().forEach(voter -> voter.start(now));
         while (leader() == null) {
             now += 50;
-            ledgers.values().forEach(l -> l.timer(now));
-            pump(s -> true);
+            ledgers.values().forEach(voter -> voter.timer(now));
+            deliver(s -> true);
         }
     }
 
     @Test
-    void aQuestionIsNotAnsweredByWhatWasSentBeforeIt() {
-        String l = leader();
-        ledgers.get(l).heard(now, "x", new Note.AgreedAsk(1, 0));
-        pump(s -> s.from.equals(l) && ledgers.containsKey(s.to)); // the others have got it and answered
-        ledgers.get(l).heard(now, "y", new Note.AgreedAsk(2, 0)); // while their answers are under way
+    void aReadIsNotConfirmedByRequestsSentBeforeIt() {
+        String leader = leader();
+        ledgers.get(leader).heard(now, "x", new Note.AgreedAsk(1, 0));
+        deliver(s -> s.from.equals(leader) && ledgers.containsKey(s.to)); // the others have responded
+        ledgers.get(leader).heard(now, "y", new Note.AgreedAsk(2, 0)); // while their responses are in flight
         List<Sent> answers = new ArrayList<>();
         for (Sent s : List.copyOf(wire)) {
-            if (s.to.equals(l)) {
+            if (s.to.equals(leader)) {
                 wire.remove(s);
-                ledgers.get(l).heard(now, s.from, s.note);
+                ledgers.get(leader).heard(now, s.from, s.note);
             }
         }
         wire.stream().filter(s -> s.note instanceof Note.Agreed).forEach(answers::add);
         assertThat(answers).extracting(Sent::to).containsExactly("x");
-        assertThat(pump(s -> true)).extracting(Sent::to).contains("x", "y");
+        assertThat(deliver(s -> true)).extracting(Sent::to).contains("x", "y");
     }
 
     @Test
-    void answersOfAnEarlierTermAreDropped() {
-        String l = leader();
-        Ledger ledger = ledgers.get(l);
-        String other = l.equals("a") ? "b" : "a";
-        AppendEntriesSuccessResponse late = EngineForm.MODEL
+    void responsesOfAnEarlierTermAreDropped() {
+        String leader = leader();
+        Ledger ledger = ledgers.get(leader);
+        String other = leader.equals("a") ? "b" : "a";
+        AppendEntriesSuccessResponse late = RaftCodec.MODEL
                 .createAppendEntriesSuccessResponseBuilder()
                 .setGroupId("fleet")
                 .setSender(new Voter(other))
@@ -176,18 +176,18 @@
                 .setFlowControlSequenceNumber(0)
                 .build();
         long before = ledger.dropped();
-        ledger.heard(now, other, new Note.Engine(EngineForm.bytes(late)));
+        ledger.heard(now, other, new Note.Engine(RaftCodec.encode(late)));
         assertThat(ledger.dropped()).isEqualTo(before + 1);
         assertThat(wire).isEmpty();
     }
 
     @Test
-    void aVoterWhoseStoreFailsSaysNothingMore() {
-        String l = leader();
-        broken = true;
-        ledgers.get(l).heard(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {7, 1}).bytes()));
-        assertThat(ledgers.get(l).fault()).isInstanceOf(Fault.LedgerUnwritten.class);
-        assertThat(ledgers.get(l).leads()).isFalse();
+    void aVoterWhoseStoreFailsSendsNothingMore() {
+        String leader = leader();
+        storeFails = true;
+        ledgers.get(leader).heard(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {7, 1}).encode()));
+        assertThat(ledgers.get(leader).fault()).isInstanceOf(Fault.LedgerUnwritten.class);
+        assertThat(ledgers.get(leader).leads()).isFalse();
         assertThat(reports).singleElement().asString().startsWith("F502").contains("no space left");
         assertThat(wire).noneMatch(s -> s.note instanceof Note.Engine);
         assertThat(wire)
@@ -197,21 +197,21 @@
     }
 
     @Test
-    void anOperationOfALaterVersionIsRefusedByItsKindAndStopsAVoterThatMeetsItInside() {
-        String l = leader();
-        ledgers.get(l).heard(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {9, 1}).bytes()));
-        Note.Proposed refused = (Note.Proposed) pump(s -> true).get(0).note;
-        assertThat(((Outcome.Refused) Outcome.read(refused.result())).code()).isEqualTo("F503");
-        assertThat(ledgers.get(l).fault()).isNull();
-        ledgers.get(l).heard(now, "x", new Note.Propose(6, new Proposal("x", 1, 2, new byte[] {7}).bytes()));
-        pump(s -> true);
-        assertThat(ledgers.get(l).fault()).isInstanceOf(Fault.UnknownEntry.class);
+    void anUnknownKindIsRejectedAndAnUnknownOperationStopsTheVoter() {
+        String leader = leader();
+        ledgers.get(leader).heard(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {9, 1}).encode()));
+        Note.Proposed refused = (Note.Proposed) deliver(s -> true).get(0).note;
+        assertThat(((Outcome.Refused) Outcome.decode(refused.result())).code()).isEqualTo("F503");
+        assertThat(ledgers.get(leader).fault()).isNull();
+        ledgers.get(leader).heard(now, "x", new Note.Propose(6, new Proposal("x", 1, 2, new byte[] {7}).encode()));
+        deliver(s -> true);
+        assertThat(ledgers.get(leader).fault()).isInstanceOf(Fault.UnknownEntry.class);
     }
 
     @Test
-    void strangersOtherFleetsAndUnreadableBytesChangeNothing() {
+    void unknownSendersOtherFleetsAndUnreadableBytesChangeNothing() {
         Ledger ledger = ledgers.get(leader());
-        RaftMessage foreign = EngineForm.MODEL
+        RaftMessage foreign = RaftCodec.MODEL
                 .createVoteRequestBuilder()
                 .setGroupId("other")
                 .setSender(new Voter("a"))
@@ -221,22 +221,22 @@
                 .setSticky(false)
                 .build();
         int term = ledger.term();
-        assertThatThrownBy(() -> ledger.heard(now, "a", new Note.Engine(EngineForm.bytes(foreign))))
+        assertThatThrownBy(() -> ledger.heard(now, "a", new Note.Engine(RaftCodec.encode(foreign))))
                 .isInstanceOf(Fault.OtherFleet.class);
         assertThatThrownBy(() -> ledger.heard(now, "b", new Note.Engine(new byte[] {1, 2, 3})))
                 .isInstanceOf(Fault.Unreadable.class);
         assertThatThrownBy(() -> ledger.heard(now, "mallory", new Note.AgreedAsk(1, 0)))
                 .isInstanceOf(Fault.Stranger.class);
         assertThatThrownBy(() -> ledger.heard(
-                        now, "x", new Note.Propose(1, new Proposal("mallory", 1, 1, new byte[] {7}).bytes())))
+                        now, "x", new Note.Propose(1, new Proposal("mallory", 1, 1, new byte[] {7}).encode())))
                 .isInstanceOf(Fault.Stranger.class);
         assertThat(ledger.term()).isEqualTo(term);
     }
 
-    /** Whom the voter gives its vote of term 9, killed and started anew between two that ask for it. */
-    private List<String> votes(boolean forcing) {
-        List<String> given = new ArrayList<>();
-        LedgerMemory memory = founded("a");
+    /** The candidates that get a vote of term 9 from a voter that is killed and restarted between their requests. */
+    private List<String> votes(boolean durable) {
+        List<String> granted = new ArrayList<>();
+        LedgerMemory memory = created("a");
         for (String candidate : List.of("b", "c")) {
             MemoryKeeper kept = new MemoryKeeper(memory);
             wire.clear();
@@ -248,13 +248,13 @@
 
                 @Override
                 public void force() {
-                    if (forcing) {
+                    if (durable) {
                         kept.force();
                     }
                 }
             });
             voter.start(now);
-            RaftMessage ask = EngineForm.MODEL
+            RaftMessage voteRequest = RaftCodec.MODEL
                     .createVoteRequestBuilder()
                     .setGroupId("fleet")
                     .setSender(new Voter(candidate))
@@ -263,32 +263,33 @@
                     .setLastLogIndex(0)
                     .setSticky(false)
                     .build();
-            voter.heard(now, candidate, new Note.Engine(EngineForm.bytes(ask)));
+            voter.heard(now, candidate, new Note.Engine(RaftCodec.encode(voteRequest)));
             for (Sent s : wire) {
                 if (s.message() instanceof VoteResponse v && v.isGranted()) {
-                    given.add(s.to);
+                    granted.add(s.to);
                 }
             }
-            memory = kept.killed(NOTHING_LEFT);
+            memory = kept.killed(LOSE_ALL_UNFORCED);
         }
-        return given;
+        return granted;
     }
 
     @Test
-    void aVoteIsGivenOnceThoughTheVoterIsKilledRightAfterIt() {
+    void aVoterKilledRightAfterItsVoteDoesNotVoteAgain() {
         assertThat(votes(true)).containsExactly("b");
     }
 
     @Test
-    void aStoreThatForgetsTheVoteIsCaughtByTheSameHistory() {
-        assertThat(votes(false)).containsExactly("b", "c"); // two leaders in one term: what forcing is for
+    void aStoreThatLosesTheVoteIsDetectedByTheSameSequence() {
+        assertThat(votes(false)).containsExactly("b", "c"); // two leaders in one term: why votes are forced
     }
 
     @Test
-    void theLedgerOfAnotherVoterIsNotStarted() {
-        LedgerMemory others = founded("b");
+    void aLedgerOfAnotherVoterOrOtherVotersIsRejected() {
+        LedgerMemory others = created("b");
         assertThatThrownBy(() -> ledger("a", others, new MemoryKeeper(others))).isInstanceOf(Fault.BadSetup.class);
-        LedgerMemory fewer = LedgerMemory.founded("fleet", "a", List.of("a", "b", "d"));
-        assertThatThrownBy(() -> ledger("a", fewer, new MemoryKeeper(fewer))).isInstanceOf(Fault.BadSetup.class);
+        LedgerMemory withOtherVoters = LedgerMemory.founded("fleet", "a", List.of("a", "b", "d"));
+        assertThatThrownBy(() -> ledger("a", withOtherVoters, new MemoryKeeper(withOtherVoters)))
+                .isInstanceOf(Fault.BadSetup.class);
     }
 }
--- a/src/test/java/firstair/fleet/ledger/LedgerTest.java
+++ b/src/test/java/firstair/fleet/ledger/LedgerTest.java
@@ -11,36 +11,36 @@
 
 class LedgerTest {
 
-    /** A minute of everything at once, then half a minute of calm. */
-    private static Voters troubled(long seed, int count) {
-        return troubled(new Voters(seed, count), seed, count);
+    /** A minute of random faults at the same time, then half a minute without any. */
+    private static VoterCluster runWithFaults(long seed, int count) {
+        return runWithFaults(new VoterCluster(seed, count), seed, count);
     }
 
-    private static Voters troubled(Voters fleet, long seed, int count) {
+    private static VoterCluster runWithFaults(VoterCluster fleet, long seed, int count) {
         Random random = new Random(seed + 1);
-        fleet.loss = random.nextDouble() * 0.2;
-        fleet.doubled = random.nextDouble() * 0.2;
+        fleet.lossRate = random.nextDouble() * 0.2;
+        fleet.duplicationRate = random.nextDouble() * 0.2;
         fleet.start();
         fleet.run(6000);
         for (int step = 0; step < 120; step++) {
-            String some = fleet.voters.get(random.nextInt(count));
+            String voter = fleet.voters.get(random.nextInt(count));
             switch (random.nextInt(9)) {
                 case 0 -> {
-                    if (fleet.running.containsKey(some)) {
-                        fleet.kill(some);
-                        fleet.later(random.nextInt(8000), () -> fleet.start(some));
+                    if (fleet.running.containsKey(voter)) {
+                        fleet.kill(voter);
+                        fleet.later(random.nextInt(8000), () -> fleet.start(voter));
                     }
                 }
-                case 1 -> fleet.cutOff(some, random.nextBoolean(), random.nextBoolean());
-                case 2, 3 -> fleet.cut.clear();
+                case 1 -> fleet.cutOff(voter, random.nextBoolean(), random.nextBoolean());
+                case 2, 3 -> fleet.blockedLinks.clear();
                 case 4 -> {
-                    if (fleet.running.containsKey(some)) {
-                        fleet.pause(some, random.nextInt(6000));
+                    if (fleet.running.containsKey(voter)) {
+                        fleet.pause(voter, random.nextInt(6000));
                     }
                 }
                 case 5 -> {
-                    if (fleet.running.containsKey(some)) {
-                        fleet.running.get(some).ledger.leave(fleet.now);
+                    if (fleet.running.containsKey(voter)) {
+                        fleet.running.get(voter).ledger.leave(fleet.now);
                     }
                 }
                 default -> {
@@ -53,25 +53,27 @@
             }
             fleet.run(random.nextInt(900));
         }
-        fleet.cut.clear();
-        fleet.loss = 0;
+        fleet.blockedLinks.clear();
+        fleet.lossRate = 0;
         fleet.run(30_000);
         return fleet;
     }
 
     @ParameterizedTest
     @CsvSource({"1,3", "2,3", "3,3", "4,3", "5,3", "6,3", "7,5", "8,5", "9,5", "10,5", "11,5", "12,5"})
-    void inAllTroubleThereIsOneHistoryAndNothingToldIsLost(long seed, int count) {
-        Voters fleet = troubled(seed, count); // fails inside at the first broken promise
+    void underRandomFaultsThereIsOneHistoryAndNoAcknowledgedOperationIsLost(long seed, int count) {
+        VoterCluster fleet = runWithFaults(seed, count); // fails at the first violated invariant
         String last = fleet.propose("x");
         fleet.run(10_000);
-        assertThat(fleet.truth)
+        assertThat(fleet.committed)
                 .as("seed %d", seed)
-                .containsAll(fleet.told.keySet())
+                .containsAll(fleet.acknowledged.keySet())
                 .contains(last);
-        assertThat(fleet.told.size()).as("seed %d told", seed).isGreaterThan(20);
-        assertThat(fleet.sures).as("seed %d sure", seed).isGreaterThan(20);
-        for (Voters.Process p : fleet.running.values()) {
+        assertThat(fleet.acknowledged.size()).as("seed %d acknowledged", seed).isGreaterThan(20);
+        assertThat(fleet.linearizableReads)
+                .as("seed %d linearizable reads", seed)
+                .isGreaterThan(20);
+        for (VoterCluster.Process p : fleet.running.values()) {
             long version = p.ledger == null ? p.follower.version() : p.ledger.version();
             assertThat(version)
                     .as("seed %d at %s", seed, p.setup.self())
@@ -81,11 +83,11 @@
     }
 
     @Test
-    void aStoreThatSaysItHasForcedAndHasNotIsCaughtByTheSameChecks() {
-        int caught = 0;
+    void aStoreThatDoesNotForceIsDetectedByTheSameInvariants() {
+        int detected = 0;
         for (long seed = 100; seed < 110; seed++) {
-            Voters fleet = new Voters(seed, 3);
-            fleet.keeping = kept -> new Keeper() {
+            VoterCluster fleet = new VoterCluster(seed, 3);
+            fleet.keeperWrapper = kept -> new Keeper() {
                 @Override
                 public void keep(byte[] change) throws IOException {
                     kept.keep(change);
@@ -95,57 +97,57 @@
                 public void force() {}
             };
             try {
-                troubled(fleet, seed, 3);
-                caught += fleet.truth.containsAll(fleet.told.keySet()) ? 0 : 1;
+                runWithFaults(fleet, seed, 3);
+                detected += fleet.committed.containsAll(fleet.acknowledged.keySet()) ? 0 : 1;
             } catch (AssertionError e) {
-                caught++;
+                detected++;
             }
         }
-        assertThat(caught).isGreaterThan(0);
+        assertThat(detected).isGreaterThan(0);
     }
 
     @Test
     void theSameSeedGivesTheSameHistory() {
-        Voters one = troubled(33, 3);
-        Voters other = troubled(33, 3);
-        assertThat(other.truth).isEqualTo(one.truth);
-        assertThat(other.told).isEqualTo(one.told);
+        VoterCluster one = runWithFaults(33, 3);
+        VoterCluster other = runWithFaults(33, 3);
+        assertThat(other.committed).isEqualTo(one.committed);
+        assertThat(other.acknowledged).isEqualTo(one.acknowledged);
         assertThat(other.sent).isEqualTo(one.sent);
     }
 
     @Test
     void theEngineStartsNoThread() {
         Set<Thread> before = Thread.getAllStackTraces().keySet();
-        troubled(34, 3);
+        runWithFaults(34, 3);
         Set<Thread> after = Thread.getAllStackTraces().keySet();
         after.removeAll(before);
-        ThreadGroup system = Thread.currentThread().getThreadGroup().getParent(); // its own helpers come and go
+        ThreadGroup system = Thread.currentThread().getThreadGroup().getParent(); // the JVM's own threads
         assertThat(after).allMatch(t -> system != null && system.equals(t.getThreadGroup()));
     }
 
     @Test
-    void theMinoritySideSaysNotNowAndTheMajorityGoesOn() {
-        Voters fleet = new Voters(40, 3);
+    void theMinorityAnswersNotNowAndTheMajorityContinues() {
+        VoterCluster fleet = new VoterCluster(40, 3);
         fleet.start();
         fleet.run(6000);
-        String lonely = fleet.leader();
-        fleet.cutOff(lonely, true, true);
-        String lost = fleet.propose(lonely);
+        String isolated = fleet.leader();
+        fleet.cutOff(isolated, true, true);
+        String lost = fleet.propose(isolated);
         String other = fleet.propose("x");
         fleet.run(9000);
         assertThat(fleet.refused).containsExactly(lost);
-        assertThat(fleet.told).containsKey(other);
-        assertThat(fleet.running.get(lonely).ledger.leads()).isFalse();
-        fleet.cut.clear();
+        assertThat(fleet.acknowledged).containsKey(other);
+        assertThat(fleet.running.get(isolated).ledger.leads()).isFalse();
+        fleet.blockedLinks.clear();
         fleet.run(5000);
-        assertThat(fleet.running.get(lonely).ledger.version())
+        assertThat(fleet.running.get(isolated).ledger.version())
                 .isEqualTo(fleet.running.get(fleet.leader()).ledger.version());
     }
 
     @ParameterizedTest
     @CsvSource({"1", "2", "3", "4", "5", "6", "7", "8"})
-    void aLeaderKilledInTheMiddleOfAProposalCountsItOnceOrNever(long seed) {
-        Voters fleet = new Voters(seed, 3);
+    void aProposalIsAppliedOnceThoughTheLeaderIsKilledDuringIt(long seed) {
+        VoterCluster fleet = new VoterCluster(seed, 3);
         fleet.start();
         fleet.run(6000);
         String id = fleet.propose("y");
@@ -153,10 +155,10 @@
         String leader = fleet.leader();
         fleet.kill(leader);
         fleet.run(8000);
-        assertThat(fleet.truth.stream().filter(id::equals).count())
+        assertThat(fleet.committed.stream().filter(id::equals).count())
                 .as("seed %d", seed)
                 .isEqualTo(1);
-        assertThat(fleet.told).as("seed %d", seed).containsKey(id);
+        assertThat(fleet.acknowledged).as("seed %d", seed).containsKey(id);
         fleet.start(leader);
         fleet.run(6000);
         assertThat(fleet.running.get(leader).ledger.version())
@@ -165,8 +167,8 @@
     }
 
     @Test
-    void anOrderlyLeaveHandsTheLeadOverSoonerThanSilenceWould() {
-        Voters fleet = new Voters(41, 3);
+    void leavingTransfersLeadershipFasterThanATimeoutWould() {
+        VoterCluster fleet = new VoterCluster(41, 3);
         fleet.start();
         fleet.run(6000);
         String leader = fleet.leader();
@@ -176,9 +178,9 @@
     }
 
     @Test
-    void aVoterFarBehindGetsASnapshotInPieces() {
-        Voters fleet = new Voters(42, 3);
-        fleet.padding = "-".repeat(40); // so that the snapshot has more than one
+    void aVoterFarBehindReceivesASnapshotInChunks() {
+        VoterCluster fleet = new VoterCluster(42, 3);
+        fleet.padding = "-".repeat(40); // so that the snapshot has more than one chunk
         fleet.start();
         fleet.run(6000);
         fleet.kill("c");
--- a/src/test/java/firstair/fleet/ledger/ProposerTest.java
+++ b/src/test/java/firstair/fleet/ledger/ProposerTest.java
@@ -14,15 +14,15 @@
 
 class ProposerTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
-    private final List<String> asked = new ArrayList<>();
-    private final List<Outcome> told = new ArrayList<>();
+    private final List<String> recipients = new ArrayList<>();
+    private final List<Outcome> outcomes = new ArrayList<>();
     private final Proposer proposer = new Proposer(
             new Setup("f", "d", "z", List.of("a", "b", "c", "d"), VOTERS, 500, 3000, 1000, 0.01, 0.5),
             1,
             new Outbox() {
                 @Override
                 public void send(String to, Note note) {
-                    asked.add(to);
+                    recipients.add(to);
                 }
 
                 @Override
@@ -31,20 +31,20 @@
             new Random(5));
 
     @Test
-    void whatIsTooLongIsRefusedBeforeAnybodyHearsOfIt() {
-        assertThatThrownBy(() -> proposer.propose(0, new byte[1 << 20], told::add))
+    void anOperationThatIsTooLargeIsRejectedWithoutSendingIt() {
+        assertThatThrownBy(() -> proposer.propose(0, new byte[1 << 20], outcomes::add))
                 .isInstanceOf(Fault.TooLarge.class);
-        assertThat(asked).isEmpty();
-        assertThat(told).isEmpty();
+        assertThat(recipients).isEmpty();
+        assertThat(outcomes).isEmpty();
     }
 
     @Test
-    void everyVoterIsTriedAndThenItIsNotNow() {
-        proposer.propose(0, new byte[] {1}, told::add);
+    void everyVoterIsTriedBeforeTheOutcomeIsNotNow() {
+        proposer.propose(0, new byte[] {1}, outcomes::add);
         for (double now = proposer.wakeAt(); now < 20_000; now = proposer.wakeAt()) {
             proposer.timer(now);
         }
-        assertThat(asked).containsAll(VOTERS);
-        assertThat(told).singleElement().isInstanceOf(Outcome.NotNow.class);
+        assertThat(recipients).containsAll(VOTERS);
+        assertThat(outcomes).singleElement().isInstanceOf(Outcome.NotNow.class);
     }
 }
--- a/src/test/java/firstair/fleet/ledger/EngineFormTest.java
+++ b/src/test/java/firstair/fleet/ledger/RaftCodecTest.java
@@ -13,11 +13,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class EngineFormTest {
-    private static final Voter A = new Voter("a");
+class RaftCodecTest {
+    private static final Voter VOTER = new Voter("a");
 
-    private static List<RaftMessage> all() {
-        var m = EngineForm.MODEL;
+    private static List<RaftMessage> messages() {
+        var m = RaftCodec.MODEL;
         LogEntry entry = m.createLogEntryBuilder()
                 .setIndex(4)
                 .setTerm(2)
@@ -34,12 +34,12 @@
                 .setSnapshotChunkIndex(1)
                 .setSnapshotChunkCount(2)
                 .setOperation(new byte[] {7})
-                .setGroupMembersView(EngineForm.members(0, List.of("a", "b"), List.of("a")))
+                .setGroupMembersView(RaftCodec.members(0, List.of("a", "b"), List.of("a")))
                 .build();
         return List.of(
                 m.createAppendEntriesRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setPreviousLogTerm(1)
                         .setPreviousLogIndex(3)
@@ -50,7 +50,7 @@
                         .build(),
                 m.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setLastLogIndex(5)
                         .setQuerySequenceNumber(8)
@@ -58,7 +58,7 @@
                         .build(),
                 m.createAppendEntriesFailureResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setExpectedNextIndex(5)
                         .setQuerySequenceNumber(8)
@@ -66,21 +66,21 @@
                         .build(),
                 m.createInstallSnapshotRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setSenderLeader(true)
                         .setSnapshotTerm(3)
                         .setSnapshotIndex(9)
                         .setTotalSnapshotChunkCount(2)
                         .setSnapshotChunk(chunk)
-                        .setSnapshottedMembers(Set.of(A))
+                        .setSnapshottedMembers(Set.of(VOTER))
                         .setQuerySequenceNumber(8)
                         .setFlowControlSequenceNumber(9)
-                        .setGroupMembersView(EngineForm.members(0, List.of("a"), List.of("a")))
+                        .setGroupMembersView(RaftCodec.members(0, List.of("a"), List.of("a")))
                         .build(),
                 m.createInstallSnapshotRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setSenderLeader(false)
                         .setSnapshotTerm(3)
@@ -92,7 +92,7 @@
                         .build(),
                 m.createInstallSnapshotResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setSnapshotIndex(9)
                         .setRequestedSnapshotChunkIndex(1)
@@ -101,20 +101,20 @@
                         .build(),
                 m.createPreVoteRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setLastLogTerm(2)
                         .setLastLogIndex(5)
                         .build(),
                 m.createPreVoteResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setGranted(true)
                         .build(),
                 m.createVoteRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setLastLogTerm(2)
                         .setLastLogIndex(5)
@@ -122,13 +122,13 @@
                         .build(),
                 m.createVoteResponseBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setGranted(false)
                         .build(),
                 m.createTriggerLeaderElectionRequestBuilder()
                         .setGroupId("g")
-                        .setSender(A)
+                        .setSender(VOTER)
                         .setTerm(3)
                         .setLastLogTerm(2)
                         .setLastLogIndex(5)
@@ -136,12 +136,12 @@
     }
 
     @Test
-    void everyMessageComesBackAsItWas() {
-        for (RaftMessage message : all()) {
-            RaftMessage back = EngineForm.message(EngineForm.bytes(message));
-            // Operations are arrays, which print as addresses: told apart by their bytes, all else by its text.
-            assertThat(text(back)).isEqualTo(text(message));
-            assertThat(EngineForm.bytes(back)).isEqualTo(EngineForm.bytes(message));
+    void everyMessageSurvivesARoundTrip() {
+        for (RaftMessage message : messages()) {
+            RaftMessage decoded = RaftCodec.decode(RaftCodec.encode(message));
+            // Operations are arrays, which print as addresses: they are compared by their bytes, the rest by its text.
+            assertThat(text(decoded)).isEqualTo(text(message));
+            assertThat(RaftCodec.encode(decoded)).isEqualTo(RaftCodec.encode(message));
         }
     }
 
@@ -150,28 +150,28 @@
     }
 
     @Test
-    void cutOrBentBytesEndInAMessageOrAFault() {
+    void truncatedOrCorruptedBytesYieldAMessageOrAFault() {
         Random random = new Random(5);
-        for (RaftMessage message : all()) {
-            byte[] whole = EngineForm.bytes(message);
+        for (RaftMessage message : messages()) {
+            byte[] encoded = RaftCodec.encode(message);
             for (int i = 0; i < 2000; i++) {
-                byte[] bent = java.util.Arrays.copyOf(whole, i < whole.length ? i : whole.length);
-                if (i >= whole.length) {
-                    bent[random.nextInt(bent.length)] = (byte) random.nextInt();
+                byte[] corrupted = java.util.Arrays.copyOf(encoded, i < encoded.length ? i : encoded.length);
+                if (i >= encoded.length) {
+                    corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
                 }
-                read(bent);
+                decode(corrupted);
             }
         }
     }
 
     @Property
-    void anyBytesEndInAMessageOrAFault(@ForAll byte[] bytes) {
-        read(bytes);
+    void arbitraryBytesYieldAMessageOrAFault(@ForAll byte[] bytes) {
+        decode(bytes);
     }
 
-    private static void read(byte[] bytes) {
+    private static void decode(byte[] bytes) {
         try {
-            assertThat(EngineForm.message(bytes)).isNotNull();
+            assertThat(RaftCodec.decode(bytes)).isNotNull();
         } catch (Fault.Unreadable e) {
             assertThat(e.code()).isEqualTo("F102");
         }
--- a/src/test/java/firstair/fleet/ledger/Voters.java
+++ b/src/test/java/firstair/fleet/ledger/VoterCluster.java
@@ -19,10 +19,10 @@
 import java.util.function.Function;
 
 /**
- * Voters and two members that are none, in one thread and virtual time over a seeded network. What the voters promise
- * is checked at each thing that happens; the first broken promise ends the run with its seed.
+ * Simulates voters and two members that are not voters, in one thread and virtual time over a seeded network. The
+ * invariants are checked at each event; the first violation fails the run with its seed.
  */
-final class Voters {
+final class VoterCluster {
     static final int KIND = 7;
 
     private record Event(double at, long order, Runnable task) implements Comparable<Event> {
@@ -32,28 +32,30 @@
         }
     }
 
-    /** A machine that notes what it runs; it tells the fleet, which compares. */
-    private final class Notes implements Agreement {
-        private final List<String> seen = new ArrayList<>();
+    /** Records the operations it applies and compares them with those that other voters applied. */
+    private final class RecordingStateMachine implements Agreement {
+        private final List<String> applied = new ArrayList<>();
 
         @Override
         public byte[] apply(long index, byte[] operation) {
             String id = new String(operation);
-            agreed(seen.size(), id);
-            seen.add(id);
+            checkCommitted(applied.size(), id);
+            applied.add(id);
             return id.getBytes();
         }
 
         @Override
         public byte[] snapshot() {
-            return String.join(",", seen).getBytes();
+            return String.join(",", applied).getBytes();
         }
 
         @Override
         public void restore(byte[] state) {
-            seen.clear();
-            seen.addAll(list(state));
-            check(seen.size() <= truth.size() && seen.equals(truth.subList(0, seen.size())), "a snapshot of others");
+            applied.clear();
+            applied.addAll(list(state));
+            check(
+                    applied.size() <= committed.size() && applied.equals(committed.subList(0, applied.size())),
+                    "a snapshot with a different history");
         }
     }
 
@@ -61,17 +63,17 @@
         return state.length == 0 ? List.of() : Arrays.asList(new String(state).split(","));
     }
 
-    /** One process; a restart makes a new one. */
+    /** One process of a member; each restart creates a new one. */
     final class Process implements Outbox {
         final Setup setup;
         private final long incarnation;
         MemoryKeeper keeper;
-        Ledger ledger; // of voters
-        Proposer proposer; // of others
+        Ledger ledger; // only at voters
+        Proposer proposer; // only at other members
         Follower follower;
         private double pausedUntil;
         private double timerAt = Double.POSITIVE_INFINITY;
-        private boolean over;
+        private boolean stopped;
 
         private Process(String name, long incarnation, LedgerMemory memory) {
             this.setup = setup(name);
@@ -83,27 +85,32 @@
                         setup,
                         incarnation,
                         memory,
-                        keeping.apply(keeper),
-                        new Agreements(new TreeMap<>(Map.of(KIND, new Notes()))),
+                        keeperWrapper.apply(keeper),
+                        new Agreements(new TreeMap<>(Map.of(KIND, new RecordingStateMachine()))),
                         this,
                         own,
-                        this::confirmed);
+                        this::update);
             } else {
                 proposer = new Proposer(setup, incarnation, this, own);
-                follower = new Follower(setup, this, own, this::confirmed, 1000, 700);
+                follower = new Follower(setup, this, own, this::update, 1000, 700);
             }
         }
 
-        private void confirmed(long version, byte[] state, boolean sure, double askedAt) {
+        private void update(long version, byte[] state, boolean linearizable, double requestedAt) {
             List<String> held =
                     state.length == 0 ? List.of() : list(Agreements.parts(state).get(KIND));
-            check(held.size() <= truth.size() && held.equals(truth.subList(0, held.size())), "told what was not");
-            if (sure) {
-                sures++;
-                Set<String> holds = new HashSet<>(held);
-                for (Map.Entry<String, Double> t : told.entrySet()) {
-                    if (t.getValue() < askedAt && !holds.contains(t.getKey())) {
-                        check(false, setup.self() + " is sure, asked at " + askedAt + ", and lacks " + t.getKey());
+            check(
+                    held.size() <= committed.size() && held.equals(committed.subList(0, held.size())),
+                    "a state that was never committed");
+            if (linearizable) {
+                linearizableReads++;
+                Set<String> contained = new HashSet<>(held);
+                for (Map.Entry<String, Double> t : acknowledged.entrySet()) {
+                    if (t.getValue() < requestedAt && !contained.contains(t.getKey())) {
+                        check(
+                                false,
+                                setup.self() + ": linearizable read requested at " + requestedAt + " lacks "
+                                        + t.getKey());
                     }
                 }
             }
@@ -111,9 +118,9 @@
 
         @Override
         public void send(String to, Note note) {
-            if (!over) {
+            if (!stopped) {
                 sent++;
-                post(setup.self(), to, note);
+                transmit(setup.self(), to, note);
             }
         }
 
@@ -122,12 +129,12 @@
             reports.add(text);
         }
 
-        private void hear(String from, Note note) {
-            if (over) {
+        private void receive(String from, Note note) {
+            if (stopped) {
                 return;
             }
             if (pausedUntil > now) {
-                later(pausedUntil - now, () -> hear(from, note));
+                later(pausedUntil - now, () -> receive(from, note));
                 return;
             }
             try {
@@ -141,11 +148,11 @@
             } catch (Fault e) {
                 throw new AssertionError("seed " + seed + ": " + e.line());
             }
-            arm();
+            scheduleTimer();
         }
 
-        private void tick() {
-            if (over) {
+        private void runTimer() {
+            if (stopped) {
                 return;
             }
             timerAt = Double.POSITIVE_INFINITY;
@@ -157,25 +164,25 @@
                     follower.timer(now);
                 }
             }
-            arm();
+            scheduleTimer();
         }
 
-        private void arm() {
+        private void scheduleTimer() {
             double at = ledger != null ? ledger.wakeAt() : Math.min(proposer.wakeAt(), follower.wakeAt());
             at = Math.max(Math.max(at, pausedUntil), now + 0.1);
             if (at < timerAt) {
                 timerAt = at;
-                final double mine = at;
+                final double scheduledAt = at;
                 later(at - now, () -> {
-                    if (timerAt == mine) {
-                        tick();
+                    if (timerAt == scheduledAt) {
+                        runTimer();
                     }
                 });
             }
-            leading();
+            checkLeader();
         }
 
-        private void leading() {
+        private void checkLeader() {
             if (ledger != null && ledger.leads()) {
                 String before = leaders.putIfAbsent(ledger.term(), setup.self());
                 check(before == null || before.equals(setup.self()), "two leaders in term " + ledger.term());
@@ -188,28 +195,28 @@
     final List<String> voters;
     final List<String> members = new ArrayList<>();
     final Map<String, Process> running = new LinkedHashMap<>();
-    final Map<String, LedgerMemory> folders = new LinkedHashMap<>();
-    final Set<String> cut = new HashSet<>(); // "a>b"
-    final List<String> truth = new ArrayList<>(); // what has been agreed, in order
-    final Map<String, Double> told = new LinkedHashMap<>(); // acknowledged, and when
+    final Map<String, LedgerMemory> storage = new LinkedHashMap<>();
+    final Set<String> blockedLinks = new HashSet<>(); // "a>b" for notes from a to b
+    final List<String> committed = new ArrayList<>(); // ids of all committed operations, in order
+    final Map<String, Double> acknowledged = new LinkedHashMap<>(); // ids and when their outcome was received
     final List<String> refused = new ArrayList<>();
     final List<String> reports = new ArrayList<>();
-    private final Set<String> once = new LinkedHashSet<>();
+    private final Set<String> committedIds = new LinkedHashSet<>();
     private final Map<Integer, String> leaders = new TreeMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    Function<Keeper, Keeper> keeping = k -> k;
-    double loss;
-    double doubled;
-    double slowMs = 20;
+    Function<Keeper, Keeper> keeperWrapper = k -> k;
+    double lossRate;
+    double duplicationRate;
+    double maxDelayMs = 20;
     String padding = "";
     double now;
-    int sures;
+    int linearizableReads;
     long sent;
     private long order;
     private long proposals;
     private long incarnations;
 
-    Voters(long seed, int count) {
+    VoterCluster(long seed, int count) {
         this.seed = seed;
         this.random = new Random(seed);
         this.voters = List.of("a", "b", "c", "d", "e").subList(0, count);
@@ -222,25 +229,25 @@
     }
 
     void start() {
-        voters.forEach(v -> folders.put(v, LedgerMemory.founded("fleet", v, voters)));
+        voters.forEach(v -> storage.put(v, LedgerMemory.founded("fleet", v, voters)));
         members.forEach(this::start);
     }
 
     void start(String name) {
-        Process p = new Process(name, ++incarnations, voters.contains(name) ? folders.get(name) : null);
+        Process p = new Process(name, ++incarnations, voters.contains(name) ? storage.get(name) : null);
         running.put(name, p);
         if (p.ledger != null) {
             p.ledger.start(now);
         }
-        p.tick();
+        p.runTimer();
     }
 
-    /** Ends a process at once; its folder keeps what was forced and perhaps more. */
+    /** Kills a process; its storage keeps all forced changes and a random number of the others. */
     void kill(String name) {
         Process p = running.remove(name);
-        p.over = true;
+        p.stopped = true;
         if (p.keeper != null) {
-            folders.put(name, p.keeper.killed(random));
+            storage.put(name, p.keeper.killed(random));
         }
     }
 
@@ -248,18 +255,18 @@
         running.get(name).pausedUntil = now + ms;
     }
 
-    String propose(String at) {
-        String id = at + (++proposals) + padding;
+    String propose(String member) {
+        String id = member + (++proposals) + padding;
         byte[] operation = Agreements.operation(KIND, id.getBytes());
-        Process p = running.get(at);
+        Process p = running.get(member);
         if (p.pausedUntil > now) {
             return id;
         }
         Consumer<Outcome> done = o -> {
             if (o instanceof Outcome.Agreed a) {
-                check(new String(a.result()).equals(id), "another's result");
-                check(truth.contains(id), id + " told but not agreed");
-                told.put(id, now);
+                check(new String(a.result()).equals(id), "the result of another operation");
+                check(committed.contains(id), id + " acknowledged but not committed");
+                acknowledged.put(id, now);
             } else {
                 refused.add(id);
             }
@@ -269,7 +276,7 @@
         } else {
             p.proposer.propose(now, operation, done);
         }
-        p.arm();
+        p.scheduleTimer();
         return id;
     }
 
@@ -281,14 +288,14 @@
                 .orElse(null);
     }
 
-    void cutOff(String name, boolean in, boolean out) {
+    void cutOff(String name, boolean inbound, boolean outbound) {
         for (String other : members) {
             if (!other.equals(name)) {
-                if (in) {
-                    cut.add(other + ">" + name);
+                if (inbound) {
+                    blockedLinks.add(other + ">" + name);
                 }
-                if (out) {
-                    cut.add(name + ">" + other);
+                if (outbound) {
+                    blockedLinks.add(name + ">" + other);
                 }
             }
         }
@@ -298,19 +305,19 @@
         events.add(new Event(now + ms, order++, task));
     }
 
-    void post(String from, String to, Note note) {
-        if (cut.contains(from + ">" + to) || random.nextDouble() < loss) {
+    void transmit(String from, String to, Note note) {
+        if (blockedLinks.contains(from + ">" + to) || random.nextDouble() < lossRate) {
             return;
         }
-        for (int n = random.nextDouble() < doubled ? 2 : 1; n > 0; n--) {
-            double ms = 1 + random.nextDouble() * slowMs;
+        for (int n = random.nextDouble() < duplicationRate ? 2 : 1; n > 0; n--) {
+            double ms = 1 + random.nextDouble() * maxDelayMs;
             if (random.nextInt(50) == 0) {
-                ms *= 40; // overtaken by all that follows
+                ms *= 40; // so that later notes overtake it
             }
             later(ms, () -> {
                 Process p = running.get(to);
                 if (p != null) {
-                    p.hear(from, note);
+                    p.receive(from, note);
                 }
             });
         }
@@ -326,14 +333,14 @@
         now = until;
     }
 
-    private void agreed(int position, String id) {
-        if (position < truth.size()) {
+    private void checkCommitted(int position, String id) {
+        if (position < committed.size()) {
             check(
-                    truth.get(position).equals(id),
-                    "two histories at " + position + ": " + truth.get(position) + ", " + id);
+                    committed.get(position).equals(id),
+                    "two histories at position " + position + ": " + committed.get(position) + ", " + id);
         } else {
-            check(once.add(id), id + " counted twice");
-            truth.add(id);
+            check(committedIds.add(id), id + " applied twice");
+            committed.add(id);
         }
     }
 
