--- a/src/main/java/firstair/relay/fleet/CalendarClock.java
+++ b/src/main/java/firstair/relay/fleet/CalendarClock.java
@@ -6,17 +6,17 @@
 import java.util.logging.Logger;
 
 /**
- * Unix time by which bookings begin and end. The wall clock is read once, when the process begins, and the time runs on
- * with the monotonic clock: a step of the wall clock moves no booking of a running relay. What a time service has
- * corrected holds from the next start on.
+ * Unix time for the start and end of bookings. The wall clock is read once, when the process starts, and the time then
+ * advances with the monotonic clock, so that a step of the wall clock shifts no booking of a running relay. Corrections
+ * by a time service take effect at the next start.
  */
 final class CalendarClock {
-    private static final double STEP_TOLD_MS = 1000; // wall clocks are off by so much anyway
-    private final RateLimitedLogger steps =
+    private static final double MIN_LOGGED_STEP_MS = 1000; // smaller deviations of wall clocks are usual
+    private final RateLimitedLogger stepLogger =
             new RateLimitedLogger(Logger.getLogger(CalendarClock.class.getName()), Level.WARNING);
 
     private final BootClock clock;
-    private final long offsetMs; // of the wall clock to the monotonic one, at the start
+    private final long offsetMs; // wall clock minus monotonic clock, at the start
 
     CalendarClock(BootClock clock) {
         this.clock = clock;
@@ -27,8 +27,9 @@
     long nowMs() {
         long now = clock.nowMs() + offsetMs;
         long stepMs = clock.wallMs() - now;
-        if (Math.abs(stepMs) >= STEP_TOLD_MS) {
-            steps.log("the wall clock was stepped by " + stepMs + " ms; bookings go by it from the next start on");
+        if (Math.abs(stepMs) >= MIN_LOGGED_STEP_MS) {
+            stepLogger.log(
+                    "the wall clock was stepped by " + stepMs + " ms; bookings follow it from the next start on");
         }
         return now;
     }
--- a/src/main/java/firstair/relay/fleet/FleetConfig.java
+++ b/src/main/java/firstair/relay/fleet/FleetConfig.java
@@ -19,13 +19,13 @@
 import java.util.regex.Pattern;
 
 /**
- * The table {@code fleet} of our settings, checked: who the relays are and where, and what they share.
+ * The validated table {@code fleet} of the settings: the relays, their addresses, and what they share.
  *
- * @param setup          what decisions are told
- * @param listen         where other relays reach us, by UDP and TCP
- * @param addresses      where all relays are reached, by their names, in the order of the members; ours too
- * @param sharing        what the fleet shares beside limits
- * @param calendars      by which requests for bookings may repeat, by name
+ * @param setup          members, voters and timing
+ * @param listen         address on which this relay receives from other relays, by UDP and TCP
+ * @param addresses      addresses of all relays by name, in the order of the members, including this one
+ * @param sharing        what the fleet shares besides limits
+ * @param calendars      calendars for recurring bookings, by name
  * @param first          whether this is the very first start of the fleet's voters
  */
 public record FleetConfig(
@@ -38,16 +38,16 @@
 
     private static final Logger LOG = Logger.getLogger(FleetConfig.class.getName());
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-    private static final int HELLOS = 3; // some may be lost before a relay takes itself for cut off
+    private static final int MIN_HELLOS_PER_QUIET = 3; // some may be lost before a relay considers itself partitioned
 
     /**
-     * Reads and checks the table.
+     * Reads and validates the table.
      *
-     * @return null unless both the settings of ours and the platform let relays talk
-     * @throws ConfigException with one line that names the field which cannot be used
+     * @return null unless both our settings and the platform enable the fleet
+     * @throws ConfigException with one line that names the invalid field
      */
-    public static FleetConfig of(Values own, Config config) {
-        boolean named = !own.text("fleet.name", "").isEmpty();
+    public static FleetConfig of(Values localSettings, Config config) {
+        boolean named = !localSettings.text("fleet.name", "").isEmpty();
         boolean allowed = config.settings().limits().peers();
         if (named != allowed) {
             LOG.info(
@@ -61,7 +61,7 @@
             return null;
         }
         try {
-            return checked(own, config);
+            return validated(localSettings, config);
         } catch (Fault.BadSetup e) {
             throw new ConfigException(List.of("config: field " + e.getMessage() + " (" + e.code() + ")"));
         } catch (Fault.BadCalendar e) {
@@ -73,102 +73,103 @@
         }
     }
 
-    private static FleetConfig checked(Values own, Config config) {
-        String fleet = own.text("fleet.name", "");
+    private static FleetConfig validated(Values localSettings, Config config) {
+        String fleet = localSettings.text("fleet.name", "");
         require(NAME.matcher(fleet).matches(), "fleet.name", "letters, digits, '.', '_' and '-' only: " + fleet);
-        Map<String, InetSocketAddress> addresses = peers(own.names("fleet.peers"));
+        Map<String, InetSocketAddress> addresses = peers(localSettings.names("fleet.peers"));
         List<String> members = List.copyOf(addresses.keySet());
-        int group = config.settings().group();
+        int groupSize = config.settings().group();
         require(
-                members.size() >= group,
+                members.size() >= groupSize,
                 "fleet.peers",
-                members.size() + " relays, but the platform runs " + group + " (groupSize): they would send too much");
-        String self = own.text("fleet.self", "");
+                members.size() + " relays, but the platform runs " + groupSize
+                        + " (groupSize): together they would exceed the limits");
+        String self = localSettings.text("fleet.self", "");
         self = self.isEmpty() ? config.name() : self;
         require(addresses.containsKey(self), "fleet.self", self + " is not among fleet.peers");
-        List<String> voters = voters(own.names("fleet.voters"), members);
+        List<String> voters = voters(localSettings.names("fleet.voters"), members);
         Setup setup = new Setup(
                 fleet,
                 self,
                 config.zones().name(config.settings().zone()),
                 members,
                 voters,
-                own.number("fleet.hello", 500),
-                own.number("fleet.quiet", 3000),
-                own.number("fleet.delay", 1000),
-                own.number("fleet.drift", 0.01),
-                own.number("fleet.cut", 0.5));
+                localSettings.number("fleet.hello", 500),
+                localSettings.number("fleet.quiet", 3000),
+                localSettings.number("fleet.delay", 1000),
+                localSettings.number("fleet.drift", 0.01),
+                localSettings.number("fleet.cut", 0.5));
         require(
-                setup.quietMs() >= HELLOS * setup.helloMs(),
+                setup.quietMs() >= MIN_HELLOS_PER_QUIET * setup.helloMs(),
                 "fleet.quiet",
-                "less than " + HELLOS + " times fleet.hello");
+                "less than " + MIN_HELLOS_PER_QUIET + " times fleet.hello");
         require(setup.quietMs() > setup.delayMs(), "fleet.quiet", "not more than fleet.delay");
-        String text = own.text("fleet.listen", "");
+        String text = localSettings.text("fleet.listen", "");
         InetSocketAddress listen = text.isEmpty() ? addresses.get(self) : address("fleet.listen", text);
         require(!listen.isUnresolved(), "fleet.listen", "no such host: " + listen.getHostString());
-        Sharing sharing = sharing(own, config);
+        Sharing sharing = sharing(localSettings, config);
         return new FleetConfig(
                 setup,
                 listen,
                 addresses,
                 sharing,
-                CalendarFile.read(own.text("fleet.calendars", "")),
-                own.flag("fleet.first", false));
+                CalendarFile.read(localSettings.text("fleet.calendars", "")),
+                localSettings.flag("fleet.first", false));
     }
 
-    private static Sharing sharing(Values own, Config config) {
+    private static Sharing sharing(Values localSettings, Config config) {
         ContractFile file = ContractFile.read(
-                own.text("fleet.contracts", ""), config.zones().names());
-        boolean bookings = own.flag("fleet.bookings", false);
+                localSettings.text("fleet.contracts", ""), config.zones().names());
+        boolean bookings = localSettings.flag("fleet.bookings", false);
         return new Sharing(
-                own.number("fleet.repeats", 0),
+                localSettings.number("fleet.repeats", 0),
                 file.contracts(),
                 file.version(),
-                file.given(),
-                own.number("fleet.contract_term", 10_000),
+                file.configured(),
+                localSettings.number("fleet.contract_term", 10_000),
                 bookings,
-                own.number("fleet.bookable", 0.3),
-                own.number("fleet.skew", 1000));
+                localSettings.number("fleet.bookable", 0.3),
+                localSettings.number("fleet.skew", 1000));
     }
 
     private static Map<String, InetSocketAddress> peers(List<String> texts) {
         Map<String, InetSocketAddress> all = new LinkedHashMap<>();
-        Map<String, String> taken = new LinkedHashMap<>();
+        Map<String, String> nameByAddress = new LinkedHashMap<>();
         for (String text : texts) {
             int equals = text.indexOf('=');
             String name = equals < 0 ? "" : text.substring(0, equals).strip();
             require(NAME.matcher(name).matches(), "fleet.peers", "not name=host:port: " + text);
-            InetSocketAddress at =
+            InetSocketAddress address =
                     address("fleet.peers", text.substring(equals + 1).strip());
-            require(all.put(name, at) == null, "fleet.peers", name + " stands there twice");
-            String other = taken.put(HostPort.of(at), name);
-            require(other == null, "fleet.peers", name + " and " + other + " have one address");
+            require(all.put(name, address) == null, "fleet.peers", name + " is listed twice");
+            String other = nameByAddress.put(HostPort.of(address), name);
+            require(other == null, "fleet.peers", name + " and " + other + " have the same address");
         }
-        require(!all.isEmpty(), "fleet.peers", "no relay");
+        require(!all.isEmpty(), "fleet.peers", "no relay is listed");
         return Collections.unmodifiableMap(all); // Map.copyOf would lose the order
     }
 
     private static List<String> voters(List<String> names, List<String> members) {
-        require(names.size() == 3 || names.size() == 5, "fleet.voters", names.size() + " names, 3 or 5 are needed");
-        require(new HashSet<>(names).size() == names.size(), "fleet.voters", "a name stands there twice");
-        List<String> strangers = new ArrayList<>(names);
-        strangers.removeAll(members);
-        require(strangers.isEmpty(), "fleet.voters", String.join(", ", strangers) + " not among fleet.peers");
+        require(names.size() == 3 || names.size() == 5, "fleet.voters", names.size() + " names, 3 or 5 are required");
+        require(new HashSet<>(names).size() == names.size(), "fleet.voters", "a name is listed twice");
+        List<String> unknown = new ArrayList<>(names);
+        unknown.removeAll(members);
+        require(unknown.isEmpty(), "fleet.voters", String.join(", ", unknown) + " not among fleet.peers");
         return List.copyOf(names);
     }
 
     private static InetSocketAddress address(String field, String text) {
         try {
-            InetSocketAddress at = HostPort.parse(text);
-            require(at.getPort() > 0, field, "no port that others could know: " + text);
-            return at;
+            InetSocketAddress address = HostPort.parse(text);
+            require(address.getPort() > 0, field, "needs a fixed port: " + text);
+            return address;
         } catch (IllegalArgumentException e) {
             throw new Fault.BadSetup(field, e.getMessage());
         }
     }
 
-    private static void require(boolean holds, String field, String why) {
-        if (!holds) {
+    private static void require(boolean condition, String field, String why) {
+        if (!condition) {
             throw new Fault.BadSetup(field, why);
         }
     }
--- a/src/main/java/firstair/relay/fleet/FleetDriver.java
+++ b/src/main/java/firstair/relay/fleet/FleetDriver.java
@@ -38,42 +38,42 @@
 import java.util.logging.Logger;
 
 /**
- * Drives one {@link Fleet}: its sockets, clocks, files and the way to the relay. It decides nothing. All methods run
- * on the loop's thread.
+ * Connects one {@link Fleet} to sockets, clocks, files and the relay. Makes no decisions itself. All methods run on the
+ * loop's thread.
  */
 public final class FleetDriver implements FleetPeers, Fleet.Actions {
     private static final Logger LOG = Logger.getLogger(FleetDriver.class.getName());
-    private static final String INCARNATION = "incarnation";
-    private static final double TOLD_AGAIN_MS = 60_000;
-    private static final double USED_MS = 60_000;
-    private static final int LEDGER_BYTES = 1 << 20;
+    private static final String INCARNATION_FILE = "incarnation";
+    private static final double WARNING_INTERVAL_MS = 60_000;
+    private static final double USAGE_SPAN_MS = 60_000;
+    private static final int LEDGER_REWRITE_BYTES = 1 << 20;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
-    private static final int OVER_QUOTA = 429;
-    private static final int NOT_NOW = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final FleetConfig config;
     private final Loop loop;
     private final Listener listener;
-    private final CalendarClock calendar = new CalendarClock(BootClock.SYSTEM);
+    private final CalendarClock calendarClock = new CalendarClock(BootClock.SYSTEM);
     private final Zones zones;
     private final Codec codec = new Codec();
     private final Fleet fleet;
     private final PeerWire wire;
-    private final LedgerFile ledger; // null where this relay votes on nothing
-    private final Map<String, Double> toldAt = new HashMap<>(); // of what was dropped, by code
+    private final LedgerFile ledger; // null unless this relay is a voter of a ledger
+    private final Map<String, Double> lastWarningAt = new HashMap<>(); // by fault code
     private Loop.Timer timer;
     private double timerAt = Double.POSITIVE_INFINITY;
 
     /**
-     * The fleet as the settings have it, or nobody.
+     * Creates the driver for the configured fleet, or {@link FleetPeers#NONE} if there is none.
      *
-     * @throws ConfigException if the settings cannot be used
-     * @throws IOException     if the address or the folder cannot be had
+     * @throws ConfigException if the settings are invalid
+     * @throws IOException     if the address or the folder cannot be used
      */
-    public static FleetPeers of(Config config, Values own, Loop loop, Listener listener) throws IOException {
-        FleetConfig fleet = FleetConfig.of(own, config);
+    public static FleetPeers of(Config config, Values localSettings, Loop loop, Listener listener) throws IOException {
+        FleetConfig fleet = FleetConfig.of(localSettings, config);
         if (fleet == null) {
             return NONE;
         }
@@ -90,15 +90,15 @@
         this.listener = listener;
         zones = relay.zones();
         String self = config.setup().self();
-        boolean votes = config.sharing().agrees() && config.setup().voters().contains(self);
-        ledger = votes
+        boolean isVoter = config.sharing().agrees() && config.setup().voters().contains(self);
+        ledger = isVoter
                 ? LedgerFile.open(
                         relay.state(),
                         config.setup().fleet(),
                         self,
                         config.setup().voters(),
                         config.first(),
-                        LEDGER_BYTES)
+                        LEDGER_REWRITE_BYTES)
                 : null;
         LedgerMemory memory = ledger == null ? null : ledger.memory();
         fleet = new Fleet(
@@ -109,67 +109,67 @@
                 memory,
                 ledger,
                 loop.now(),
-                calendar.nowMs(),
+                calendarClock.nowMs(),
                 this);
         wire = new PeerWire(
                 loop,
                 config.listen(),
                 config.addresses(),
                 PeerWire.Bounds.of(config.setup().members().size()),
-                this::bytes);
+                this::receive);
     }
 
-    /** Higher than that of the process before, also where the wall clock has gone back meanwhile. */
+    /** Returns a number higher than that of the previous process, even if the wall clock was set back since. */
     private static long incarnation(Path folder) throws IOException {
         Files.createDirectories(folder);
-        Path file = folder.resolve(INCARNATION);
+        Path file = folder.resolve(INCARNATION_FILE);
         long last = 0;
         if (Files.exists(file)) {
             try {
                 last = Long.parseLong(Files.readString(file).strip());
             } catch (NumberFormatException | IOException e) {
-                LOG.warning("the file " + file + " cannot be read, the wall clock takes its place: " + e);
+                LOG.warning("cannot read " + file + ", using the wall clock instead: " + e);
             }
         }
         long next = Math.max(last + 1, System.currentTimeMillis());
-        Path draft = folder.resolve(INCARNATION + ".tmp");
-        Files.writeString(draft, Long.toString(next));
-        Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = folder.resolve(INCARNATION_FILE + ".tmp");
+        Files.writeString(temporary, Long.toString(next));
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         return next;
     }
 
     // ---- sockets and clocks ----
 
-    private void bytes(byte[] bytes) {
+    private void receive(byte[] bytes) {
         Envelope envelope;
         try {
             envelope = codec.read(bytes);
         } catch (Fault fault) {
             fleet.dropped(fault);
-            tell(fault);
+            warn(fault);
             return;
         }
         try {
             fleet.heard(loop.now(), envelope);
         } catch (Fault fault) {
-            tell(fault);
+            warn(fault);
         }
     }
 
-    /** Anybody may send anything: a line a minute for each kind is enough. */
-    private void tell(Fault fault) {
+    /** Logs a fault, at most once a minute for each code, because anybody can cause them by sending to this address. */
+    private void warn(Fault fault) {
         double now = loop.now();
-        Double last = toldAt.get(fault.code());
-        if (last == null || now - last >= TOLD_AGAIN_MS) {
-            toldAt.put(fault.code(), now);
+        Double last = lastWarningAt.get(fault.code());
+        if (last == null || now - last >= WARNING_INTERVAL_MS) {
+            lastWarningAt.put(fault.code(), now);
             LOG.warning("fleet: " + fault.line() + " (" + fleet.drops().getOrDefault(fault.code(), 1L) + " so far)");
         }
     }
 
     @Override
     public void send(Envelope envelope) {
-        for (Envelope e : codec.split(envelope, PeerWire.DATAGRAM)) {
-            wire.send(e.to(), codec.write(e));
+        for (Envelope part : codec.split(envelope, PeerWire.MAX_DATAGRAM_BYTES)) {
+            wire.send(part.to(), codec.write(part));
         }
     }
 
@@ -181,14 +181,14 @@
                 timer.cancel();
             }
             timerAt = at;
-            timer = loop.after(inMs, this::due);
+            timer = loop.after(inMs, this::runTimer);
         }
     }
 
-    private void due() {
+    private void runTimer() {
         timer = null;
         timerAt = Double.POSITIVE_INFINITY;
-        fleet.timer(loop.now(), calendar.nowMs());
+        fleet.timer(loop.now(), calendarClock.nowMs());
     }
 
     @Override
@@ -211,7 +211,7 @@
         LOG.info("fleet: " + text);
     }
 
-    // ---- what the relay asks and tells ----
+    // ---- calls from the relay ----
 
     @Override
     public boolean talk() {
@@ -227,7 +227,7 @@
 
     @Override
     public void refresh() {
-        fleet.refresh(loop.now(), calendar.nowMs());
+        fleet.refresh(loop.now(), calendarClock.nowMs());
     }
 
     @Override
@@ -235,9 +235,9 @@
         try {
             return admission(fleet.admit(loop.now(), tenant, className, destination, booking));
         } catch (Fault.TenantQuota fault) {
-            return refusal(OVER_QUOTA, fault.afterMs(), fault);
+            return refusal(TOO_MANY_REQUESTS, fault.afterMs(), fault);
         } catch (Fault.OutsideContract fault) {
-            return refusal(NOT_NOW, 0, fault); // nothing is kept here: elsewhere, or later, it may be
+            return refusal(SERVICE_UNAVAILABLE, 0, fault); // another relay may accept it, or this one later
         } catch (Fault fault) {
             return refusal(BAD_REQUEST, 0, fault);
         }
@@ -253,16 +253,16 @@
     }
 
     private Admission admission(Terms terms) {
-        Set<Integer> numbers = null;
+        Set<Integer> zoneNumbers = null;
         if (terms.zones() != null) {
-            numbers = new TreeSet<>();
+            zoneNumbers = new TreeSet<>();
             for (String zone : terms.zones()) {
-                numbers.add(zones.number(zone));
+                zoneNumbers.add(zones.number(zone));
             }
         }
-        return numbers == null && terms.lane() == null
+        return zoneNumbers == null && terms.lane() == null
                 ? Admission.FREE
-                : new Admission(0, 0, null, numbers, terms.lane());
+                : new Admission(0, 0, null, zoneNumbers, terms.lane());
     }
 
     @Override
@@ -276,19 +276,19 @@
     }
 
     @Override
-    public void ended(int destination, Outcome o) {
-        boolean failed = o.result() == Result.ERROR
-                || o.result() == Result.TIMEOUT
-                || o.result() == Result.RESET
-                || o.result() == Result.CONNECT_FAILED;
+    public void ended(int destination, Outcome outcome) {
+        boolean failed = outcome.result() == Result.ERROR
+                || outcome.result() == Result.TIMEOUT
+                || outcome.result() == Result.RESET
+                || outcome.result() == Result.CONNECT_FAILED;
         fleet.ended(
                 loop.now(),
                 destination,
-                o.endpoint(),
-                o.result() == Result.OK,
+                outcome.endpoint(),
+                outcome.result() == Result.OK,
                 failed,
-                o.waitMs(),
-                o.load().limitPerS());
+                outcome.waitMs(),
+                outcome.load().limitPerS());
     }
 
     @Override
@@ -308,7 +308,7 @@
             try {
                 ledger.close();
             } catch (IOException e) {
-                LOG.warning("fleet: the ledger was not closed: " + e);
+                LOG.warning("fleet: cannot close the ledger: " + e);
             }
         }
     }
@@ -321,77 +321,80 @@
     }
 
     @Override
-    public void ask(BookingRequest ask) {
+    public void ask(BookingRequest request) {
         try {
-            if (ask.method().equals("GET")) {
-                ask.answer(200, 0, shown(ask.booking()));
+            if (request.method().equals("GET")) {
+                request.answer(200, 0, describe(request.booking()));
                 return;
             }
-            List<Operation> operations = Operations.readAll(text(ask), config.calendars(), calendar.nowMs());
+            List<Operation> operations =
+                    Operations.readAll(operationJson(request), config.calendars(), calendarClock.nowMs());
             if (operations.isEmpty()) {
-                throw new Fault.BadRequest("repeat", "no time that could still be asked for");
+                throw new Fault.BadRequest("repeat", "no occurrence is left that can still be requested");
             }
-            fleet.book(loop.now(), operations, o -> answer(ask, o));
+            fleet.book(loop.now(), operations, outcome -> answer(request, outcome));
         } catch (Fault fault) {
-            answer(ask, fault);
+            answer(request, fault);
         }
     }
 
-    private String shown(String id) {
-        JsonObject shown = JsonParser.parseString(new String(fleet.booking(id), StandardCharsets.UTF_8))
+    private String describe(String id) {
+        JsonObject booking = JsonParser.parseString(new String(fleet.booking(id), StandardCharsets.UTF_8))
                 .getAsJsonObject();
-        Total used = fleet.used(loop.now(), id, USED_MS);
+        Total used = fleet.used(loop.now(), id, USAGE_SPAN_MS);
         JsonObject calls = new JsonObject();
         calls.addProperty("calls", used.sum());
-        calls.addProperty("spanMs", USED_MS);
+        calls.addProperty("spanMs", USAGE_SPAN_MS);
         calls.addProperty("relays", used.relays());
         calls.addProperty("ofRelays", used.ofRelays());
         calls.addProperty("oldestMs", used.oldestMs());
-        shown.add("used", calls);
-        return shown.toString();
+        booking.add("used", calls);
+        return booking.toString();
     }
 
-    /** The request with what its method and path say. */
-    private static byte[] text(BookingRequest ask) {
-        JsonObject o = new JsonObject();
+    /** The request's JSON, completed by the kind and the id that its method and path imply. */
+    private static byte[] operationJson(BookingRequest request) {
+        JsonObject operation = new JsonObject();
         try {
-            JsonElement read =
-                    ask.body().length == 0 ? o : JsonParser.parseString(new String(ask.body(), StandardCharsets.UTF_8));
+            JsonElement read = request.body().length == 0
+                    ? operation
+                    : JsonParser.parseString(new String(request.body(), StandardCharsets.UTF_8));
             if (!read.isJsonObject()) {
-                throw new Fault.BadRequest("body", "no JSON object");
+                throw new Fault.BadRequest("body", "not a JSON object");
             }
-            o = read.getAsJsonObject();
+            operation = read.getAsJsonObject();
         } catch (JsonParseException e) {
-            throw new Fault.BadRequest("body", "no JSON");
+            throw new Fault.BadRequest("body", "not JSON");
         }
-        if (!o.has("kind")) {
-            o.addProperty("kind", ask.method().equals("PUT") ? "put" : "end");
+        if (!operation.has("kind")) {
+            operation.addProperty("kind", request.method().equals("PUT") ? "put" : "end");
         }
-        if (!o.has("id") && !NAMELESS.contains(o.get("kind").toString())) {
-            o.addProperty("id", ask.booking());
+        if (!operation.has("id")
+                && !KINDS_WITHOUT_ID.contains(operation.get("kind").toString())) {
+            operation.addProperty("id", request.booking());
         }
-        return o.toString().getBytes(StandardCharsets.UTF_8);
+        return operation.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static final Set<String> NAMELESS =
+    private static final Set<String> KINDS_WITHOUT_ID =
             Set.of("\"limit\"", "\"set-team\"", "\"set-destination\"", "\"set-rules\"");
 
-    private static void answer(BookingRequest ask, firstair.fleet.ledger.Outcome outcome) {
+    private static void answer(BookingRequest request, firstair.fleet.ledger.Outcome outcome) {
         if (outcome instanceof firstair.fleet.ledger.Outcome.Agreed agreed) {
             String booking = new String(agreed.result(), StandardCharsets.UTF_8);
-            ask.answer(200, 0, booking.isEmpty() ? "{}" : booking);
-        } else if (outcome instanceof firstair.fleet.ledger.Outcome.Refused r) {
-            ask.answer(status(r.code()), 0, json(r.code(), r.what(), r.step()));
-        } else if (outcome instanceof firstair.fleet.ledger.Outcome.NotNow n) {
-            answer(ask, n.fault());
+            request.answer(200, 0, booking.isEmpty() ? "{}" : booking);
+        } else if (outcome instanceof firstair.fleet.ledger.Outcome.Refused refused) {
+            request.answer(status(refused.code()), 0, json(refused.code(), refused.what(), refused.step()));
+        } else if (outcome instanceof firstair.fleet.ledger.Outcome.NotNow notNow) {
+            answer(request, notNow.fault());
         }
     }
 
-    private static void answer(BookingRequest ask, Fault fault) {
-        double after = fault instanceof Fault.NotNow n ? n.afterMs() : 0;
-        ask.answer(
-                fault instanceof Fault.NotNow ? NOT_NOW : status(fault.code()),
-                after,
+    private static void answer(BookingRequest request, Fault fault) {
+        double afterMs = fault instanceof Fault.NotNow notNow ? notNow.afterMs() : 0;
+        request.answer(
+                fault instanceof Fault.NotNow ? SERVICE_UNAVAILABLE : status(fault.code()),
+                afterMs,
                 json(fault.code(), fault.getMessage(), fault.step()));
     }
 
@@ -404,10 +407,10 @@
     }
 
     private static String json(String code, String what, String step) {
-        JsonObject o = new JsonObject();
-        o.addProperty("code", code);
-        o.addProperty("what", what);
-        o.addProperty("step", step);
-        return o.toString();
+        JsonObject error = new JsonObject();
+        error.addProperty("code", code);
+        error.addProperty("what", what);
+        error.addProperty("step", step);
+        return error.toString();
     }
 }
--- a/src/main/java/firstair/relay/fleet/PeerWire.java
+++ b/src/main/java/firstair/relay/fleet/PeerWire.java
@@ -11,66 +11,67 @@
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Queue;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
- * Carries bytes between relays, with no promise that they arrive: what fits a datagram by UDP, what is larger by TCP.
- * It knows nothing of what they mean. Whatever others do, it holds bounded memory, never blocks and never throws; what
- * is beyond a bound is dropped and counted.
+ * Transports byte arrays between relays without a delivery guarantee: by UDP if they fit into a datagram, otherwise as
+ * frames by TCP. The content is opaque here. Whatever other relays do, memory is bounded, and no method blocks or
+ * throws; what exceeds a bound is dropped and counted.
  */
 public final class PeerWire {
     private static final Logger LOG = Logger.getLogger(PeerWire.class.getName());
-    /** Bytes of a datagram at most: what a network carries whole. */
-    static final int DATAGRAM = 1400;
+    /** What usual networks carry without fragmentation. */
+    static final int MAX_DATAGRAM_BYTES = 1400;
 
-    private static final String THREAD = "peers";
-    private static final int PORTS = 20; // tries to have the same free port for UDP and TCP
-    private static final double SWEEP_MS = 1000;
-    private static final double LOOKUP_MS = 5000;
+    private static final String THREAD_NAME = "peers";
+    private static final int MAX_BIND_ATTEMPTS = 20; // to find a port that is free for both UDP and TCP
+    private static final double SWEEP_INTERVAL_MS = 1000;
+    private static final double LOOKUP_INTERVAL_MS = 5000;
 
-    /** Where what others send is handed in, on the loop's thread. */
+    /** Receives what other relays send, on the loop's thread. */
     public interface Listener {
-        /** A datagram or a frame, as it came. */
+        /** Receives one datagram or frame. */
         void bytes(byte[] datagramOrFrame);
     }
 
     /**
-     * What is held and waited for at most.
+     * Limits of memory, time and connections.
      *
-     * @param datagram    bytes of a datagram; what is larger goes by TCP
-     * @param frame       bytes of what goes by TCP
-     * @param datagrams   datagrams that wait for the loop
-     * @param frames      frames that wait for the loop
-     * @param frameBytes  bytes of those, and again of frames that have come in part
-     * @param round       datagrams, and again frames, that are handed in in one round of the loop
-     * @param peerBytes   bytes that wait for one peer
-     * @param allBytes    bytes that wait for all peers
-     * @param stuckMs     a connection that takes nothing of what waits for so long is closed
-     * @param idleMs      a connection that nobody needed for so long is closed
-     * @param againMs     after a connection that did not come up, until the next one
-     * @param connections accepted connections
+     * @param maxDatagramBytes     size up to which bytes are sent as a datagram; larger ones are sent by TCP
+     * @param maxFrameBytes        size of a frame
+     * @param inboundDatagrams     received datagrams that wait for the loop
+     * @param inboundFrames        received frames that wait for the loop
+     * @param inboundBytes         bytes of those frames, and separately of partly received frames
+     * @param batchSize            datagrams, and separately frames, delivered in one round of the loop
+     * @param outboundBytesPerPeer bytes queued for sending to one peer
+     * @param outboundBytes        bytes queued for sending to all peers
+     * @param stallTimeoutMs       a connection that makes no progress on its queue for so long is closed
+     * @param idleTimeoutMs        a connection that is unused for so long is closed
+     * @param reconnectDelayMs     delay before the next attempt after a failed connection attempt
+     * @param connections          accepted connections
      */
     public record Bounds(
-            int datagram,
-            int frame,
-            int datagrams,
-            int frames,
-            long frameBytes,
-            int round,
-            long peerBytes,
-            long allBytes,
-            double stuckMs,
-            double idleMs,
-            double againMs,
+            int maxDatagramBytes,
+            int maxFrameBytes,
+            int inboundDatagrams,
+            int inboundFrames,
+            long inboundBytes,
+            int batchSize,
+            long outboundBytesPerPeer,
+            long outboundBytes,
+            double stallTimeoutMs,
+            double idleTimeoutMs,
+            double reconnectDelayMs,
             int connections) {
 
-        /** Bounds for a fleet of so many relays. */
+        /** Bounds for a fleet with that many relays. */
         public static Bounds of(int members) {
-            // All may speak at the same moment; the bytes of frames are bounded whatever their number.
+            // All relays may send at the same moment; the bytes of frames are bounded independently of their number.
             return new Bounds(
-                    DATAGRAM,
+                    MAX_DATAGRAM_BYTES,
                     1 << 20,
                     Math.max(1024, 4 * members),
                     Math.max(64, members),
@@ -86,18 +87,24 @@
     }
 
     /**
-     * What went on since the start.
+     * Counters since the start.
      *
-     * @param sent          datagrams and frames handed to the system or to a connection
+     * @param sent          datagrams and frames passed to the operating system or to a connection
      * @param sentBytes     their bytes
-     * @param unsent        those that were dropped instead: nobody has the name, too large, too much waits, no way
-     * @param received      datagrams and frames that came
+     * @param unsent        dropped instead of sent: unknown peer or address, too large, queue full, or no connection
+     * @param received      datagrams and frames received
      * @param receivedBytes their bytes
-     * @param flooded       those of them that were dropped because too many wait for the loop
-     * @param garbage       what came and can be no datagram or frame of a relay
+     * @param overflowed    received, but dropped because too many wait for the loop
+     * @param malformed     input that cannot be a datagram or frame of a relay
      */
     public record Counts(
-            long sent, long sentBytes, long unsent, long received, long receivedBytes, long flooded, long garbage) {}
+            long sent,
+            long sentBytes,
+            long unsent,
+            long received,
+            long receivedBytes,
+            long overflowed,
+            long malformed) {}
 
     private final Loop loop;
     private final Bounds bounds;
@@ -111,17 +118,17 @@
     private final LongAdder unsent = new LongAdder();
     private final LongAdder received = new LongAdder();
     private final LongAdder receivedBytes = new LongAdder();
-    private final LongAdder flooded = new LongAdder();
-    private final LongAdder garbage = new LongAdder();
+    private final LongAdder overflowed = new LongAdder();
+    private final LongAdder malformed = new LongAdder();
     private double sweptAt;
     private volatile boolean closed;
 
     /**
-     * Listens by UDP and TCP on one port, from now on.
+     * Starts to listen by UDP and TCP on one port.
      *
-     * @param listen port 0 takes a free one
-     * @param peers  where others are, by their names
-     * @throws IOException if the address cannot be had
+     * @param listen address to bind; port 0 selects a free port
+     * @param peers  addresses of the other relays by name
+     * @throws IOException if the address cannot be bound
      */
     public PeerWire(
             Loop loop, InetSocketAddress listen, Map<String, InetSocketAddress> peers, Bounds bounds, Listener listener)
@@ -129,22 +136,22 @@
         this.loop = loop;
         this.bounds = bounds;
         this.listener = listener;
-        peers.forEach((name, at) -> this.peers.put(name, new Peer(at)));
-        Queue small = new Queue(bounds.datagrams(), Long.MAX_VALUE);
-        Queue large = new Queue(bounds.frames(), bounds.frameBytes());
+        peers.forEach((name, peerAddress) -> this.peers.put(name, new Peer(peerAddress)));
+        InboundQueue inboundDatagrams = new InboundQueue(bounds.inboundDatagrams(), Long.MAX_VALUE);
+        InboundQueue inboundFrames = new InboundQueue(bounds.inboundFrames(), bounds.inboundBytes());
         Datagrams udp = null;
         Frames tcp = null;
-        for (int tries = 1; udp == null; tries++) {
+        for (int attempt = 1; udp == null; attempt++) {
             tcp = new Frames(
-                    THREAD,
+                    THREAD_NAME,
                     listen,
-                    new Frames.Bounds(bounds.frame(), bounds.frameBytes(), bounds.connections()),
-                    large);
+                    new Frames.Bounds(bounds.maxFrameBytes(), bounds.inboundBytes(), bounds.connections()),
+                    inboundFrames);
             try {
-                udp = new Datagrams(THREAD, tcp.address(), bounds.datagram(), small);
+                udp = new Datagrams(THREAD_NAME, tcp.address(), bounds.maxDatagramBytes(), inboundDatagrams);
             } catch (IOException e) {
                 tcp.close();
-                if (listen.getPort() != 0 || tries == PORTS) {
+                if (listen.getPort() != 0 || attempt == MAX_BIND_ATTEMPTS) {
                     throw e;
                 }
             }
@@ -154,28 +161,30 @@
         address = tcp.address();
     }
 
-    /** Where it listens. */
+    /** The address on which it listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Sends bytes to a peer, once; on the loop's thread only. */
+    /** Sends bytes to a peer, once. Must be called on the loop's thread. */
     public void send(String to, byte[] bytes) {
         if (closed) {
             return;
         }
         double now = loop.now();
-        if (now - sweptAt >= SWEEP_MS) {
+        if (now - sweptAt >= SWEEP_INTERVAL_MS) {
             sweptAt = now;
             peers.values().forEach(p -> p.sweep(now));
         }
         Peer peer = peers.get(to);
-        boolean taken = peer != null
+        boolean accepted = peer != null
                 && bytes.length > 0
-                && bytes.length <= bounds.frame()
-                && peer.found(now)
-                && (bytes.length <= bounds.datagram() ? datagrams.send(peer.address, bytes) : peer.frame(bytes, now));
-        if (taken) {
+                && bytes.length <= bounds.maxFrameBytes()
+                && peer.isResolved(now)
+                && (bytes.length <= bounds.maxDatagramBytes()
+                        ? datagrams.send(peer.address, bytes)
+                        : peer.sendFrame(bytes, now));
+        if (accepted) {
             sent.increment();
             sentBytes.add(bytes.length);
         } else {
@@ -183,7 +192,7 @@
         }
     }
 
-    /** What went on so far; on any thread. */
+    /** The current counters; may be called on any thread. */
     public Counts counts() {
         return new Counts(
                 sent.sum(),
@@ -191,13 +200,13 @@
                 unsent.sum(),
                 received.sum(),
                 receivedBytes.sum(),
-                flooded.sum(),
-                garbage.sum());
+                overflowed.sum(),
+                malformed.sum());
     }
 
     /**
-     * Closes all sockets; nothing is handed in any more, and what is still sent is passed over. On the loop's thread
-     * or once the loop has ended.
+     * Closes all sockets. After that nothing is delivered any more, and {@link #send} does nothing. Must be called on
+     * the loop's thread or after the loop has ended.
      */
     public void close() {
         closed = true;
@@ -206,64 +215,64 @@
             datagrams.close();
             frames.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "sockets between relays did not close in order", e);
+            LOG.log(Level.WARNING, "failed to close the sockets between relays", e);
         }
     }
 
-    /** Another relay, as far as bytes go. */
+    /** The address of another relay and the connection to it. */
     private final class Peer {
         private volatile InetSocketAddress address;
-        private volatile boolean looking;
-        private double lookAt;
+        private volatile boolean resolving;
+        private double nextLookupAt;
         private Pipe pipe;
-        private double openAt;
+        private double reconnectAt;
 
         Peer(InetSocketAddress address) {
             this.address = address;
         }
 
-        /** Whether its address is known; a name that could not be found before is looked up again, elsewhere. */
-        boolean found(double now) {
+        /** Whether its host name is resolved; if not, starts another lookup on a thread of its own. */
+        boolean isResolved(double now) {
             if (!address.isUnresolved()) {
                 return true;
             }
-            if (!looking && now >= lookAt) {
-                looking = true;
-                lookAt = now + LOOKUP_MS;
+            if (!resolving && now >= nextLookupAt) {
+                resolving = true;
+                nextLookupAt = now + LOOKUP_INTERVAL_MS;
                 Thread lookup = new Thread(
                         () -> {
                             address = new InetSocketAddress(address.getHostString(), address.getPort());
-                            looking = false;
+                            resolving = false;
                         },
-                        THREAD + "-lookup");
+                        THREAD_NAME + "-lookup");
                 lookup.setDaemon(true);
                 lookup.start();
             }
             return false;
         }
 
-        boolean frame(byte[] bytes, double now) {
+        boolean sendFrame(byte[] bytes, double now) {
             sweep(now);
             if (pipe == null) {
-                if (now < openAt) {
+                if (now < reconnectAt) {
                     return false;
                 }
                 pipe = frames.open(address);
             }
-            return pipe.waiting() + bytes.length <= bounds.peerBytes()
-                    && waiting() + bytes.length <= bounds.allBytes()
+            return pipe.waiting() + bytes.length <= bounds.outboundBytesPerPeer()
+                    && queuedBytes() + bytes.length <= bounds.outboundBytes()
                     && pipe.send(bytes);
         }
 
-        /** Leaves a connection that has ended, is stuck, or that nobody needs. */
+        /** Drops the connection if it has ended, is stalled, or is unused. */
         void sweep(double now) {
             if (pipe != null) {
-                double longest = pipe.waiting() > 0 ? bounds.stuckMs() : bounds.idleMs();
-                if (pipe.stillMs() > longest) {
+                double timeoutMs = pipe.waiting() > 0 ? bounds.stallTimeoutMs() : bounds.idleTimeoutMs();
+                if (pipe.stillMs() > timeoutMs) {
                     pipe.close();
                 }
                 if (!pipe.alive()) {
-                    openAt = pipe.cameUp() ? now : now + bounds.againMs();
+                    reconnectAt = pipe.cameUp() ? now : now + bounds.reconnectDelayMs();
                     pipe = null;
                 }
             }
@@ -276,67 +285,69 @@
         }
     }
 
-    private long waiting() {
+    /** Bytes queued for sending to all peers. */
+    private long queuedBytes() {
         return peers.values().stream()
                 .mapToLong(p -> p.pipe == null ? 0 : p.pipe.waiting())
                 .sum();
     }
 
-    /** What has come and waits for the loop. */
-    private final class Queue implements Inbox {
-        private final int most;
-        private final long mostBytes;
-        private final java.util.Queue<byte[]> waiting = new ArrayDeque<>();
+    /** Received datagrams or frames that wait for the loop. */
+    private final class InboundQueue implements Inbox {
+        private final int maxItems;
+        private final long maxBytes;
+        private final Queue<byte[]> items = new ArrayDeque<>();
         private long bytes;
         private boolean posted;
 
-        Queue(int most, long mostBytes) {
-            this.most = most;
-            this.mostBytes = mostBytes;
+        InboundQueue(int maxItems, long maxBytes) {
+            this.maxItems = maxItems;
+            this.maxBytes = maxBytes;
         }
 
         @Override
         public void garbage() {
-            garbage.increment();
+            malformed.increment();
         }
 
         @Override
-        public void bytes(byte[] one) {
+        public void bytes(byte[] item) {
             received.increment();
-            receivedBytes.add(one.length);
+            receivedBytes.add(item.length);
             synchronized (this) {
-                if (waiting.size() >= most || bytes + one.length > mostBytes) {
-                    flooded.increment();
+                if (items.size() >= maxItems || bytes + item.length > maxBytes) {
+                    overflowed.increment();
                     return;
                 }
-                waiting.add(one);
-                bytes += one.length;
+                items.add(item);
+                bytes += item.length;
                 if (posted) {
                     return;
                 }
                 posted = true;
             }
-            loop.post(this::handIn);
+            loop.post(this::deliver);
         }
 
-        /** Hands in some; others that wait come in the next round, behind what others have posted meanwhile. */
-        private void handIn() {
-            for (int i = 0; i < bounds.round(); i++) {
-                byte[] next = next();
+        /** Delivers a batch; the rest follows in the next round, after the tasks posted by others meanwhile. */
+        private void deliver() {
+            for (int i = 0; i < bounds.batchSize(); i++) {
+                byte[] next = poll();
                 if (next == null) {
                     return;
                 }
                 try {
                     listener.bytes(next);
                 } catch (RuntimeException e) {
-                    LOG.log(Level.SEVERE, "fault in what a relay sent", e); // what waits behind it must still come
+                    // Logged only, so that the remaining items are still delivered.
+                    LOG.log(Level.SEVERE, "failed to process bytes of another relay", e);
                 }
             }
-            loop.post(this::handIn);
+            loop.post(this::deliver);
         }
 
-        private synchronized byte[] next() {
-            byte[] next = closed ? null : waiting.poll();
+        private synchronized byte[] poll() {
+            byte[] next = closed ? null : items.poll();
             if (next == null) {
                 posted = false;
             } else {
--- a/src/main/java/firstair/relay/fleet/package-info.java
+++ b/src/main/java/firstair/relay/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** What a relay and its fleet tell each other: settings, sockets, and the decisions of {@code firstair.fleet}. */
+/** Connects a relay to its fleet: settings, sockets, clocks, and the driver of {@code firstair.fleet}. */
 package firstair.relay.fleet;
--- a/src/test/java/firstair/relay/fleet/FleetConfigTest.java
+++ b/src/test/java/firstair/relay/fleet/FleetConfigTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class FleetConfigTest {
-    private static final String THREE = "c=127.0.0.1:7003,a=127.0.0.1:7001,b=127.0.0.1:7002";
+    private static final String THREE_PEERS = "c=127.0.0.1:7003,a=127.0.0.1:7001,b=127.0.0.1:7002";
 
     private static final String CONTRACTS = "version = 1\n[[contract]]\ntenant = 'acme'\nzones = ['east']\n";
 
@@ -37,17 +37,17 @@
     Path folder;
 
     private Node node;
-    private final Map<String, String> set = new LinkedHashMap<>();
+    private final Map<String, String> settings = new LinkedHashMap<>();
 
     @BeforeEach
-    void three() {
+    void threeRelays() {
         node = new Node(folder, "127.0.0.1:1", "null");
         node.group("b", 3, 1);
         node.zones(List.of("east", "west"), "west");
         node.fleet("");
-        set.put("fleet.name", "f");
-        set.put("fleet.peers", THREE);
-        set.put("fleet.voters", "a,b,c");
+        settings.put("fleet.name", "f");
+        settings.put("fleet.peers", THREE_PEERS);
+        settings.put("fleet.voters", "a,b,c");
     }
 
     private Config config() throws Exception {
@@ -63,11 +63,11 @@
     }
 
     private FleetConfig fleet() throws Exception {
-        return FleetConfig.of(values(set), config());
+        return FleetConfig.of(values(settings), config());
     }
 
-    private void refused(String path, String text, String why) {
-        String before = set.put(path, text);
+    private void assertRejected(String path, String text, String why) {
+        String before = settings.put(path, text);
         assertThatThrownBy(this::fleet)
                 .isInstanceOf(ConfigException.class)
                 .hasMessageStartingWith("config: field " + path + ": ")
@@ -75,15 +75,15 @@
                 .hasMessageEndingWith(" (F203)")
                 .satisfies(e -> assertThat(((ConfigException) e).lines()).hasSize(1));
         if (before == null) {
-            set.remove(path);
+            settings.remove(path);
         } else {
-            set.put(path, before);
+            settings.put(path, before);
         }
     }
 
     @Test
     void aFleetMayHaveMoreThanAThousandRelays() throws Exception {
-        StringBuilder peers = new StringBuilder(THREE);
+        StringBuilder peers = new StringBuilder(THREE_PEERS);
         for (int i = 3; i < 1200; i++) {
             peers.append(",r")
                     .append(i)
@@ -93,7 +93,7 @@
                     .append(i % 200)
                     .append(":7000");
         }
-        set.put("fleet.peers", peers.toString());
+        settings.put("fleet.peers", peers.toString());
         assertThat(fleet().setup().members())
                 .hasSize(1200)
                 .startsWith("c", "a", "b")
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aFileOfAProcessIsReadWhole() throws Exception {
+    void allFieldsOfASettingsFileAreRead() throws Exception {
         Path contracts = Files.writeString(folder.resolve("contracts.toml"), CONTRACTS);
         node.fleet("[fleet]\nname = 'f'\npeers = ['c=127.0.0.1:7003', 'a=127.0.0.1:7001',\n'b=127.0.0.1:7002']\n"
                 + "voters = 'a, b, c'\nlisten = '127.0.0.1:7012'\nhello = '100ms'\nquiet = '1s'\ndelay = '200ms'\n"
@@ -126,21 +126,21 @@
     }
 
     @Test
-    void usualValuesAreThoseOfTheSchema() throws Exception {
-        FleetConfig briefly = fleet();
+    void defaultValuesAreThoseOfTheSchema() throws Exception {
+        FleetConfig defaults = fleet();
         TunableSettings.schema().items().stream()
                 .filter(i -> i.path().startsWith("fleet."))
-                .forEach(i -> set.putIfAbsent(i.path(), i.usual()));
-        assertThat(fleet()).isEqualTo(briefly);
-        assertThat(briefly.listen())
-                .as("our address among the peers")
-                .isEqualTo(briefly.addresses().get("b"));
-        assertThat(briefly.sharing().agrees()).isFalse();
+                .forEach(i -> settings.putIfAbsent(i.path(), i.usual()));
+        assertThat(fleet()).isEqualTo(defaults);
+        assertThat(defaults.listen())
+                .as("own address among the peers")
+                .isEqualTo(defaults.addresses().get("b"));
+        assertThat(defaults.sharing().agrees()).isFalse();
     }
 
     @Test
-    void everyItemReachesIt() throws Exception {
-        FleetConfig usual = fleet();
+    void everySettingOfTheFleetHasAnEffect() throws Exception {
+        FleetConfig defaults = fleet();
         Map<String, String> others = new HashMap<>(Map.of(
                 "name",
                 "g",
@@ -149,7 +149,7 @@
                 "listen",
                 "127.0.0.1:9",
                 "peers",
-                THREE + ",d=127.0.0.1:7004",
+                THREE_PEERS + ",d=127.0.0.1:7004",
                 "voters",
                 "c,b,a",
                 "hello",
@@ -179,56 +179,56 @@
                 Files.writeString(folder.resolve("c.toml"), CONTRACTS).toString(),
                 "calendars",
                 Files.writeString(folder.resolve("k.toml"), CALENDARS).toString()));
-        for (Item i : TunableSettings.schema().items()) {
-            if (i.path().startsWith("fleet.")) {
-                assertThat(i.atReload()).as(i.path()).isFalse();
-                String before = set.put(i.path(), others.get(i.path().substring("fleet.".length())));
-                assertThat(fleet()).as(i.path()).isNotNull().isNotEqualTo(usual);
-                set.put(i.path(), before == null ? i.usual() : before);
+        for (Item item : TunableSettings.schema().items()) {
+            if (item.path().startsWith("fleet.")) {
+                assertThat(item.atReload()).as(item.path()).isFalse();
+                String before = settings.put(item.path(), others.get(item.path().substring("fleet.".length())));
+                assertThat(fleet()).as(item.path()).isNotNull().isNotEqualTo(defaults);
+                settings.put(item.path(), before == null ? item.usual() : before);
             }
         }
     }
 
     @Test
-    void itTakesBothToSwitchItOn() throws Exception {
-        set.put("fleet.name", "");
-        set.put("fleet.voters", "nonsense");
-        assertThat(fleet()).as("no name, whatever else stands there").isNull();
-        set.put("fleet.name", "f");
+    void theFleetNeedsANameAndThePlatformsConsent() throws Exception {
+        settings.put("fleet.name", "");
+        settings.put("fleet.voters", "nonsense");
+        assertThat(fleet()).as("no name, whatever else is set").isNull();
+        settings.put("fleet.name", "f");
         node = new Node(folder, "127.0.0.1:1", "null");
         assertThat(fleet()).as("limits.peers is false").isNull();
     }
 
     @Test
-    void whatCannotHoldTogetherIsRefusedByItsField() {
-        refused("fleet.name", "two words", "letters");
-        refused("fleet.self", "z", "z is not among fleet.peers");
-        refused("fleet.peers", "", "no relay");
-        refused("fleet.peers", "a=127.0.0.1:7001,b=127.0.0.1:7002", "2 relays, but the platform runs 3");
-        refused("fleet.peers", THREE + ",a=127.0.0.1:7009", "a stands there twice");
-        refused("fleet.peers", THREE + ",d=127.0.0.1:7001", "d and a have one address");
-        for (String bad : List.of(
+    void inconsistentSettingsAreRejectedWithTheirField() {
+        assertRejected("fleet.name", "two words", "letters");
+        assertRejected("fleet.self", "z", "z is not among fleet.peers");
+        assertRejected("fleet.peers", "", "no relay is listed");
+        assertRejected("fleet.peers", "a=127.0.0.1:7001,b=127.0.0.1:7002", "2 relays, but the platform runs 3");
+        assertRejected("fleet.peers", THREE_PEERS + ",a=127.0.0.1:7009", "a is listed twice");
+        assertRejected("fleet.peers", THREE_PEERS + ",d=127.0.0.1:7001", "d and a have the same address");
+        for (String invalid : List.of(
                 "127.0.0.1:7004", "d=127.0.0.1", "d=127.0.0.1:70000", "d=:7004", "d d=1:1", "=x:1", "d=127.0.0.1:0")) {
-            refused("fleet.peers", THREE + "," + bad, "port");
+            assertRejected("fleet.peers", THREE_PEERS + "," + invalid, "port");
         }
-        refused("fleet.listen", "here", "not host:port: here");
-        refused("fleet.listen", "[::1:7001", "no such host: [::1");
-        refused("fleet.voters", "a,b", "2 names, 3 or 5");
-        refused("fleet.voters", "", "0 names");
-        refused("fleet.voters", "a,b,a", "twice");
-        refused("fleet.voters", "a,b,x", "x not among fleet.peers");
-        refused("fleet.quiet", "1499ms", "less than 3 times fleet.hello");
+        assertRejected("fleet.listen", "here", "not host:port: here");
+        assertRejected("fleet.listen", "[::1:7001", "no such host: [::1");
+        assertRejected("fleet.voters", "a,b", "2 names, 3 or 5");
+        assertRejected("fleet.voters", "", "0 names");
+        assertRejected("fleet.voters", "a,b,a", "twice");
+        assertRejected("fleet.voters", "a,b,x", "x not among fleet.peers");
+        assertRejected("fleet.quiet", "1499ms", "less than 3 times fleet.hello");
     }
 
     @Test
-    void aQuietShorterThanTheWayIsRefused() {
-        set.put("fleet.delay", "3s");
-        refused("fleet.quiet", "3s", "not more than fleet.delay");
+    void aQuietTimeNotLongerThanTheDelayIsRejected() {
+        settings.put("fleet.delay", "3s");
+        assertRejected("fleet.quiet", "3s", "not more than fleet.delay");
     }
 
     @Test
-    void calendarsAreReadAndAFaultNamesTheCalendar() throws Exception {
-        set.put(
+    void calendarsAreReadAndAnErrorNamesTheSetting() throws Exception {
+        settings.put(
                 "fleet.calendars",
                 Files.writeString(folder.resolve("k.toml"), CALENDARS).toString());
         Calendar bank = fleet().calendars().get("bank");
@@ -236,23 +236,23 @@
         assertThat(List.of(24, 25, 27))
                 .as("closed, a holiday, a Sunday")
                 .noneMatch(day -> bank.works(LocalDate.of(2026, 12, day)));
-        for (String bad : List.of(
+        for (String invalid : List.of(
                 "closed = ['2026-12-24']", "weekend = ['someday']", "opens = 'soon'", "hours = 1", "zone = 'Mars'")) {
             Files.writeString(
                     folder.resolve("k.toml"),
                     CALENDARS
-                            .replace("closed = ['2026-12-24']", bad)
-                            .replace("closes = '18:00'", bad.startsWith("closed") ? "closes = '07:00'" : ""));
+                            .replace("closed = ['2026-12-24']", invalid)
+                            .replace("closes = '18:00'", invalid.startsWith("closed") ? "closes = '07:00'" : ""));
             assertThatThrownBy(this::fleet)
-                    .as(bad)
+                    .as(invalid)
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("fleet.calendars");
         }
     }
 
     @Test
-    void contractsMustBeReadableAtTheStart() {
-        refused("fleet.contracts", folder.resolve("none").toString(), "cannot be read");
-        refused("fleet.contracts", folder.toString(), "cannot be read");
+    void anUnreadableContractFileIsRejected() {
+        assertRejected("fleet.contracts", folder.resolve("none").toString(), "cannot be read");
+        assertRejected("fleet.contracts", folder.toString(), "cannot be read");
     }
 }
--- a/src/test/java/firstair/relay/fleet/FleetProcessTest.java
+++ b/src/test/java/firstair/relay/fleet/FleetProcessTest.java
@@ -34,56 +34,56 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five relays as processes, with ways between them that fail, seen from clients and endpoints. */
+/** Five relay processes with links between them that fail, observed from clients and endpoints. */
 @Timeout(value = 50, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetProcessTest {
     private static final String DEST = "dest=7";
     private static final int LIMIT = 100; // calls a second at the endpoint
-    private static final double EVEN = LIMIT / 5.0;
-    private static final double SURE = EVEN / 2; // fleet.cut is half
-    private static final double BUCKET_S = 0.4; // a relay's bucket holds so much of its rate, or one call
+    private static final double EVEN_PART = LIMIT / 5.0;
+    private static final double CUT_PART = EVEN_PART / 2; // fleet.cut is 0.5
+    private static final double BUCKET_S = 0.4; // a relay's token bucket holds its rate times this, or one call
     private static final List<String> ONE_ZONE = List.of("z", "z", "z", "z", "z");
     private static final List<String> TWO_ZONES = List.of("east", "west", "east", "west", "east");
 
-    /** A call as an endpoint saw it. */
+    /** A call as received by an endpoint. */
     private record Call(double atMs, String message, String endpoint) {}
 
     @TempDir
     private Path folder;
 
     private final ConcurrentLinkedQueue<Call> calls = new ConcurrentLinkedQueue<>();
-    private final Set<String> delivered = ConcurrentHashMap.newKeySet();
-    private final Set<String> failing = ConcurrentHashMap.newKeySet(); // endpoints
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final Set<String> deliveredIds = ConcurrentHashMap.newKeySet();
+    private final Set<String> failing = ConcurrentHashMap.newKeySet(); // names of endpoints
+    private final List<AutoCloseable> closeables = new ArrayList<>();
     private Platform platform;
-    private FiveProcesses fleet;
+    private FleetProcesses fleet;
 
     @AfterEach
     void stop() throws Exception {
-        for (int i = open.size() - 1; i >= 0; i--) {
-            open.get(i).close();
+        for (int i = closeables.size() - 1; i >= 0; i--) {
+            closeables.get(i).close();
         }
     }
 
-    private <T extends AutoCloseable> T closing(T each) {
-        open.add(each);
-        return each;
+    private <T extends AutoCloseable> T closeAtEnd(T closeable) {
+        closeables.add(closeable);
+        return closeable;
     }
 
     private static double now() {
         return System.nanoTime() / 1e6;
     }
 
-    /** An endpoint that delivers all, tells its limit with each answer and writes down each call. */
+    /** An endpoint that accepts all messages unless it is failing, reports its limit and records each call. */
     private StandIn endpoint(String name) throws IOException {
-        return closing(new StandIn(r -> {
-            calls.add(new Call(now(), r.header("request-id"), name));
+        return closeAtEnd(new StandIn(request -> {
+            calls.add(new Call(now(), request.header("request-id"), name));
             if (failing.contains(name)) {
-                r.answer(500);
+                request.answer(500);
                 return;
             }
-            delivered.add(r.header("request-id"));
-            r.answer(200, "Server-Load: {\"x0\":1,\"x1\":" + LIMIT + "}");
+            deliveredIds.add(request.header("request-id"));
+            request.answer(200, "Server-Load: {\"x0\":1,\"x1\":" + LIMIT + "}");
         }));
     }
 
@@ -95,34 +95,34 @@
         return Platform.list(1, true, endpoints.toArray(String[]::new));
     }
 
-    private void start(List<String> zones, String more) throws Exception {
+    private void start(List<String> zones, String moreSettings) throws Exception {
         String list = list(zones);
-        platform = closing(new Platform(list));
-        fleet = closing(new FiveProcesses(folder, platform.hostPort(), list, zones, more));
+        platform = closeAtEnd(new Platform(list));
+        fleet = closeAtEnd(new FleetProcesses(folder, platform.hostPort(), list, zones, moreSettings));
         fleet.start();
     }
 
     // ---- limits ----
 
-    /** Messages come to a relay without end, {@code perS} a second, under ids that begin with its name. */
+    /** Sends {@code perS} messages a second to a relay until the test ends, with ids that begin with its name. */
     private void load(String relay, int perS) {
         Node node = fleet.node(relay);
         AtomicInteger number = new AtomicInteger();
         ScheduledExecutorService pool = Executors.newScheduledThreadPool(2);
-        Runnable one = () -> {
+        Runnable send = () -> {
             try {
                 node.handIn(relay + "-" + number.incrementAndGet(), "safe", 1000, DEST, null, new byte[1]);
             } catch (IOException e) {
-                throw new IllegalStateException(e); // ends the load, and the awaited rate does not come
+                throw new IllegalStateException(e); // ends the load, so that the test fails on the awaited rate
             }
         };
         for (int i = 0; i < 2; i++) {
-            pool.scheduleAtFixedRate(one, 0, 2_000_000 / perS, TimeUnit.MICROSECONDS);
+            pool.scheduleAtFixedRate(send, 0, 2_000_000 / perS, TimeUnit.MICROSECONDS);
         }
-        open.add(pool::shutdownNow);
+        closeables.add(pool::shutdownNow);
     }
 
-    /** Calls in the last second. */
+    /** Number of matching calls in the last second. */
     private long rate(Predicate<Call> of) {
         double from = now() - 1000;
         return calls.stream().filter(c -> c.atMs >= from).filter(of).count();
@@ -132,25 +132,24 @@
         return rate(c -> c.message.startsWith(relay));
     }
 
-    private void awaitRates(String what, double leastA, double leastE, double mostE, double least) {
+    private void awaitRates(String what, double minA, double minE, double maxE, double minTotal) {
         try {
             Await.until(
-                    what,
-                    () -> rate("a") > leastA && rate("e") > leastE && rate("e") < mostE && rate(c -> true) > least);
+                    what, () -> rate("a") > minA && rate("e") > minE && rate("e") < maxE && rate(c -> true) > minTotal);
         } catch (AssertionError e) {
             throw new AssertionError(e.getMessage() + "; calls a second: a " + rate("a") + ", e " + rate("e"), e);
         }
     }
 
     /**
-     * In a span of T seconds a relay sends at most its part of the limit x T, and what its bucket holds: 0.4 s of its
-     * part, or one call. The parts of all add up to the limit. So all send at most limit x (T + 0.4), and one call for
-     * each relay that is loaded.
+     * In T seconds a relay sends at most its part of the limit times T, plus the content of its token bucket: 0.4 s of
+     * its part, or one call. The parts of all relays add up to the limit. So together they send at most limit x
+     * (T + 0.4) calls, plus one for each relay under load.
      */
-    private void assertWithinTheLimit(int loaded) {
+    private void assertWithinTheLimit(int loadedRelays) {
         double[] at = calls.stream().mapToDouble(Call::atMs).sorted().toArray();
         for (double seconds : new double[] {1, 5}) {
-            double most = LIMIT * (seconds + BUCKET_S) + loaded;
+            double max = LIMIT * (seconds + BUCKET_S) + loadedRelays;
             int first = 0;
             for (int last = 0; last < at.length; last++) {
                 while (at[last] - at[first] >= seconds * 1000) {
@@ -158,21 +157,22 @@
                 }
                 assertThat(last - first + 1)
                         .as("calls in the %.0f s up to call %d", seconds, last)
-                        .isLessThanOrEqualTo((int) most);
+                        .isLessThanOrEqualTo((int) max);
             }
         }
     }
 
     @Test
-    void theLimitIsNeverPassedWhileSomeAreCutOffAndHealed() throws Exception {
+    void theLimitIsNotExceededDuringAndAfterPartitions() throws Exception {
         start(ONE_ZONE, "");
-        for (String each : List.of("a", "e")) { // until its first answer a relay knows of no limit
-            fleet.node(each).handIn(each + "-0", "safe", 5000, DEST, null, new byte[1]);
-            Await.until("the limit is known to " + each, () -> rate(each) == 1);
+        for (String relay : List.of("a", "e")) { // a relay learns the limit from its first answer
+            fleet.node(relay).handIn(relay + "-0", "safe", 5000, DEST, null, new byte[1]);
+            Await.until("the limit is known to " + relay, () -> rate(relay) == 1);
         }
         load("a", 3 * LIMIT / 2);
         load("e", 3 * LIMIT / 2);
-        awaitRates("what others do not need is lent to the two", 0.8 * EVEN, 0.8 * EVEN, LIMIT, 2.8 * EVEN);
+        awaitRates(
+                "a and e borrow what the others do not need", 0.8 * EVEN_PART, 0.8 * EVEN_PART, LIMIT, 2.8 * EVEN_PART);
         List<String> cut = List.of("d", "e");
         List<String> rest = List.of("a", "b", "c");
         for (String way : List.of("both ways", "to the others", "from the others")) {
@@ -186,24 +186,24 @@
                     }
                 }
             }
-            // Voters that still hear the asks of d and e go on promising them what only the lost answers would tell
-            // them of: nobody else uses that, and a has what b and c lend.
-            double least = (way.startsWith("from") ? 1.6 : 2.2) * EVEN;
+            // Voters that still receive the requests of d and e go on granting them parts, though the answers are lost:
+            // no other relay uses these parts, and a only has those that b and c lend.
+            double minA = (way.startsWith("from") ? 1.6 : 2.2) * EVEN_PART;
             awaitRates(
-                    "cut " + way + ", e keeps to its sure part and a uses what is left",
-                    least,
-                    0.6 * SURE,
-                    1.3 * SURE,
+                    "cut " + way + ", e uses its cut part only and a uses what is left",
+                    minA,
+                    0.6 * CUT_PART,
+                    1.3 * CUT_PART,
                     0);
             fleet.links.everywhere(Trouble.NONE);
-            awaitRates("healed after a cut " + way, 0.8 * EVEN, 0.8 * EVEN, LIMIT, 2.8 * EVEN);
+            awaitRates("restored after a cut " + way, 0.8 * EVEN_PART, 0.8 * EVEN_PART, LIMIT, 2.8 * EVEN_PART);
         }
         assertWithinTheLimit(2);
     }
 
     // ---- contracts ----
 
-    /** What is set where tenants have contracts: one may go east only, the other one everywhere. */
+    /** Settings with contracts of two tenants: one is restricted to zone east, the other one may use both zones. */
     private String contracts() throws IOException {
         Path file = Files.writeString(
                 folder.resolve("contracts.toml"),
@@ -226,17 +226,17 @@
     }
 
     @Test
-    void messagesOfATenantStayInItsZonesAlsoOverAKill() throws Exception {
+    void messagesOfATenantStayInItsZonesAlsoAfterAKill() throws Exception {
         start(TWO_ZONES, contracts());
         Node east = fleet.node("a");
         Node west = fleet.node("b");
         assertThat(east.handIn("m0", "safe", 9000, DEST, null, new byte[1])).contains(" 400 ", "X-Reason: ", "F302");
         assertThat(west.handIn("m1", "safe", 9000, DEST + ";tenant=bound", null, new byte[1]))
                 .contains(" 503 ", "X-Reason: ", "F304");
-        failing.add("east"); // so that whoever may go elsewhere does
+        failing.add("east"); // so that messages without restriction are sent to the other zone
         assertThat(east.handIn("m2", "safe", 30_000, DEST + ";tenant=free", null, new byte[1]))
                 .contains(" 202 ");
-        Await.until("a message without bounds goes west", () -> reached("m2", "west"));
+        Await.until("a message without restriction is sent to west", () -> reached("m2", "west"));
         List<String> bound = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             bound.add("bound-" + i);
@@ -248,7 +248,8 @@
         double restarted = now();
         east.start();
         assertThat(east.line("ready at ")).contains("6 messages");
-        // Three failures in a row make an endpoint down: from the fourth call on whoever may goes elsewhere.
+        // Three consecutive failures make an endpoint unavailable: the fourth call of an unrestricted message avoids
+        // it.
         Await.until(
                 "they are tried again",
                 () -> calls.stream()
@@ -257,7 +258,7 @@
                                 .count()
                         > 3);
         failing.clear();
-        Await.until("one is delivered", () -> bound.stream().anyMatch(delivered::contains));
+        Await.until("one is delivered", () -> bound.stream().anyMatch(deliveredIds::contains));
         assertThat(calls)
                 .filteredOn(c -> c.message.startsWith("bound"))
                 .extracting(Call::endpoint)
@@ -268,7 +269,7 @@
 
     // ---- bookings ----
 
-    /** The whole answer to a request about a booking. */
+    /** Sends a request about a booking and returns the whole response. */
     private String booking(String relay, String method, String id, String json) {
         try {
             return fleet.node(relay)
@@ -279,10 +280,10 @@
         }
     }
 
-    /** Asks until it is agreed: after the fall of a leader there is none for a while. */
-    private void agree(String relay, String id, String json) {
+    /** Repeats a request until it is committed: after a leader fails there is none for a while. */
+    private void commit(String relay, String id, String json) {
         AtomicReference<String> answer = new AtomicReference<>("");
-        Await.until("agreed: " + json, () -> {
+        Await.until("committed: " + json, () -> {
             answer.set(booking(relay, "PUT", id, json));
             return !answer.get().contains(" 503 ");
         });
@@ -296,66 +297,67 @@
     }
 
     @Test
-    void whatIsBookedOutlivesTheLeaderAndNothingIsAgreedWithoutAMajority() throws Exception {
+    void bookingsSurviveTheLeaderAndNothingIsCommittedWithoutAMajority() throws Exception {
         start(TWO_ZONES, contracts() + "bookings = true\n");
         AtomicReference<String> leader = new AtomicReference<>();
-        Await.until("a leader that has the contracts agreed", () -> {
-            FiveProcesses.VOTERS.stream()
+        Await.until("a leader that has committed the contracts", () -> {
+            FleetProcesses.VOTERS.stream()
                     .filter(v -> fleet.node(v).lines().stream().anyMatch(l -> l.contains("contracts, version 1: ")))
                     .findFirst()
                     .ifPresent(leader::set);
             return leader.get() != null;
         });
-        agree("d", "x", "{\"kind\":\"set-team\",\"team\":\"billing\",\"quota\":1000000,\"zone\":\"Europe/Berlin\"}");
-        agree("d", "x", "{\"kind\":\"set-destination\",\"destination\":7,\"limit\":100,\"bookable\":0.3}");
-        agree("d", "fees", request(3, 20));
+        commit("d", "x", "{\"kind\":\"set-team\",\"team\":\"billing\",\"quota\":1000000,\"zone\":\"Europe/Berlin\"}");
+        commit("d", "x", "{\"kind\":\"set-destination\",\"destination\":7,\"limit\":100,\"bookable\":0.3}");
+        commit("d", "fees", request(3, 20));
         fleet.node(leader.get()).kill();
-        List<String> left = FiveProcesses.VOTERS.stream()
+        List<String> left = FleetProcesses.VOTERS.stream()
                 .filter(v -> !v.equals(leader.get()))
                 .toList();
         for (String relay : List.of(left.get(0), left.get(1), "d", "e")) {
             Await.until("the booking is known to " + relay, () -> booking(relay, "GET", "fees", "")
                     .matches("(?s)HTTP/1.1 200 .*\"id\":\"fees\".*"));
         }
-        agree("e", "more", request(5, 30));
+        commit("e", "more", request(5, 30));
         Await.until("the second one is known", () -> booking(left.get(0), "GET", "more", "")
                 .contains(" 200 "));
         assertThat(booking("e", "PUT", "beyond", request(5, 1)))
-                .as("no room")
+                .as("no capacity left")
                 .startsWith("HTTP/1.1 409")
                 .contains("F404");
         fleet.links.around(List.of(left.get(0)), Trouble.CUT);
         CompletableFuture.allOf(Stream.of(left.get(0), "e")
                         .map(relay -> CompletableFuture.runAsync(() -> Await.until(
-                                "nothing is agreed at " + relay, () -> booking(relay, "PUT", "late", request(7, 1))
+                                "nothing is committed at " + relay, () -> booking(relay, "PUT", "late", request(7, 1))
                                         .matches("(?s)HTTP/1.1 503 .*\r\nRetry-After: .*F411.*"))))
                         .toArray(CompletableFuture[]::new))
                 .join();
         assertThat(booking(left.get(0), "GET", "fees", ""))
-                .as("what is known stays")
+                .as("known bookings remain")
                 .contains(" 200 ");
         fleet.links.everywhere(Trouble.NONE);
-        agree("e", "later", request(9, 1));
+        commit("e", "later", request(9, 1));
     }
 
     /**
-     * Row C9. The wall clock of every machine is stepped by four hours, forward; a booking is three hours away. Its
-     * time is read once, when its relay begins, and runs on with the clock that is never stepped: no hour has passed.
+     * Row C9. The wall clock of every machine is stepped forward by four hours, while a booking starts in three hours.
+     * A relay reads the wall clock once, when it starts, and then follows the monotonic clock, so that the booking must
+     * keep its state.
      */
     @Test
     void aSteppedWallClockEndsNoBooking() throws Exception {
         String list = list(TWO_ZONES);
-        platform = closing(new Platform(list));
-        fleet = closing(
-                new FiveProcesses(folder, platform.hostPort(), list, TWO_ZONES, contracts() + "bookings = true\n"));
+        platform = closeAtEnd(new Platform(list));
+        fleet = closeAtEnd(
+                new FleetProcesses(folder, platform.hostPort(), list, TWO_ZONES, contracts() + "bookings = true\n"));
         List<Preload> clocks = new ArrayList<>();
-        for (String relay : FiveProcesses.NAMES) {
+        for (String relay : FleetProcesses.NAMES) {
             clocks.add(new Preload(fleet.node(relay), Files.createDirectories(folder.resolve("clock-" + relay))));
         }
         fleet.start();
-        agree("d", "x", "{\"kind\":\"set-team\",\"team\":\"billing\",\"quota\":1000000,\"zone\":\"Europe/Berlin\"}");
-        agree("d", "x", "{\"kind\":\"set-destination\",\"destination\":7,\"limit\":100,\"bookable\":0.3}");
-        agree("d", "fees", request(3, 20));
+        commit("d", "x", "{\"kind\":\"set-team\",\"team\":\"billing\",\"quota\":1000000,\"zone\":\"Europe/Berlin\"}");
+        commit("d", "x", "{\"kind\":\"set-destination\",\"destination\":7,\"limit\":100,\"bookable\":0.3}");
+        commit("d", "fees", request(3, 20));
         Await.until(
                 "the booking is known", () -> booking("e", "GET", "fees", "").contains(" 200 "));
         String before = state(booking("e", "GET", "fees", ""));
@@ -363,7 +365,7 @@
             clock.step(4 * 3600);
         }
         TimeUnit.SECONDS.sleep(3); // several heartbeats and rounds of the ledger
-        agree("e", "more", request(6, 10)); // who leads has looked at its clock
+        commit("e", "more", request(6, 10)); // the leader has read its clock
         Await.until("it is known", () -> booking("a", "GET", "more", "").contains(" 200 "));
         assertThat(state(booking("e", "GET", "fees", ""))).isEqualTo(before);
         assertThat(state(booking("a", "GET", "fees", ""))).isEqualTo(before);
@@ -376,16 +378,16 @@
     // ---- names ----
 
     @Test
-    void theOlderOfTwoProcessesWithOneNameStepsBack() throws Exception {
+    void theOlderOfTwoProcessesWithTheSameNameStepsBack() throws Exception {
         start(ONE_ZONE, "");
         String listen = HostPort.of(FaultyLinks.places(List.of("d")).get("d"));
-        Node twin = fleet.twin("d", listen, platform.hostPort(), Platform.list(1, true));
-        closing((AutoCloseable) twin::kill);
-        twin.start();
+        Node duplicate = fleet.duplicate("d", listen, platform.hostPort(), Platform.list(1, true));
+        closeAtEnd((AutoCloseable) duplicate::kill);
+        duplicate.start();
         assertThat(fleet.node("d").line("F105")).contains("steps back");
-        assertThat(twin.lines()).noneMatch(l -> l.contains("F105"));
+        assertThat(duplicate.lines()).noneMatch(l -> l.contains("F105"));
         assertThat(fleet.node("d").handIn("m1", "safe", 9000, DEST, null, new byte[1]))
                 .contains(" 202 ");
-        Await.until("it goes on with its sure part", () -> reached("m1", "z"));
+        Await.until("it continues with its cut part", () -> reached("m1", "z"));
     }
 }
--- a/src/test/java/firstair/relay/fleet/FiveProcesses.java
+++ b/src/test/java/firstair/relay/fleet/FleetProcesses.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Five relays of one fleet, a process each, with a faulty way between each two; the first three vote. */
-final class FiveProcesses implements AutoCloseable {
+/** Five relays of one fleet, one process each, with a fault-injecting link between each two; the first three vote. */
+final class FleetProcesses implements AutoCloseable {
     static final List<String> NAMES = List.of("a", "b", "c", "d", "e");
     static final List<String> VOTERS = List.of("a", "b", "c");
     static final long SEED = 36;
@@ -23,20 +23,21 @@
     private final Map<String, Node> nodes = new LinkedHashMap<>();
 
     /**
-     * None runs yet.
+     * Prepares the processes without starting them.
      *
-     * @param zones the zone of each relay, by its place among the names
-     * @param more  what is set beside the names and times of the fleet
+     * @param zones        the zone of each relay, in the order of the names
+     * @param moreSettings settings of the table {@code fleet} in addition to names and timing
      */
-    FiveProcesses(Path folder, String discovery, String list, List<String> zones, String more) throws Exception {
+    FleetProcesses(Path folder, String discovery, String list, List<String> zones, String moreSettings)
+            throws Exception {
         this.folder = folder;
         links = new FaultyLinks(SEED, FaultyLinks.places(NAMES));
-        List<String> all = zones.stream().distinct().toList();
+        List<String> distinctZones = zones.stream().distinct().toList();
         for (int i = 0; i < NAMES.size(); i++) {
             String name = NAMES.get(i);
             Node node = node(name, discovery, list, i, "");
-            node.zones(all, zones.get(i));
-            node.fleet(settings(name, "", more));
+            node.zones(distinctZones, zones.get(i));
+            node.fleet(settings(name, "", moreSettings));
             nodes.put(name, node);
         }
     }
@@ -47,18 +48,19 @@
         return node;
     }
 
-    private String settings(String name, String listen, String more) {
+    private String settings(String name, String listen, String moreSettings) {
         List<String> peers = new ArrayList<>();
         for (String peer : links.peers(name).split(",")) {
             peers.add("'" + peer + "'");
         }
         return "[fleet]\nname = 'f'\npeers = [" + String.join(", ", peers) + "]\nvoters = ['"
-                + String.join("', '", VOTERS) + "']\nhello = '100ms'\nquiet = '1s'\ndelay = '300ms'\n" + listen + more;
+                + String.join("', '", VOTERS) + "']\nhello = '100ms'\nquiet = '1s'\ndelay = '300ms'\n" + listen
+                + moreSettings;
     }
 
-    /** A second process under a relay's name, with a folder and an address of its own; it does not run yet. */
-    Node twin(String name, String listen, String discovery, String list) throws Exception {
-        Node node = node(name, discovery, list, NAMES.indexOf(name), "-twin");
+    /** Prepares a second process with a relay's name but its own folder and address, without starting it. */
+    Node duplicate(String name, String listen, String discovery, String list) throws Exception {
+        Node node = node(name, discovery, list, NAMES.indexOf(name), "-duplicate");
         node.fleet(settings(name, "listen = '" + listen + "'\n", ""));
         return node;
     }
@@ -78,8 +80,8 @@
                     return null;
                 }));
             }
-            for (Future<?> each : started) {
-                each.get();
+            for (Future<?> start : started) {
+                start.get();
             }
         } finally {
             pool.shutdown();
--- a/src/test/java/firstair/relay/fleet/PeerWireTest.java
+++ b/src/test/java/firstair/relay/fleet/PeerWireTest.java
@@ -29,35 +29,35 @@
 
 @Timeout(60)
 class PeerWireTest {
-    private static final PeerWire.Bounds USUAL = PeerWire.Bounds.of(3);
-    private static final InetSocketAddress FREE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final PeerWire.Bounds DEFAULT_BOUNDS = PeerWire.Bounds.of(3);
+    private static final InetSocketAddress FREE_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final int WAIT_S = 20;
 
     private final Loop loop = LoopThread.start(() -> {});
-    private final List<PeerWire> open = new ArrayList<>();
-    private final LinkedBlockingQueue<byte[]> got = new LinkedBlockingQueue<>();
-    private final PeerWire b = wire(FREE, Map.of(), USUAL, got::add);
+    private final List<PeerWire> wires = new ArrayList<>();
+    private final LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
+    private final PeerWire b = wire(FREE_PORT, Map.of(), DEFAULT_BOUNDS, received::add);
 
     PeerWireTest() throws IOException {}
 
     private PeerWire wire(
-            InetSocketAddress at,
+            InetSocketAddress address,
             Map<String, InetSocketAddress> peers,
             PeerWire.Bounds bounds,
             PeerWire.Listener listener)
             throws IOException {
-        PeerWire w = new PeerWire(loop, at, peers, bounds, listener);
-        open.add(w);
-        return w;
+        PeerWire wire = new PeerWire(loop, address, peers, bounds, listener);
+        wires.add(wire);
+        return wire;
     }
 
     private PeerWire sender(Map<String, InetSocketAddress> peers, PeerWire.Bounds bounds) throws IOException {
-        return wire(FREE, peers, bounds, x -> {});
+        return wire(FREE_PORT, peers, bounds, x -> {});
     }
 
     @AfterEach
     void end() {
-        open.forEach(PeerWire::close);
+        wires.forEach(PeerWire::close);
         loop.end();
     }
 
@@ -68,13 +68,13 @@
     }
 
     @Test
-    void theBoundsOfALargeFleetLeaveRoomForAllItsRelaysAndBoundBytes() {
+    void boundsOfALargeFleetAllowForAllRelaysAndStillBoundBytes() {
         PeerWire.Bounds large = PeerWire.Bounds.of(1200);
         assertThat(large.connections()).isGreaterThan(1200);
-        assertThat(large.datagrams()).isGreaterThanOrEqualTo(1200);
-        assertThat(large.frames()).isGreaterThanOrEqualTo(1200);
-        assertThat(large.frameBytes()).isEqualTo(USUAL.frameBytes());
-        assertThat(large.allBytes()).isEqualTo(USUAL.allBytes());
+        assertThat(large.inboundDatagrams()).isGreaterThanOrEqualTo(1200);
+        assertThat(large.inboundFrames()).isGreaterThanOrEqualTo(1200);
+        assertThat(large.inboundBytes()).isEqualTo(DEFAULT_BOUNDS.inboundBytes());
+        assertThat(large.outboundBytes()).isEqualTo(DEFAULT_BOUNDS.outboundBytes());
     }
 
     private void send(PeerWire from, String to, byte[] bytes) {
@@ -82,10 +82,10 @@
     }
 
     private byte[] next() throws InterruptedException {
-        return got.poll(WAIT_S, TimeUnit.SECONDS);
+        return received.poll(WAIT_S, TimeUnit.SECONDS);
     }
 
-    /** Runs on the loop's thread and waits for it. */
+    /** Runs a task on the loop's thread and waits for its end. */
     private void onLoop(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.post(() -> {
@@ -102,8 +102,8 @@
     }
 
     @Test
-    void whatFitsADatagramAndWhatDoesNotArriveWhole() throws Exception {
-        PeerWire a = sender(Map.of("b", b.address()), USUAL);
+    void bytesAboveAndBelowTheSizeOfADatagramArriveComplete() throws Exception {
+        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         for (int length : new int[] {1, 1400, 1401, 70_000, 1 << 20}) {
             send(a, "b", bytes(length, length));
             assertThat(next()).as("%d bytes", length).isEqualTo(bytes(length, length));
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void framesComeInTheirOrderOverOneConnection() throws Exception {
+    void framesArriveInOrderOverOneConnection() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            PeerWire a = sender(Map.of("b", (InetSocketAddress) server.getLocalSocketAddress()), USUAL);
+            PeerWire a = sender(Map.of("b", (InetSocketAddress) server.getLocalSocketAddress()), DEFAULT_BOUNDS);
             send(a, "b", bytes(2000, 1));
             send(a, "b", bytes(3000, 2));
             try (Socket s = server.accept()) {
@@ -132,31 +132,31 @@
     }
 
     @Test
-    void whatCannotBeSentIsCountedAndNothingElse() throws Exception {
+    void bytesThatCannotBeSentAreOnlyCounted() throws Exception {
         PeerWire a = sender(
                 Map.of(
                         "b",
                         b.address(),
-                        "lost",
+                        "unresolvable",
                         InetSocketAddress.createUnresolved("[::1", 9),
-                        "nobody",
+                        "unreachable",
                         new InetSocketAddress("127.0.0.1", 1)),
-                USUAL);
+                DEFAULT_BOUNDS);
         onLoop(() -> {
-            a.send("stranger", new byte[1]);
+            a.send("unknown", new byte[1]);
             a.send("b", new byte[(1 << 20) + 1]);
             a.send("b", new byte[0]);
-            a.send("lost", new byte[1]);
+            a.send("unresolvable", new byte[1]);
         });
         assertThat(a.counts().unsent()).isEqualTo(4);
         assertThat(a.counts().sent()).isZero();
         onLoop(() -> {
-            a.send("nobody", new byte[10]);
-            a.send("nobody", new byte[2000]);
+            a.send("unreachable", new byte[10]);
+            a.send("unreachable", new byte[2000]);
         });
-        Await.until("the connection did not come up, others wait for their time", () -> {
+        Await.until("the connection attempt failed, and frames are dropped until the next one", () -> {
             long before = a.counts().unsent();
-            loop.post(() -> a.send("nobody", new byte[2000]));
+            loop.post(() -> a.send("unreachable", new byte[2000]));
             return a.counts().unsent() > before;
         });
         send(a, "b", bytes(5, 5));
@@ -164,28 +164,29 @@
     }
 
     @Test
-    void aPeerThatNeverReadsCostsBoundedMemoryAndDisturbsNoOther() throws Exception {
+    void aPeerThatNeverReadsUsesBoundedMemoryAndAffectsNoOther() throws Exception {
         PeerWire.Bounds bounds =
                 new PeerWire.Bounds(1400, 1 << 20, 64, 8, 4 << 20, 32, 3 << 20, 4 << 20, 300, 60_000, 1000, 4);
-        try (ServerSocket deaf = new ServerSocket()) {
-            deaf.setReceiveBufferSize(4096);
-            deaf.bind(FREE);
-            PeerWire a =
-                    sender(Map.of("deaf", (InetSocketAddress) deaf.getLocalSocketAddress(), "b", b.address()), bounds);
+        try (ServerSocket nonReading = new ServerSocket()) {
+            nonReading.setReceiveBufferSize(4096);
+            nonReading.bind(FREE_PORT);
+            PeerWire a = sender(
+                    Map.of("nonReading", (InetSocketAddress) nonReading.getLocalSocketAddress(), "b", b.address()),
+                    bounds);
             int frames = 40;
             onLoop(() -> {
                 for (int i = 0; i < frames; i++) {
-                    a.send("deaf", new byte[1 << 20]);
+                    a.send("nonReading", new byte[1 << 20]);
                 }
             });
-            // What the system holds in its buffers is beyond our bound; it is some MB at most.
+            // The system's buffers are not part of the bound; they hold some MB at most.
             assertThat(a.counts().unsent()).isGreaterThan(frames / 2);
             send(a, "b", bytes(1 << 20, 3));
             assertThat(next()).isEqualTo(bytes(1 << 20, 3));
-            try (Socket s = deaf.accept()) {
-                Await.until("the stuck connection is left, and a new one comes", () -> {
-                    loop.post(() -> a.send("deaf", new byte[2000]));
-                    return accepted(deaf);
+            try (Socket s = nonReading.accept()) {
+                Await.until("the stalled connection is closed, and a new one is opened", () -> {
+                    loop.post(() -> a.send("nonReading", new byte[2000]));
+                    return accepted(nonReading);
                 });
             }
         }
@@ -202,7 +203,7 @@
     }
 
     @Test
-    void anUnusedConnectionIsClosedAndOpenedAnew() throws Exception {
+    void anIdleConnectionIsClosedAndReopened() throws Exception {
         PeerWire.Bounds bounds =
                 new PeerWire.Bounds(1400, 1 << 20, 64, 8, 4 << 20, 32, 1 << 20, 1 << 20, 5000, 1500, 1000, 4);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -233,50 +234,51 @@
     }
 
     @Test
-    void garbageEndsItsConnectionOnly() throws Exception {
-        for (int bad : new int[] {-1, 0, (1 << 20) + 1}) {
+    void malformedInputClosesOnlyItsConnection() throws Exception {
+        for (int invalidLength : new int[] {-1, 0, (1 << 20) + 1}) {
             try (Socket s = new Socket(b.address().getAddress(), b.address().getPort())) {
                 s.setSoTimeout(WAIT_S * 1000);
                 s.getOutputStream()
-                        .write(ByteBuffer.allocate(8).putInt(bad).putInt(bad).array());
-                assertThat(ended(s)).as("length %d", bad).isTrue();
+                        .write(ByteBuffer.allocate(8)
+                                .putInt(invalidLength)
+                                .putInt(invalidLength)
+                                .array());
+                assertThat(ended(s)).as("length %d", invalidLength).isTrue();
             }
         }
         datagram(b, new byte[1401]);
         datagram(b, new byte[60_000]);
-        Await.until("garbage", () -> b.counts().garbage() == 5);
+        Await.until("malformed input is counted", () -> b.counts().malformed() == 5);
         assertThat(b.counts().received()).isZero();
-        PeerWire a = sender(Map.of("b", b.address()), USUAL);
+        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         send(a, "b", bytes(5000, 1));
         assertThat(next()).isEqualTo(bytes(5000, 1));
     }
 
     @Test
-    void tooManyConnectionsEndOneThatIsSilent() throws Exception {
+    void tooManyConnectionsCloseTheLongestSilentOne() throws Exception {
         List<Socket> all = new ArrayList<>();
         try {
-            Socket talks = new Socket(b.address().getAddress(), b.address().getPort());
-            all.add(talks);
-            talks.getOutputStream()
+            Socket active = new Socket(b.address().getAddress(), b.address().getPort());
+            all.add(active);
+            active.getOutputStream()
                     .write(ByteBuffer.allocate(5).putInt(1).put((byte) 0).array());
             assertThat(next()).hasSize(1);
-            for (int i = 1; i < USUAL.connections(); i++) {
+            for (int i = 1; i < DEFAULT_BOUNDS.connections(); i++) {
                 Socket s = new Socket(b.address().getAddress(), b.address().getPort());
                 all.add(s);
                 s.setSoTimeout(10);
                 s.getOutputStream()
                         .write(ByteBuffer.allocate(5).putInt(1).put((byte) 3).array());
-                assertThat(next())
-                        .as("it was accepted, and is silent from now on")
-                        .containsExactly(3);
+                assertThat(next()).as("accepted, and silent from now on").containsExactly(3);
             }
-            talks.getOutputStream()
+            active.getOutputStream()
                     .write(ByteBuffer.allocate(5).putInt(1).put((byte) 1).array());
-            assertThat(next()).as("now it is the one that spoke last").containsExactly(1);
+            assertThat(next()).as("now the most recently active one").containsExactly(1);
             all.add(new Socket(b.address().getAddress(), b.address().getPort()));
-            Await.until("the one that is silent for longest", () -> ended(all.get(1)));
+            Await.until("the connection that was silent for longest is closed", () -> ended(all.get(1)));
             assertThat(all.subList(2, all.size() - 1)).noneMatch(PeerWireTest::ended);
-            talks.getOutputStream()
+            active.getOutputStream()
                     .write(ByteBuffer.allocate(5).putInt(1).put((byte) 2).array());
             assertThat(next()).containsExactly(2);
         } finally {
@@ -287,13 +289,13 @@
     }
 
     @Test
-    void aPeerThatStartsAnewIsReachedAgain() throws Exception {
-        PeerWire a = sender(Map.of("b", b.address()), USUAL);
+    void aRestartedPeerIsReachedAgain() throws Exception {
+        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         send(a, "b", bytes(5000, 1));
         assertThat(next()).hasSize(5000);
         onLoop(b::close);
         LinkedBlockingQueue<byte[]> again = new LinkedBlockingQueue<>();
-        PeerWire c = wire(b.address(), Map.of(), USUAL, again::add);
+        PeerWire c = wire(b.address(), Map.of(), DEFAULT_BOUNDS, again::add);
         assertThat(c.address()).isEqualTo(b.address());
         Await.until("a frame and a datagram", () -> {
             send(a, "b", bytes(6000, 2));
@@ -301,31 +303,31 @@
             return again.stream().anyMatch(x -> x.length == 6000)
                     && again.stream().anyMatch(x -> x.length == 60);
         });
-        assertThat(got).isEmpty();
+        assertThat(received).isEmpty();
     }
 
     /**
-     * Who has closed it may listen at its address at once, as the next process of a relay does.
+     * The address can be bound again as soon as close has returned, as the next process of a relay does.
      *
-     * <p>What happened: the listener was closed by its selector's thread, a little behind the return of close. What
-     * showed it, beside two runs of all tests: {@code aPeerThatStartsAnewIsReachedAgain} failed with {@code Address
-     * already in use} in 2 of 450 plays, and in 1 of 600 at ports that nobody else is given.
+     * <p>Guards against a close that returns before the selector's thread has closed the listener. With that fault,
+     * {@code aRestartedPeerIsReachedAgain} failed with {@code Address already in use} in two runs of all tests, in 2 of
+     * 450 runs of its own, and in 1 of 600 on ports reserved for it.
      */
     @Test
-    void itsAddressIsFreeOnceItIsClosed() throws Exception {
-        InetSocketAddress at = LoopbackPorts.shared().next();
+    void theAddressIsFreeOnceCloseReturns() throws Exception {
+        InetSocketAddress address = LoopbackPorts.shared().next();
         for (int i = 0; i < 300; i++) {
-            PeerWire w = wire(at, Map.of(), USUAL, x -> {});
-            try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-                w.close();
-                new ServerSocket(at.getPort(), 1, at.getAddress()).close();
-                new DatagramSocket(at).close();
+            PeerWire wire = wire(address, Map.of(), DEFAULT_BOUNDS, x -> {});
+            try (Socket s = new Socket(address.getAddress(), address.getPort())) {
+                wire.close();
+                new ServerSocket(address.getPort(), 1, address.getAddress()).close();
+                new DatagramSocket(address).close();
             }
         }
     }
 
     @Test
-    void aFloodIsDroppedAndOthersHaveTheirTurnBetween() throws Exception {
+    void excessDatagramsAreDroppedAndOtherTasksAreNotDelayed() throws Exception {
         CountDownLatch free = new CountDownLatch(1);
         loop.post(() -> {
             try {
@@ -335,7 +337,7 @@
             }
         });
         try (DatagramSocket s = new DatagramSocket()) {
-            Await.until("a flood", () -> {
+            Await.until("more datagrams than fit", () -> {
                 try {
                     for (int i = 0; i < 100; i++) {
                         s.send(new DatagramPacket(new byte[100], 100, b.address()));
@@ -343,38 +345,38 @@
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
-                return b.counts().flooded() > 5000;
+                return b.counts().overflowed() > 5000;
             });
         }
         int[] before = {-1};
-        loop.post(() -> before[0] = got.size());
-        Await.until("its datagrams have all come", () -> quiet(b));
-        long taken = b.counts().received() - b.counts().flooded();
-        assertThat(taken).isEqualTo(USUAL.datagrams());
-        // Frames have a queue of their own, so that a flood of datagrams does not take their place.
-        PeerWire a = sender(Map.of("b", b.address()), USUAL);
+        loop.post(() -> before[0] = received.size());
+        Await.until("all datagrams have been received", () -> quiet(b));
+        long accepted = b.counts().received() - b.counts().overflowed();
+        assertThat(accepted).isEqualTo(DEFAULT_BOUNDS.inboundDatagrams());
+        // Frames have their own queue, so that excess datagrams do not displace them.
+        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         free.countDown();
         send(a, "b", bytes(5000, 1));
-        Await.until("the flood and the frame", () -> got.size() == taken + 1);
-        assertThat(before[0]).as("events of others wait for one round of it").isLessThanOrEqualTo(USUAL.round());
+        Await.until("the queued datagrams and the frame", () -> received.size() == accepted + 1);
+        assertThat(before[0]).as("other tasks wait for one batch").isLessThanOrEqualTo(DEFAULT_BOUNDS.batchSize());
     }
 
-    private static boolean quiet(PeerWire w) {
-        long before = w.counts().received();
+    private static boolean quiet(PeerWire wire) {
+        long before = wire.counts().received();
         LockSupport.parkNanos(50_000_000);
-        return w.counts().received() == before;
+        return wire.counts().received() == before;
     }
 
     @Test
-    void aFaultInOneLeavesTheOthers() throws Exception {
+    void anExceptionForOneItemDoesNotAffectTheOthers() throws Exception {
         LinkedBlockingQueue<byte[]> others = new LinkedBlockingQueue<>();
-        PeerWire c = wire(FREE, Map.of(), USUAL, x -> {
+        PeerWire c = wire(FREE_PORT, Map.of(), DEFAULT_BOUNDS, x -> {
             if (x.length == 1) {
                 throw new IllegalStateException("planted");
             }
             others.add(x);
         });
-        PeerWire a = sender(Map.of("c", c.address()), USUAL);
+        PeerWire a = sender(Map.of("c", c.address()), DEFAULT_BOUNDS);
         onLoop(() -> {
             a.send("c", new byte[1]);
             a.send("c", new byte[2]);
@@ -383,8 +385,9 @@
     }
 
     @Test
-    void onceClosedNothingIsHandedInAndThePortIsFree() throws Exception {
-        assertThatThrownBy(() -> wire(b.address(), Map.of(), USUAL, got::add)).isInstanceOf(IOException.class);
+    void afterCloseNothingIsDeliveredAndThePortIsFree() throws Exception {
+        assertThatThrownBy(() -> wire(b.address(), Map.of(), DEFAULT_BOUNDS, received::add))
+                .isInstanceOf(IOException.class);
         CountDownLatch free = new CountDownLatch(1);
         loop.post(() -> {
             try {
@@ -396,12 +399,12 @@
             b.send("b", new byte[1]);
         });
         datagram(b, new byte[3]);
-        Await.until("it waits for the loop", () -> b.counts().received() == 1);
+        Await.until("the datagram waits for the loop", () -> b.counts().received() == 1);
         free.countDown();
         onLoop(() -> {});
         onLoop(() -> {});
-        assertThat(got).isEmpty();
+        assertThat(received).isEmpty();
         assertThat(b.counts().unsent()).isZero();
-        wire(b.address(), Map.of(), USUAL, got::add);
+        wire(b.address(), Map.of(), DEFAULT_BOUNDS, received::add);
     }
 }
