--- a/src/main/java/firstair/relay/discovery/EndpointList.java
+++ b/src/main/java/firstair/relay/discovery/EndpointList.java
@@ -19,15 +19,20 @@
 import java.util.Map;
 
 /**
- * A list, or changes of one, as discovery tells it.
+ * A full list of endpoints, or the changes to one, as received from discovery.
  *
- * @param addresses where this relay reaches each endpoint, by its id
+ * @param full      whether the entries are the whole list, not only changes to it
+ * @param addresses network address of each endpoint, by endpoint id
  */
 public record EndpointList(long version, boolean full, List<Entry> entries, Map<String, InetSocketAddress> addresses) {
 
-    private static final int MOST_CHARS = 200; // of what is told of a fault: it may quote all that was read
+    private static final int MAX_DETAIL_CHARS = 200; // a parser's message may quote the whole input
 
-    /** Reads one JSON text, and by the letter: what is no JSON is told as an {@link IllegalArgumentException}. */
+    /**
+     * Parses one JSON text in strict mode.
+     *
+     * @throws IllegalArgumentException if the text is not valid JSON or not a list of endpoints
+     */
     public static EndpointList read(String text, List<String> kinds, Zones zones) {
         JsonReader reader = new JsonReader(new StringReader(text));
         reader.setStrictness(Strictness.STRICT);
@@ -35,54 +40,55 @@
         try {
             object = JsonParser.parseReader(reader).getAsJsonObject();
             if (reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new IllegalArgumentException("not a list: something follows it");
+                throw new IllegalArgumentException("not a list: unexpected content after the JSON object");
             }
         } catch (JsonParseException | IllegalStateException | IOException e) {
-            throw bad("not a list: ", e);
+            throw invalid("not a list: ", e);
         }
         return read(object, kinds, zones);
     }
 
-    /** Reads a list; kinds and zones are told by name and numbered as the settings number them. */
+    /** Reads a list; kinds and zones are given by name and mapped to the numbers that the settings use. */
     public static EndpointList read(JsonObject object, List<String> kinds, Zones zones) {
         try {
             List<Entry> entries = new ArrayList<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
-            for (JsonElement e : member(object, "servers").getAsJsonArray()) {
-                JsonObject o = e.getAsJsonObject();
-                String id = member(o, "id").getAsString();
-                Listing state = listing(member(o, "state").getAsString());
-                if (state != Listing.LEFT || o.has("addr")) {
-                    addresses.put(id, HostPort.parse(member(o, "addr").getAsString()));
+            for (JsonElement element : member(object, "servers").getAsJsonArray()) {
+                JsonObject server = element.getAsJsonObject();
+                String id = member(server, "id").getAsString();
+                Listing state = listing(member(server, "state").getAsString());
+                if (state != Listing.LEFT || server.has("addr")) {
+                    addresses.put(id, HostPort.parse(member(server, "addr").getAsString()));
                 }
-                int kind = o.has("kind") ? kinds.indexOf(o.get("kind").getAsString()) : 0;
+                int kind = server.has("kind") ? kinds.indexOf(server.get("kind").getAsString()) : 0;
                 entries.add(new Entry(
                         id,
-                        member(o, "cell").getAsInt(),
+                        member(server, "cell").getAsInt(),
                         kind < 0 ? Math.max(0, kinds.size() - 1) : kind,
-                        o.has("zone") ? zones.number(o.get("zone").getAsString()) : 0,
-                        o.has("weight") ? weight(o.get("weight").getAsDouble()) : 1,
+                        server.has("zone") ? zones.number(server.get("zone").getAsString()) : 0,
+                        server.has("weight") ? weight(server.get("weight").getAsDouble()) : 1,
                         state));
             }
             boolean full = !object.has("full") || object.get("full").getAsBoolean();
             return new EndpointList(member(object, "version").getAsLong(), full, entries, addresses);
         } catch (IllegalArgumentException | IllegalStateException | UnsupportedOperationException e) {
-            throw bad("not a list of endpoints: ", e);
+            throw invalid("not a list of endpoints: ", e);
         }
     }
 
-    private static IllegalArgumentException bad(String what, Exception e) {
-        String why = String.valueOf(e.getMessage());
-        return new IllegalArgumentException(what
-                + (why.length() <= MOST_CHARS ? why : why.substring(0, MOST_CHARS) + "...").replaceAll("\\s+", " "));
+    private static IllegalArgumentException invalid(String prefix, Exception cause) {
+        String detail = String.valueOf(cause.getMessage());
+        return new IllegalArgumentException(prefix
+                + (detail.length() <= MAX_DETAIL_CHARS ? detail : detail.substring(0, MAX_DETAIL_CHARS) + "...")
+                        .replaceAll("\\s+", " "));
     }
 
-    /** A weight that no endpoint can have would stop all calls, or pace none. */
-    private static double weight(double told) {
-        if (!(told >= 0 && told < Integer.MAX_VALUE)) {
-            throw new IllegalArgumentException("weight " + told);
+    /** Rejects a weight that is out of range: it would block all calls or disable rate limiting. */
+    private static double weight(double value) {
+        if (!(value >= 0 && value < Integer.MAX_VALUE)) {
+            throw new IllegalArgumentException("weight out of range: " + value);
         }
-        return told;
+        return value;
     }
 
     private static Listing listing(String state) {
@@ -94,11 +100,11 @@
         };
     }
 
-    private static JsonElement member(JsonObject o, String name) {
-        JsonElement e = o.get(name);
-        if (e == null || e.isJsonNull()) {
-            throw new IllegalArgumentException("no " + name);
+    private static JsonElement member(JsonObject object, String name) {
+        JsonElement value = object.get(name);
+        if (value == null || value.isJsonNull()) {
+            throw new IllegalArgumentException("missing " + name);
         }
-        return e;
+        return value;
     }
 }
--- a/src/main/java/firstair/relay/discovery/Watch.java
+++ b/src/main/java/firstair/relay/discovery/Watch.java
@@ -16,19 +16,21 @@
 import java.util.logging.Logger;
 
 /**
- * Follows the list of endpoints: fetches it whole where none is held, and then watches for changes since the
- * version held. An answer that falls silent is asked for anew at once. Otherwise it does not come back by itself: that
- * a call or a watch has failed, or lets wait for what it owes, is news, and who gets the news asks again. A call that
- * lets wait stays out beside the next one, since its connection may come up late and its turn may still come: the first
- * that is answered ends the others. All methods run on the loop's thread.
+ * Follows the list of endpoints in discovery: fetches the full list if there is none yet, and then watches for changes
+ * since the current version.
+ *
+ * <p>A response that falls silent is replaced by a new call at once. Any other failure, and a response that is overdue,
+ * is only reported to the {@link Listener}, which decides when to call {@link #listen} again. An overdue call stays
+ * open next to its successor, because its connection may still come up and its response may still arrive: the first
+ * call that is answered closes the others. All methods run on the loop's thread.
  */
 public final class Watch {
     private static final Logger LOG = Logger.getLogger(Watch.class.getName());
     private static final String PATH = "/api/targets";
 
-    /** Gets the news, on the loop's thread. */
+    /** Receives updates of the list, on the loop's thread. */
     public interface Listener {
-        /** {@code listed} is null with {@link News#FAILED} and {@link News#OVERDUE}. */
+        /** Called with {@code listed} null for {@link News#FAILED} and {@link News#OVERDUE}. */
         void news(News news, EndpointList listed);
     }
 
@@ -40,11 +42,11 @@
     private final Zones zones;
     private final Listener listener;
     private long version;
-    private final List<Call> calls = new ArrayList<>(); // out
-    private final RateLimitedLogger losses = new RateLimitedLogger(LOG, Level.WARNING);
-    private boolean lost; // and told so in the log
+    private final List<Call> calls = new ArrayList<>(); // in progress
+    private final RateLimitedLogger lossLog = new RateLimitedLogger(LOG, Level.WARNING);
+    private boolean lossLogged; // since the last list was received
 
-    /** @param version version of the list held, or -1 */
+    /** @param version version of the list that the caller already has, or -1 */
     public Watch(
             Dialer dialer,
             Limits limits,
@@ -64,82 +66,82 @@
         this.listener = listener;
     }
 
-    /** Asks to be told of changes from now on, unless a call is out that does not let wait. */
+    /** Starts a call for the list or its changes, unless one is in progress that is not overdue. */
     public void listen() {
-        if (calls.stream().allMatch(c -> c.late)) {
-            call();
+        if (calls.stream().allMatch(c -> c.overdue)) {
+            startCall();
         }
     }
 
-    private void call() {
+    private void startCall() {
         Call next = new Call(version >= 0);
         calls.add(next);
         next.start();
     }
 
-    /** Discovery is elsewhere from now on: what was asked or watched at the old place is asked anew, at once. */
+    /** Changes the address of discovery: calls to the old address are closed, and a new call starts at once. */
     public void move(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
             leave();
-            call();
+            startCall();
         }
     }
 
-    /** Whether a watch stands and has told something, so that the list is what discovery has. */
+    /** Whether a watch is open and has delivered something, so that the list matches what discovery has. */
     public boolean current() {
-        return calls.stream().anyMatch(c -> c.watching && c.told);
+        return calls.stream().anyMatch(c -> c.watching && c.listReceived);
     }
 
-    /** Ends what is out. */
+    /** Closes all calls in progress. */
     public void leave() {
-        List.copyOf(calls).forEach(this::leave);
+        List.copyOf(calls).forEach(this::close);
     }
 
-    private void leave(Call over) {
-        calls.remove(over);
-        if (over.link != null) {
-            over.link.leave();
+    private void close(Call call) {
+        calls.remove(call);
+        if (call.link != null) {
+            call.link.leave();
         }
     }
 
-    private void failed(Call which, String why) {
-        if (calls.contains(which)) {
-            leave(which);
-            tell(which, which.waitedLong() ? News.OVERDUE : News.FAILED, why);
+    private void callFailed(Call call, String reason) {
+        if (calls.contains(call)) {
+            close(call);
+            notifyFailure(call, call.waitedLongEnough() ? News.OVERDUE : News.FAILED, reason);
         }
     }
 
-    /** What it tells cannot be read: asked again at once, it would hardly tell anything else. */
-    private void unreadable(Call which, String why) {
-        if (calls.contains(which)) {
-            leave(which);
-            tell(which, News.FAILED, why);
+    /** Always reported as {@link News#FAILED}: an immediate retry would most likely get the same response. */
+    private void invalidResponse(Call call, String reason) {
+        if (calls.contains(call)) {
+            close(call);
+            notifyFailure(call, News.FAILED, reason);
         }
     }
 
-    /** That a call fails is news once: one that has let wait has been asked for again. */
-    private void tell(Call which, News news, String why) {
-        if (!which.late) {
-            which.late = true;
-            lost(why);
+    /** Reports the failure of a call once: an overdue call has been reported and retried already. */
+    private void notifyFailure(Call call, News news, String reason) {
+        if (!call.overdue) {
+            call.overdue = true;
+            logLoss(reason);
             listener.news(news, null);
         }
     }
 
-    private void lost(String why) {
-        lost = lost || losses.log("list lost: " + why);
+    private void logLoss(String reason) {
+        lossLogged = lossLogged || lossLog.log("list lost: " + reason);
     }
 
-    /** A call has got what it was owed: the others are out in vain. */
-    private void answered(Call by) {
-        if (calls.contains(by)) {
-            by.late = false;
-            List.copyOf(calls).stream().filter(c -> c != by).forEach(this::leave);
+    /** This call has been answered: it is not overdue any more, and the others are closed. */
+    private void keepOnly(Call answered) {
+        if (calls.contains(answered)) {
+            answered.overdue = false;
+            List.copyOf(calls).stream().filter(c -> c != answered).forEach(this::close);
         }
     }
 
-    private void object(Call from, String text) {
+    private void objectReceived(Call from, String text) {
         if (!calls.contains(from)) {
             return;
         }
@@ -147,35 +149,35 @@
         try {
             listed = EndpointList.read(text, kinds, zones);
         } catch (IllegalArgumentException e) {
-            unreadable(from, e.getMessage());
+            invalidResponse(from, e.getMessage());
             return;
         }
-        if (lost) {
+        if (lossLogged) {
             LOG.info("list found again, version " + listed.version());
         }
-        lost = false;
-        from.told = true;
+        lossLogged = false;
+        from.listReceived = true;
         version = listed.version();
-        answered(from);
+        keepOnly(from);
         listener.news(listed.full() ? News.COMPLETE : News.CHANGES, listed);
         if (!from.watching) {
             leave();
-            call();
+            startCall();
         }
     }
 
     /** One call to discovery. */
     private final class Call implements Link.Exchange {
         final boolean watching;
-        final JsonObjects objects = new JsonObjects(limits.listLine(), this::whole);
+        final JsonObjectSplitter splitter = new JsonObjectSplitter(limits.listLine(), this::objectComplete);
         Link link; // null until it has been opened
-        boolean told;
-        boolean late; // lets wait for its head, or for the rest of an object; that is news already
+        boolean listReceived;
+        boolean overdue; // its head, or the rest of an object, is late and the listener has been notified
         private final double startedAt = loop.now();
-        private boolean doubted;
-        private volatile double heardAt = loop.now();
-        private volatile boolean begun;
-        private volatile double objectAt = Double.NaN; // when the object began of which the rest is owed
+        private boolean suspected; // has been silent for too long at one check
+        private volatile double lastDataAt = loop.now();
+        private volatile boolean headReceived;
+        private volatile double objectStartedAt = Double.NaN; // start of the incomplete object, NaN between objects
 
         Call(boolean watching) {
             this.watching = watching;
@@ -185,41 +187,45 @@
             String target = watching ? PATH + "?follow=1&since=" + version : PATH;
             byte[] request =
                     HttpWriter.request("GET", target, HostPort.of(address)).bare();
-            // First the time-outs, then what may fail: a call that could not be opened must not be waited for for ever.
-            loop.after(limits.listWaitMs(), () -> waited(!begun, "no answer yet"));
-            loop.after(Math.min(limits.listSilenceMs(), limits.listAnswerMs()), this::check);
+            // The timeouts start before the dialer, which may fail: the relay must not wait forever for such a call.
+            loop.after(limits.listWaitMs(), () -> checkOverdue(!headReceived, "no response yet"));
+            loop.after(Math.min(limits.listSilenceMs(), limits.listAnswerMs()), this::checkSilence);
             link = dialer.open(address, Long.MAX_VALUE, request, this, () -> {});
         }
 
-        /** Whether it took so long over nothing that no further pause is needed before the next one. */
-        private boolean waitedLong() {
-            return !told && loop.now() - startedAt >= limits.listWaitMs() / 2;
+        /** Whether it took so long without a result that the next call needs no further pause. */
+        private boolean waitedLongEnough() {
+            return !listReceived && loop.now() - startedAt >= limits.listWaitMs() / 2;
         }
 
-        private void waited(boolean still, String what) {
-            if (still && calls.contains(this)) {
-                tell(this, News.OVERDUE, what + ", for " + Math.round(limits.listWaitMs()) + " ms");
+        private void checkOverdue(boolean waiting, String state) {
+            if (waiting && calls.contains(this)) {
+                notifyFailure(this, News.OVERDUE, state + ", for " + Math.round(limits.listWaitMs()) + " ms");
             }
         }
 
-        /** A watch whose empty lines stay away is dead, though nothing says so; so is one amid an object. */
-        private void check() {
+        /**
+         * Detects a connection that is dead without having been closed: even the empty lines that discovery sends
+         * regularly are missing, or the rest of an object is.
+         */
+        private void checkSilence() {
             if (!calls.contains(this)) {
                 return;
             }
-            double silent = loop.now() - heardAt;
-            double most = begun ? limits.listSilenceMs() : limits.listAnswerMs();
-            if (silent < most) {
-                doubted = false;
-                loop.after(most - silent, this::check);
-            } else if (!doubted) {
-                doubted = true; // a process that gets little of a core may have bytes here that it has not read
-                loop.after(limits.sweepMs(), this::check);
+            double silentMs = loop.now() - lastDataAt;
+            double maxSilentMs = headReceived ? limits.listSilenceMs() : limits.listAnswerMs();
+            if (silentMs < maxSilentMs) {
+                suspected = false;
+                loop.after(maxSilentMs - silentMs, this::checkSilence);
+            } else if (!suspected) {
+                suspected = true; // a process short of CPU may not have read bytes that have arrived
+                loop.after(limits.sweepMs(), this::checkSilence);
             } else {
-                // What it misses counts soon. Its silence was pause enough: it is no refusal, which asks for more.
-                leave(this);
-                lost("silent for " + Math.round(silent) + " ms");
-                if (begun) {
+                // Reconnects at once: missed changes matter soon, and after this long a silence, which unlike a refusal
+                // calls for no backoff, no further pause is needed.
+                close(this);
+                logLoss("no data for " + Math.round(silentMs) + " ms");
+                if (headReceived) {
                     listen();
                 }
             }
@@ -227,40 +233,41 @@
 
         @Override
         public void head(Head head) {
-            heardAt = loop.now();
-            begun = true;
-            loop.post(head.status() == 200 ? () -> answered(this) : () -> failed(this, "answer " + head.status()));
+            lastDataAt = loop.now();
+            headReceived = true;
+            loop.post(head.status() == 200 ? () -> keepOnly(this) : () -> callFailed(this, "status " + head.status()));
         }
 
         @Override
         public void body(byte[] bytes, int offset, int length) {
             try {
-                if (objects.feed(bytes, offset, length)) {
-                    heardAt = loop.now();
+                if (splitter.feed(bytes, offset, length)) {
+                    lastDataAt = loop.now();
                 }
-                if (objects.amid() && Double.isNaN(objectAt)) {
-                    double began = loop.now();
-                    objectAt = began;
-                    loop.post(() -> loop.after(limits.listWaitMs(), () -> waited(objectAt == began, "half an object")));
+                if (splitter.insideObject() && Double.isNaN(objectStartedAt)) {
+                    double beganAt = loop.now();
+                    objectStartedAt = beganAt;
+                    loop.post(() -> loop.after(
+                            limits.listWaitMs(), () -> checkOverdue(objectStartedAt == beganAt, "incomplete object")));
                 }
             } catch (IllegalArgumentException e) {
-                loop.post(() -> unreadable(this, e.getMessage()));
+                loop.post(() -> invalidResponse(this, e.getMessage()));
             }
         }
 
-        private void whole(String text) {
-            objectAt = Double.NaN;
-            loop.post(() -> object(this, text));
+        private void objectComplete(String text) {
+            objectStartedAt = Double.NaN;
+            loop.post(() -> objectReceived(this, text));
         }
 
         @Override
         public void done(boolean reusable, boolean alone) {
-            loop.post(() -> failed(this, "ended"));
+            loop.post(() -> callFailed(this, "ended"));
         }
 
         @Override
         public void broken(boolean maybeArrived) {
-            loop.post(() -> failed(this, "connection broke"));
+            loop.post(() -> callFailed(this, "connection failed"));
         }
     }
 }
--- a/src/main/java/firstair/relay/discovery/Zones.java
+++ b/src/main/java/firstair/relay/discovery/Zones.java
@@ -6,34 +6,35 @@
 import java.util.Set;
 
 /**
- * Numbers of zones by their names: those of the settings in their order, then any other as it is first seen. Two names
- * never share a number: a keyed message that may have run in one zone would be sent again in another.
+ * Maps zone names to numbers: the zones of the settings in their order, then any other in the order of its first
+ * appearance. Two names never share a number: otherwise a keyed message that may have run in one zone could be sent
+ * again in another, where its key is not known.
  */
 public final class Zones {
     private final List<String> names;
 
-    /** @param named the zones that the settings name, in the order of their numbers */
-    public Zones(List<String> named) {
-        names = new ArrayList<>(named);
+    /** @param configured zones of the settings, in the order of their numbers */
+    public Zones(List<String> configured) {
+        names = new ArrayList<>(configured);
     }
 
-    /** All names so far. */
+    /** All zone names known so far. */
     public Set<String> names() {
         return new LinkedHashSet<>(names);
     }
 
-    /** The name of a zone that the settings name; its number where they don't. */
+    /** The name of a zone, or its number as text if it is not known. */
     public String name(int number) {
         return number >= 0 && number < names.size() ? names.get(number) : String.valueOf(number);
     }
 
-    /** The number of a zone; one that was never seen gets a new one. */
+    /** The number of a zone; a new name gets the next free number. */
     public int number(String name) {
-        int at = names.indexOf(name);
-        if (at < 0) {
-            at = names.size();
+        int index = names.indexOf(name);
+        if (index < 0) {
+            index = names.size();
             names.add(name);
         }
-        return at;
+        return index;
     }
 }
--- a/src/main/java/firstair/relay/discovery/package-info.java
+++ b/src/main/java/firstair/relay/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The list of endpoints: its form, and the watch that keeps it up to date. */
+/** Discovery of endpoints: parses the list and keeps it up to date. */
 package firstair.relay.discovery;
--- a/src/test/java/firstair/relay/discovery/EndpointListTest.java
+++ b/src/test/java/firstair/relay/discovery/EndpointListTest.java
@@ -15,8 +15,8 @@
     private static final Zones ZONES = new Zones(List.of("a", "b"));
 
     @Test
-    void namesBecomeTheSettingsNumbers() {
-        EndpointList l = EndpointList.read(
+    void namesAreMappedToTheNumbersInTheSettings() {
+        EndpointList list = EndpointList.read(
                 "{\"version\":41,\"full\":false,\"servers\":[{\"id\":\"s-1\",\"addr\":\"127.0.0.1:90\","
                         + "\"zone\":\"b\",\"kind\":\"m2\",\"cell\":3,\"state\":\"draining\","
                         + "\"weight\":1.5,\"started_ms\":0},"
@@ -24,24 +24,24 @@
                         + "\"state\":\"removed\"}]}",
                 KINDS,
                 ZONES);
-        assertThat(l.version()).isEqualTo(41);
-        assertThat(l.full()).isFalse();
-        assertThat(l.entries())
+        assertThat(list.version()).isEqualTo(41);
+        assertThat(list.full()).isFalse();
+        assertThat(list.entries())
                 .containsExactly(
                         new Entry("s-1", 3, 1, 1, 1.5, Listing.LEAVING), new Entry("s-2", 4, 1, 2, 1, Listing.LEFT));
-        assertThat(l.addresses().get("s-1").getPort()).isEqualTo(90);
+        assertThat(list.addresses().get("s-1").getPort()).isEqualTo(90);
     }
 
-    /** A larger fleet has zones that the settings do not name; two of them must never count as one. */
+    /** A larger fleet may have zones that the settings do not name; two of them must never share a number. */
     @Test
-    void zonesWithoutANumberInTheSettingsAreToldApart() {
+    void unknownZonesGetDistinctNumbers() {
         Zones zones = new Zones(List.of("a"));
-        assertThat(List.of("x", "a", "y", "x", "b").stream().map(z -> EndpointList.read(
+        assertThat(List.of("x", "a", "y", "x", "b").stream().map(zone -> EndpointList.read(
                                 "{\"version\":1,"
                                         + "\"servers\":[{"
                                         + "\"id\":\"s\",\"addr\":\"127.0.0.1:90\","
                                         + "\"cell\":1,\"state\":\"up\",\"zone\":\""
-                                        + z + "\"}]}",
+                                        + zone + "\"}]}",
                                 KINDS,
                                 zones)
                         .entries()
@@ -68,7 +68,7 @@
                         + "\"state\":\"up\",\"weight\":-1}]}",
                 "{\"version\":1,\"servers\":[{\"id\":\"s\",\"addr\":\"x:1\",\"cell\":1,\"state\":\"odd\"}]}"
             })
-    void whatIsNotAListIsToldFromOne(String text) {
+    void invalidListsAreRejected(String text) {
         assertThatThrownBy(() -> EndpointList.read(text, KINDS, ZONES)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/firstair/relay/discovery/JsonObjectsTest.java
+++ b/src/test/java/firstair/relay/discovery/JsonObjectSplitterTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class JsonObjectsTest {
-    private static final int MOST = 100;
+class JsonObjectSplitterTest {
+    private static final int MAX_BYTES = 100;
     private static final String INDENTED =
             "{\r\n\t\"a\" : [ 1,\n\n  {\"b\": \"\u00fc\ud83d\ude00 }]{\\\\\"} ,\n" + " true, -1.5E+3 ]\n}";
     private static final String COMPACT = "{\"c\":\"\\\"{\",\"d\":{}}";
@@ -21,43 +21,43 @@
     }
 
     @Test
-    void objectsAreCutOutOfPiecesOfAnySizeAndHandedOnWithTheirLastBrace() {
-        String text = " \n" + INDENTED + COMPACT + "\r\n\n\n" + COMPACT; // two without anything between, no end behind
+    void objectsAreSplitFromPiecesOfAnySizeAndPassedOnWithTheirClosingBrace() {
+        String text = " \n" + INDENTED + COMPACT + "\r\n\n\n" + COMPACT; // also without a separator or a last line end
         byte[] all = bytes(text);
         for (int first = 0; first <= all.length; first++) {
             for (int second = first; second <= all.length; second++) {
                 List<String> objects = new ArrayList<>();
-                JsonObjects o = new JsonObjects(MOST, objects::add);
-                o.feed(all, 0, first);
-                o.feed(all, first, second - first);
-                o.feed(all, second, all.length - second);
+                JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_BYTES, objects::add);
+                splitter.feed(all, 0, first);
+                splitter.feed(all, first, second - first);
+                splitter.feed(all, second, all.length - second);
                 assertThat(objects).as("cut at %d and %d", first, second).containsExactly(INDENTED, COMPACT, COMPACT);
             }
         }
     }
 
     @Test
-    void anEmptyLineSaysSomethingBetweenObjectsAndNothingWithinOne() {
-        JsonObjects o = new JsonObjects(MOST, t -> {});
-        assertThat(o.feed(bytes("\n"), 0, 1)).isTrue();
-        assertThat(o.feed(bytes("\n{\"a\":"), 0, 6)).isTrue();
-        assertThat(o.feed(bytes("\r\n\n"), 0, 3)).isFalse();
-        assertThat(o.feed(bytes("1}\n"), 0, 3)).isTrue();
-        assertThat(o.feed(bytes("\n"), 0, 1)).isTrue();
+    void anEmptyLineIsProgressBetweenObjectsButNotInsideOne() {
+        JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_BYTES, t -> {});
+        assertThat(splitter.feed(bytes("\n"), 0, 1)).isTrue();
+        assertThat(splitter.feed(bytes("\n{\"a\":"), 0, 6)).isTrue();
+        assertThat(splitter.feed(bytes("\r\n\n"), 0, 3)).isFalse();
+        assertThat(splitter.feed(bytes("1}\n"), 0, 3)).isTrue();
+        assertThat(splitter.feed(bytes("\n"), 0, 1)).isTrue();
     }
 
     @Test
-    void oneObjectHasABoundAndTheirSumHasNone() {
+    void theSizeLimitAppliesToEachObjectNotToTheirSum() {
         List<String> objects = new ArrayList<>();
-        JsonObjects o = new JsonObjects(COMPACT.length(), objects::add);
+        JsonObjectSplitter splitter = new JsonObjectSplitter(COMPACT.length(), objects::add);
         byte[] fits = bytes(COMPACT.repeat(9) + "\n".repeat(99));
-        o.feed(fits, 0, fits.length);
+        splitter.feed(fits, 0, fits.length);
         assertThat(objects).hasSize(9);
         byte[] over = bytes("{ " + COMPACT.substring(1));
-        assertThatThrownBy(() -> o.feed(over, 0, over.length)).hasMessageContaining("too long");
+        assertThatThrownBy(() -> splitter.feed(over, 0, over.length)).hasMessageContaining("too long");
     }
 
-    /** Whatever followed them, their end would never be found, or not where it is. */
+    /** Whatever followed these, the end of the object would be found in the wrong place or never. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -81,16 +81,16 @@
                 "{\u00e9",
                 "{\"a\":'"
             })
-    void whatCannotBecomeAnObjectIsToldAtOnce(String text) {
+    void malformedObjectsAreRejectedAtOnce(String text) {
         byte[] all = bytes(text);
-        assertThatThrownBy(() -> new JsonObjects(MOST, t -> {}).feed(all, 0, all.length))
+        assertThatThrownBy(() -> new JsonObjectSplitter(MAX_BYTES, t -> {}).feed(all, 0, all.length))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void noneIsNestedForEver() {
-        byte[] deep = bytes("{\"a\":" + "[".repeat(MOST));
-        assertThatThrownBy(() -> new JsonObjects(deep.length, t -> {}).feed(deep, 0, deep.length))
-                .hasMessageContaining("out of place");
+    void nestingIsLimited() {
+        byte[] deep = bytes("{\"a\":" + "[".repeat(MAX_BYTES));
+        assertThatThrownBy(() -> new JsonObjectSplitter(deep.length, t -> {}).feed(deep, 0, deep.length))
+                .hasMessageContaining("unexpected byte");
     }
 }
--- a/src/test/java/firstair/relay/discovery/WatchTest.java
+++ b/src/test/java/firstair/relay/discovery/WatchTest.java
@@ -41,9 +41,9 @@
 class WatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private record Told(News news, EndpointList listed) {}
+    private record Update(News news, EndpointList listed) {}
 
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
     private Limits limits;
     private Loop loop;
     private Wire wire;
@@ -70,7 +70,7 @@
     }
 
     private Watch watch(InetSocketAddress at, long version) {
-        Watch w = new Watch(
+        Watch watch = new Watch(
                 wire,
                 limits,
                 loop,
@@ -78,46 +78,46 @@
                 List.of("one"),
                 new Zones(List.of("z")),
                 version,
-                (news, listed) -> told.add(new Told(news, listed)));
-        loop.post(w::listen);
-        return w;
+                (news, listed) -> updates.add(new Update(news, listed)));
+        loop.post(watch::listen);
+        return watch;
     }
 
-    private Told next() throws InterruptedException {
-        Told t = told.poll(10, TimeUnit.SECONDS);
-        assertThat(t).as("news").isNotNull();
-        return t;
+    private Update next() throws InterruptedException {
+        Update update = updates.poll(10, TimeUnit.SECONDS);
+        assertThat(update).as("news").isNotNull();
+        return update;
     }
 
     @Test
-    void withoutAListItFetchesOneAndThenWatches() throws Exception {
-        Platform p = new Platform(Platform.list(41, true, "s1 7 127.0.0.1:1"));
-        server = p;
+    void withoutAListItFetchesOneAndThenWatchesForChanges() throws Exception {
+        Platform platform = new Platform(Platform.list(41, true, "s1 7 127.0.0.1:1"));
+        server = platform;
         watch(-1);
         assertThat(next().news()).isEqualTo(News.COMPLETE);
         assertThat(next().listed().version()).isEqualTo(41); // the watch's first object
-        p.tell(Platform.list(42, false, "s1 7 127.0.0.1:1 draining"));
-        Told change = next();
+        platform.tell(Platform.list(42, false, "s1 7 127.0.0.1:1 draining"));
+        Update change = next();
         assertThat(change.news()).isEqualTo(News.CHANGES);
         assertThat(change.listed().entries().get(0).listing()).isEqualTo(Listing.LEAVING);
     }
 
-    /** Each watch that begins well and goes wrong is news, and all together are one line of the log. */
+    /** Each watch that sends a valid list and then an invalid one is reported, but logged only once in all. */
     @Test
-    void aDiscoveryThatGoesOnToSpoilItsListsDoesNotFillTheLog() throws Exception {
+    void repeatedInvalidListsDoNotFloodTheLog() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         server = new StandIn(r -> {
-            String whole = Platform.list(41 + calls.incrementAndGet(), true, "s1 7 127.0.0.1:1") + "\n";
-            String spoilt = "{\"version\":1,\"servers\":\"" + "x".repeat(5000) + "\"}\n";
-            r.write((HEAD + Integer.toHexString(whole.length() + spoilt.length()) + "\r\n" + whole + spoilt + "\r\n")
+            String valid = Platform.list(41 + calls.incrementAndGet(), true, "s1 7 127.0.0.1:1") + "\n";
+            String invalid = "{\"version\":1,\"servers\":\"" + "x".repeat(5000) + "\"}\n";
+            r.write((HEAD + Integer.toHexString(valid.length() + invalid.length()) + "\r\n" + valid + invalid + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
         });
         try (LogLines lines = new LogLines(Watch.class)) {
-            Watch w = watch(41);
+            Watch watch = watch(41);
             for (int i = 0; i < 10; i++) {
                 assertThat(next().news()).isEqualTo(News.COMPLETE);
                 assertThat(next().news()).isEqualTo(News.FAILED);
-                loop.post(w::listen);
+                loop.post(watch::listen);
             }
             assertThat(next().news()).isEqualTo(News.COMPLETE);
             assertThat(lines.beginning("list lost: not a list of endpoints"))
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void withAListItWatchesFromItsVersion() throws Exception {
+    void withAListItWatchesForChangesSinceItsVersion() throws Exception {
         BlockingQueue<String> targets = new LinkedBlockingQueue<>();
         server = new StandIn(r -> {
             targets.add(r.method() + " " + r.target());
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aRefusedAResetAndAnEndedWatchAreNewsOnce() throws Exception {
+    void aRejectedAResetAndAnEndedWatchAreReportedOnce() throws Exception {
         server = new StandIn(r -> r.reset());
         watch(1);
         assertThat(next().news()).isEqualTo(News.FAILED);
@@ -151,7 +151,7 @@
         server = new StandIn(r -> r.answer(200));
         watch(1);
         assertThat(next().news()).isEqualTo(News.FAILED);
-        assertThat(told.poll(100, TimeUnit.MILLISECONDS)).isNull();
+        assertThat(updates.poll(100, TimeUnit.MILLISECONDS)).isNull();
     }
 
     private static String chunk(String text) {
@@ -162,12 +162,12 @@
         r.write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What discovery answers, call by call, each in two pieces; no socket takes part. */
-    private static Dialer cutAt(int cut, String... answers) {
-        Iterator<String> each = List.of(answers).iterator();
+    /** Replays one response per call, each in two pieces, without a socket. */
+    private static Dialer splitAt(int split, String... responses) {
+        Iterator<String> remaining = List.of(responses).iterator();
         return (to, maxBody, request, exchange, closedIdle) -> {
-            byte[] all = each.next().getBytes(StandardCharsets.UTF_8);
-            AtomicBoolean whole = new AtomicBoolean();
+            byte[] all = remaining.next().getBytes(StandardCharsets.UTF_8);
+            AtomicBoolean complete = new AtomicBoolean();
             HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER, all.length, maxBody, new HttpParser.Sink() {
                 @Override
                 public void head(Head head) {
@@ -181,17 +181,17 @@
 
                 @Override
                 public void end() {
-                    whole.set(true);
+                    complete.set(true);
                 }
             });
-            int at = Math.min(cut, all.length);
+            int at = Math.min(split, all.length);
             try {
                 parser.feed(all, 0, at);
                 parser.feed(all, at, all.length - at);
             } catch (HttpException e) {
                 throw new IllegalStateException(e);
             }
-            if (whole.get()) {
+            if (complete.get()) {
                 exchange.done(true, true);
             }
             return FaultyDialer.deaf();
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void bothFormsAreReadHoweverTheyAreIndentedAndWhereverTheyAreCut() throws Exception {
+    void fullListsAndChangesAreReadWithAnyIndentationAndSplit() throws Exception {
         Gson indenting = new GsonBuilder().setPrettyPrinting().create();
         String[] lists = new String[3];
         for (int i = 0; i < lists.length; i++) {
@@ -207,42 +207,44 @@
                     .replace(",\"full", ",\r\n\"full");
         }
         for (boolean indented : new boolean[] {false, true}) {
-            String[] l = lists.clone();
-            for (int i = 0; i < l.length && indented; i++) {
-                l[i] = indenting.toJson(JsonParser.parseString(l[i]));
+            String[] expected = lists.clone();
+            for (int i = 0; i < expected.length && indented; i++) {
+                expected[i] = indenting.toJson(JsonParser.parseString(expected[i]));
             }
-            String get = "HTTP/1.1 200 OK\r\nContent-Length: " + l[0].getBytes(StandardCharsets.UTF_8).length
-                    + "\r\n\r\n" + l[0];
-            String watch = HEAD + chunk("\n") + chunk(l[1] + l[2]);
-            for (int cut = 0; cut <= Math.max(get.length(), watch.length()) + 12; cut++) {
-                Watch w = new Watch(
-                        cutAt(cut, get, watch),
+            String get = "HTTP/1.1 200 OK\r\nContent-Length: " + expected[0].getBytes(StandardCharsets.UTF_8).length
+                    + "\r\n\r\n" + expected[0];
+            String follow = HEAD + chunk("\n") + chunk(expected[1] + expected[2]);
+            for (int split = 0; split <= Math.max(get.length(), follow.length()) + 12; split++) {
+                Watch watch = new Watch(
+                        splitAt(split, get, follow),
                         limits,
                         loop,
                         InetSocketAddress.createUnresolved("discovery", 1),
                         List.of("one"),
                         new Zones(List.of("z")),
                         -1,
-                        (news, listed) -> told.add(new Told(news, listed)));
-                loop.post(w::listen);
-                for (int i = 0; i < l.length; i++) {
-                    Told t = next();
-                    assertThat(t.news()).as("cut at %d", cut).isEqualTo(i == 0 ? News.COMPLETE : News.CHANGES);
-                    assertThat(t.listed().version()).as("cut at %d", cut).isEqualTo(41 + i);
-                    assertThat(t.listed().entries().get(0).endpoint()).isEqualTo("s\u00fc\ud83d\ude00");
+                        (news, listed) -> updates.add(new Update(news, listed)));
+                loop.post(watch::listen);
+                for (int i = 0; i < expected.length; i++) {
+                    Update update = next();
+                    assertThat(update.news()).as("split at %d", split).isEqualTo(i == 0 ? News.COMPLETE : News.CHANGES);
+                    assertThat(update.listed().version())
+                            .as("split at %d", split)
+                            .isEqualTo(41 + i);
+                    assertThat(update.listed().entries().get(0).endpoint()).isEqualTo("s\u00fc\ud83d\ude00");
                 }
-                loop.post(w::leave);
+                loop.post(watch::leave);
             }
         }
     }
 
     /**
-     * A machine that is cut off says nothing and its connections stay open: only the missing lines show it. Amid an
-     * object empty lines show no life either: nobody is told what it holds until the rest comes.
+     * A host that is cut off from the network sends nothing and its connections stay open: only the missing lines show
+     * it. Empty lines inside an object do not count as progress: its content is not known until the rest arrives.
      */
     @ParameterizedTest
     @CsvSource({"'',false", "'{\"version\":43,\"full\":',false", "'{\"version\":43,\"full\":',true"})
-    void aWatchThatFallsSilentIsOpenedAnewAndHalfAnObjectIsNotUsed(String half, boolean lines) throws Exception {
+    void aSilentWatchIsReplacedAndAnIncompleteObjectIsNotUsed(String incomplete, boolean emptyLines) throws Exception {
         BlockingQueue<String> targets = new LinkedBlockingQueue<>();
         server = new StandIn(r -> {
             targets.add(r.target());
@@ -250,15 +252,15 @@
                 write(r, HEAD + chunk(Platform.list(44, true, "s1 7 127.0.0.1:1")));
                 return;
             }
-            write(r, HEAD + chunk("\n" + Platform.list(42, false, "s1 7 127.0.0.1:1") + half));
-            while (lines) { // until the relay closes
+            write(r, HEAD + chunk("\n" + Platform.list(42, false, "s1 7 127.0.0.1:1") + incomplete));
+            while (emptyLines) { // until the relay closes
                 write(r, chunk("\n"));
                 pause();
             }
         });
         watch(1);
         assertThat(next().listed().version()).isEqualTo(42);
-        if (!half.isEmpty()) { // the rest is owed, and the next call goes beside this one or after its silence
+        if (!incomplete.isEmpty()) { // the rest is overdue; the next call starts next to this one or after its silence
             assertThat(next().news()).isEqualTo(News.OVERDUE);
         }
         assertThat(next().listed().version()).isEqualTo(44);
@@ -274,38 +276,38 @@
     }
 
     @Test
-    void aCallThatIsNeverAnsweredIsDead() throws Exception {
+    void aCallWithoutAResponseIsOverdue() throws Exception {
         server = new StandIn(r -> {});
         watch(1);
         assertThat(next().news()).isEqualTo(News.OVERDUE);
     }
 
     @Test
-    void emptyLinesKeepAWatchAlive() throws Exception {
+    void emptyLinesKeepAWatchOpen() throws Exception {
         BlockingQueue<StandIn.Request> requests = new LinkedBlockingQueue<>();
         server = new StandIn(requests::add);
-        Watch w = watch(1);
+        Watch watch = watch(1);
         StandIn.Request r = requests.take();
         r.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        double end = loop.now() + 1200; // three times the silence that is taken for death
+        double end = loop.now() + 1200; // three times the silence after which a watch is replaced
         while (loop.now() < end) {
             r.write("1\r\n\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertThat(told.poll(50, TimeUnit.MILLISECONDS)).isNull();
+            assertThat(updates.poll(50, TimeUnit.MILLISECONDS)).isNull();
         }
-        assertThat(w.current()).isFalse(); // nothing was told yet
+        assertThat(watch.current()).isFalse(); // no list has been received yet
     }
 
     @Test
-    void aLineThatIsNotAListEndsTheWatch() throws Exception {
-        Platform p = new Platform("nonsense");
-        server = p;
+    void anInvalidListEndsTheWatch() throws Exception {
+        Platform platform = new Platform("nonsense");
+        server = platform;
         watch(1);
         assertThat(next().news()).isEqualTo(News.FAILED);
     }
 
-    /** What discovery tells counts from then on, also where its versions have gone back; it is watched from there. */
+    /** The latest list from discovery is used even if its version is lower; the next watch continues from it. */
     @Test
-    void aVersionThatGoesBackIsBelievedAndWatchedFrom() throws Exception {
+    void aLowerVersionIsAcceptedAndWatchedFrom() throws Exception {
         BlockingQueue<String> targets = new LinkedBlockingQueue<>();
         server = new StandIn(r -> {
             targets.add(r.target());
@@ -317,9 +319,9 @@
         });
         watch(41);
         assertThat(next().listed().version()).isEqualTo(43);
-        Told back = next();
-        assertThat(back.news()).isEqualTo(News.CHANGES);
-        assertThat(back.listed().entries().get(0).listing()).isEqualTo(Listing.LEAVING);
+        Update lowerVersion = next();
+        assertThat(lowerVersion.news()).isEqualTo(News.CHANGES);
+        assertThat(lowerVersion.listed().entries().get(0).listing()).isEqualTo(Listing.LEAVING);
         assertThat(next().listed().version()).as("after a silence").isEqualTo(43);
         assertThat(targets).startsWith("/api/targets?follow=1&since=41", "/api/targets?follow=1&since=40");
     }
