--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -32,168 +32,175 @@
 import java.util.stream.Collectors;
 
 /**
- * Makes calls and tells how each message of them ended, exactly once. A call has a connection for itself; a
- * connection is kept for the next call and closed before the endpoint would. All methods run on the loop's
- * thread.
+ * Makes calls to endpoints and reports the outcome of each message exactly once. Each call has a connection to itself;
+ * afterwards the connection is kept for a later call, and closed before the endpoint would close it. All methods run on
+ * the loop's thread.
  */
 public final class Endpoints {
     private static final Logger LOG = Logger.getLogger(Endpoints.class.getName());
-    private static final int DELIVERED = 200;
+    private static final int STATUS_OK = 200;
 
     private final Dialer dialer;
     private final Limits limits;
     private final Loop loop;
-    private final Told told;
+    private final Told listener;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
-    private final List<Call> calls = new ArrayList<>(); // out
-    private final List<Call> up = new ArrayList<>(); // of them, such that have a connection and are not written
-    private final Set<Call> unheard = ConcurrentHashMap.newKeySet(); // have read a wait that has not been told on
+    private final Map<String, ArrayDeque<IdleConnection>> idle = new HashMap<>();
+    private final List<Call> calls = new ArrayList<>(); // in progress
+    private final List<Call> connected = new ArrayList<>(); // calls with a connection, not written yet
+    // Calls that have read a Retry-After which has not been reported to the listener yet.
+    private final Set<Call> unreportedWaits = ConcurrentHashMap.newKeySet();
 
-    private record Idle(Link link, double since) {}
+    private record IdleConnection(Link link, double since) {}
 
-    /** Who hears of calls. */
+    /** Receives the events of calls. */
     public interface Told {
-        /** How a message of a call ended. */
+        /** A message of a call has ended. */
         void ended(Outcome outcome);
 
-        /** A wait was read at a moment, of an answer that may never be whole, to a call with such an attempt. */
+        /**
+         * A Retry-After was read at the time {@code at}, in the response to a call with the given attempt. The response
+         * may never be complete.
+         */
         default void waits(double at, String endpoint, long id, int attempt, double waitMs) {}
 
-        /** Whether a wait that one endpoint tells may bind calls to the other. */
+        /** Whether a Retry-After from one endpoint may also apply to calls to the other. */
         default boolean shareWaits(String endpoint, String other) {
             return endpoint.equals(other);
         }
 
-        /** A message that was {@link #ready} has not been written: its connection was dead. It may be ready again. */
+        /** A message reported by {@link #ready} was not written, because its connection was dead; it may be retried. */
         default void unwritten(long id, int attempt) {}
     }
 
-    /** Who decides whether a message goes, and with how much time; see {@link firstair.control.Controller#mayGo}. */
-    public interface Decider {
+    /** Decides whether a message may be sent, and with what timeout; see {@link firstair.control.Controller#mayGo}. */
+    public interface SendPolicy {
         /**
-         * Asked when the connection is there: for how many milliseconds its answer may be waited for, 0 if it may not
-         * go.
+         * Called when the connection is available: the time limit for the response in milliseconds, or 0 if the message
+         * must not be sent.
          */
         double mayGo(long id, int attempt);
     }
 
-    /** @param told hears how each message of a call ended */
-    public Endpoints(Dialer dialer, Limits limits, Loop loop, Told told) {
+    /** @param listener receives the outcome of each message */
+    public Endpoints(Dialer dialer, Limits limits, Loop loop, Told listener) {
         this.dialer = dialer;
         this.limits = limits;
         this.loop = loop;
-        this.told = told;
+        this.listener = listener;
     }
 
-    /** Forgets endpoints that are no longer listed; calls that are out to them go on. */
-    public void forget(Collection<String> gone) {
-        gone.forEach(id -> {
+    /** Removes endpoints that are no longer listed; calls to them that are in progress continue. */
+    public void forget(Collection<String> removed) {
+        removed.forEach(id -> {
             addresses.remove(id);
-            closeIdle(id); // its address may be another one's by now
+            closeIdle(id); // its address may belong to another endpoint by now
         });
     }
 
-    /** Learns where endpoints are; those that are not named stay where they were. */
-    public void learn(Map<String, InetSocketAddress> told) {
-        told.forEach((id, at) -> {
-            InetSocketAddress before = addresses.put(id, at);
-            if (before != null && !before.equals(at)) {
+    /** Sets the addresses of endpoints; others keep theirs. */
+    public void learn(Map<String, InetSocketAddress> changed) {
+        changed.forEach((id, address) -> {
+            InetSocketAddress previous = addresses.put(id, address);
+            if (previous != null && !previous.equals(address)) {
                 closeIdle(id);
             }
         });
     }
 
-    /** Calls that are out. */
+    /** Number of calls in progress. */
     public int out() {
         return calls.size();
     }
 
     /**
-     * Takes or opens a connection for a call with one message or several. It is written by the first {@link #write}
-     * for which the connection is there; if that is in a later round, {@link #ask} comes before.
+     * Starts a call with one or more messages, on an idle connection or a new one. The first {@link #write} after the
+     * connection is available sends it; if that is in a later round, {@link #ask} comes before.
      */
     public void call(String endpoint, List<Item> items) {
         new Call(endpoint, items).start();
     }
 
-    /** Asks of all calls that have got their connection since they were asked for whether they may still go. */
-    public void ask(Decider decider) {
-        List.copyOf(up).forEach(c -> c.ask(decider));
+    /** Checks for all calls that have a connection and are not written whether their messages may still be sent. */
+    public void ask(SendPolicy policy) {
+        List.copyOf(connected).forEach(call -> call.recheck(policy));
     }
 
-    /** Ends all calls of which nothing has been written, as such that never were. */
+    /**
+     * Ends all calls that have not been written. They count as no attempt, unless they have been recorded as one.
+     */
     public void withhold() {
-        for (Call c : List.copyOf(calls)) {
-            if (!c.written) {
-                List.copyOf(c.items).forEach(c::withhold);
+        for (Call call : List.copyOf(calls)) {
+            if (!call.written) {
+                List.copyOf(call.items).forEach(call::withhold);
             }
         }
     }
 
-    /** Names all that {@link #write} is about to write, by their endpoints. */
-    public void ready(BiConsumer<String, Item> each) {
-        up.forEach(c -> c.items.forEach(i -> each.accept(c.endpoint, i)));
+    /** Passes all messages that {@link #write} is about to send to {@code action}, with their endpoints. */
+    public void ready(BiConsumer<String, Item> action) {
+        connected.forEach(call -> call.items.forEach(item -> action.accept(call.endpoint, item)));
     }
 
     /**
-     * Writes what is {@link #ready}, but for messages that could not be noted: those are not sent. A call that a wait
-     * may bind which has been read since its round began is left to the next round, whose {@link #ask} comes first. So
-     * is what follows a write behind which {@code heldUp} says that writing takes too long.
+     * Sends the messages that are {@link #ready}, except those that could not be recorded. Some calls are left to the
+     * next round, which checks them again with {@link #ask}: those to which a Retry-After may apply that was read since
+     * this round began, and all that remain once {@code overrun} reports that writing takes too long.
      *
-     * @return whether nothing was left because of that
+     * @param recorded whether the attempt of a message has been stored
+     * @return false if calls remain because of {@code overrun}
      */
-    public boolean write(LongPredicate noted, BooleanSupplier heldUp) {
-        Deque<Call> left = new ArrayDeque<>(up);
-        up.clear();
-        while (!left.isEmpty()) {
+    public boolean write(LongPredicate recorded, BooleanSupplier overrun) {
+        Deque<Call> remaining = new ArrayDeque<>(connected);
+        connected.clear();
+        while (!remaining.isEmpty()) {
             try {
-                left.remove().write(noted);
-            } catch (RuntimeException e) { // must not take the calls behind it along
-                LOG.log(Level.SEVERE, "fault under a call", e);
+                remaining.remove().write(recorded);
+            } catch (RuntimeException e) { // must not affect the remaining calls
+                LOG.log(Level.SEVERE, "unexpected exception while writing a call", e);
             }
-            if (heldUp.getAsBoolean()) {
+            if (overrun.getAsBoolean()) {
                 break;
             }
         }
-        left.forEach(c -> c.noted = true);
-        up.addAll(left);
-        return left.isEmpty();
+        remaining.forEach(call -> call.recorded = true);
+        connected.addAll(remaining);
+        return remaining.isEmpty();
     }
 
-    /** Leaves what is {@link #ready} and noted to the next round, whose {@link #ask} comes first. */
+    /** Leaves the calls that are {@link #ready}, and recorded by now, to the next round, which checks them again. */
     public void postpone() {
-        up.forEach(c -> c.noted = true);
+        connected.forEach(call -> call.recorded = true);
     }
 
-    /** Abandons the wait for one message; its call ends with its last message. */
+    /** Cancels one message; a call ends when its last message has ended. */
     public void cancel(long id, int attempt) {
-        for (Call c : List.copyOf(calls)) {
-            c.cancel(id, attempt);
+        for (Call call : List.copyOf(calls)) {
+            call.cancel(id, attempt);
         }
     }
 
-    /** Closes the connections to an endpoint that carry no call. */
+    /** Closes the idle connections to an endpoint. */
     public void closeIdle(String endpoint) {
-        ArrayDeque<Idle> kept = idle.remove(endpoint);
+        ArrayDeque<IdleConnection> kept = idle.remove(endpoint);
         if (kept != null) {
-            kept.forEach(i -> i.link().leave());
+            kept.forEach(connection -> connection.link().leave());
         }
     }
 
-    /** Closes connections that have stood idle for too long, and ends calls that outlived their time. */
+    /** Closes connections that have been idle for too long, and ends calls that exceeded all their timeouts. */
     public void sweep() {
         double now = loop.now();
-        for (Call c : List.copyOf(calls)) {
-            // A fault below may have eaten a call's own timers: its messages and its slot would be lost with them.
-            if (now > c.latestAt) {
-                LOG.severe("call to " + c.endpoint + " outlived its time, ended by a sweep");
-                c.outlived();
+        for (Call call : List.copyOf(calls)) {
+            // If a fault elsewhere has lost the call's timers, its messages and its slot must not be lost with them.
+            if (now > call.forcedEndAt) {
+                LOG.severe("call to " + call.endpoint + " exceeded its time limit, ended by the sweep");
+                call.forceEnd();
             }
         }
         double oldest = loop.now() - limits.idleMs();
-        for (Iterator<ArrayDeque<Idle>> all = idle.values().iterator(); all.hasNext(); ) {
-            ArrayDeque<Idle> kept = all.next();
+        for (Iterator<ArrayDeque<IdleConnection>> all = idle.values().iterator(); all.hasNext(); ) {
+            ArrayDeque<IdleConnection> kept = all.next();
             while (!kept.isEmpty() && kept.peekFirst().since() <= oldest) {
                 kept.pollFirst().link().leave();
             }
@@ -203,145 +210,152 @@
         }
     }
 
-    /** Closes the connection that has been idle longest while all that may be open are. */
-    private void makeRoom() {
+    /** Closes the longest idle connections while the limit for open connections is exceeded. */
+    private void evictIdle() {
         int kept = idle.values().stream().mapToInt(ArrayDeque::size).sum();
         while (kept > 0 && kept + calls.size() > limits.maxLinks()) {
             idle.values().stream()
-                    .filter(q -> !q.isEmpty())
-                    .min(Comparator.comparingDouble(q -> q.peekFirst().since()))
-                    .ifPresent(q -> q.pollFirst().link().leave());
+                    .filter(connections -> !connections.isEmpty())
+                    .min(Comparator.comparingDouble(
+                            connections -> connections.peekFirst().since()))
+                    .ifPresent(connections -> connections.pollFirst().link().leave());
             kept--;
         }
     }
 
     private final class Call implements Link.Exchange {
         private final String endpoint;
-        private final InetSocketAddress to; // null if it left the list in the round that chose it
+        private final InetSocketAddress address; // null if the endpoint left the list in the round that chose it
         private final List<Item> items;
-        private final Item lead;
+        private final Item firstItem;
         private final double startedAt = loop.now();
         private final List<Loop.Timer> timers = new ArrayList<>();
-        private Loop.Timer answerTimer; // until an answer that has begun must be whole
+        private Loop.Timer responseTimer; // limits the time from the start of the response to its end
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        private Set<String> ids = Set.of(); // all that it was written with
-        private boolean bundle; // it was written with several
-        private double timeoutMs; // of all its messages, from its write on
-        private double latestAt; // by then its own timers have ended it
-        private Link link; // that carries it or is to, null until there is one
-        private boolean fresh; // on a connection of its own making
-        private boolean noted; // somebody relies on it that what is not noted was not written
+        private Set<String> requestIds = Set.of(); // of all messages in the request
+        private boolean bundle; // written with several messages
+        private double timeoutMs; // for the response, counted from the write
+        private double forcedEndAt; // its own timers end the call before that
+        private Link link; // null until one has been chosen or opened
+        private boolean newConnection; // opened for this call
+        private boolean recorded; // stored as attempts; whatever is not stored must not have been written
         private boolean written;
-        private boolean over;
-        private boolean expired; // given up, and the endpoint may not know it yet
-        private boolean settled; // delivered by a first line that came before that
-        private volatile boolean ending; // its connection has told its end, and the loop is yet to hear it
-        private double toldMs; // the wait that has been told on
-        private volatile int first; // status of a first line that has come
+        private boolean finished;
+        private boolean timedOut; // halted, and the endpoint may not have noticed yet
+        private boolean deliveredBeforeTimeout; // by a status line that was read before the timeout
+        private volatile boolean exchangeEnded; // reported by the connection, not yet processed by the loop
+        private double reportedWaitMs; // longest Retry-After reported to the listener
+        private volatile int statusLineCode; // 0 until the status line has been read
         private volatile Head head;
-        private volatile double waitAt; // when the wait was read
-        private volatile double waitMs; // longest wait that a whole line told
+        private volatile double waitReadAt; // when waitMs was read
+        private volatile double waitMs; // longest Retry-After in a complete header line
 
         Call(String endpoint, List<Item> items) {
             this.endpoint = endpoint;
-            this.to = addresses.get(endpoint);
+            this.address = addresses.get(endpoint);
             this.items = new ArrayList<>(items);
-            this.lead = items.get(0);
-            this.timeoutMs = items.stream().mapToDouble(Item::timeoutMs).max().orElse(0); // what the last one joined
-            this.latestAt = latest(startedAt, timeoutMs);
+            this.firstItem = items.get(0);
+            // The timeout of a call grows as messages join it: the last one has the longest.
+            this.timeoutMs = items.stream().mapToDouble(Item::timeoutMs).max().orElse(0);
+            this.forcedEndAt = forcedEndAt(startedAt, timeoutMs);
         }
 
         /**
-         * How long the answer to a request that is written now is waited for: no message of it outlives the call. Nor
-         * does the halt that follows, where a message leaves the call twice as long at the least.
+         * The time limit for the response to a request written now. The call ends by the earliest deadline of its
+         * messages. Halting it after a timeout is over by then as well, unless that would leave the call less than
+         * twice the time of a halt.
          */
-        private double patience(double now) {
-            double least =
-                    items.stream().mapToDouble(i -> i.deadlineAt() - now).min().orElse(0);
+        private double responseTimeoutMs(double now) {
+            double least = items.stream()
+                    .mapToDouble(item -> item.deadlineAt() - now)
+                    .min()
+                    .orElse(0);
             double halt = limits.haltMs();
             double beforeHalt = Math.max(least - halt, Math.min(least, 2 * halt));
             return Math.max(1, Math.min(timeoutMs, beforeHalt));
         }
 
-        private double latest(double now, double patience) {
-            return now + patience + limits.haltMs() + limits.answerMs() + 2 * limits.sweepMs();
+        private double forcedEndAt(double now, double limitMs) {
+            return now + limitMs + limits.haltMs() + limits.answerMs() + 2 * limits.sweepMs();
         }
 
-        /** Ends it when its time is up, with all its messages. */
-        private void limit(double now, double patience) {
+        /** Replaces all timers by one that ends the call with all its messages. */
+        private void startTimeout(double now, double limitMs) {
             timers.forEach(Loop.Timer::cancel);
             timers.clear();
-            latestAt = latest(now, patience);
-            timers.add(loop.after(patience, this::expire));
-        }
-
-        /** While nothing of it is written, a message whose own time is up leaves the others alone. */
-        private void limitUnwritten(double now) {
-            double longest =
-                    items.stream().mapToDouble(i -> i.deadlineAt() - now).max().orElse(0);
-            limit(now, Math.max(1, Math.min(timeoutMs, longest)));
-            for (Item i : items.size() > 1 ? items : List.<Item>of()) {
+            forcedEndAt = forcedEndAt(now, limitMs);
+            timers.add(loop.after(limitMs, this::onTimeout));
+        }
+
+        /** Until the call is written, each message also ends at its own deadline, without affecting the others. */
+        private void startUnwrittenTimeouts(double now) {
+            double longest = items.stream()
+                    .mapToDouble(item -> item.deadlineAt() - now)
+                    .max()
+                    .orElse(0);
+            startTimeout(now, Math.max(1, Math.min(timeoutMs, longest)));
+            for (Item item : items.size() > 1 ? items : List.<Item>of()) {
                 timers.add(loop.after(
-                        Math.max(1, i.deadlineAt() - now),
-                        () -> end(i, new Answers.End(Result.CONNECT_FAILED, false), 0, Load.NONE)));
+                        Math.max(1, item.deadlineAt() - now),
+                        () -> finish(item, new Responses.AttemptEnd(Result.CONNECT_FAILED, false), 0, Load.NONE)));
             }
         }
 
         void start() {
             calls.add(this);
-            if (to == null) {
-                loop.post(() -> ended(Result.CONNECT_FAILED));
+            if (address == null) {
+                loop.post(() -> finishWithoutResponse(Result.CONNECT_FAILED));
             } else {
                 connect();
             }
         }
 
-        /** Takes a connection that is kept, or opens one. */
+        /** Chooses an idle connection, or opens a new one. */
         private void connect() {
-            if (over) {
+            if (finished) {
                 return;
             }
             double now = loop.now();
-            ArrayDeque<Idle> kept = idle.getOrDefault(endpoint, new ArrayDeque<>());
-            Idle rests = null;
-            for (Iterator<Idle> all = kept.descendingIterator(); all.hasNext(); ) {
-                Idle last = all.next();
+            ArrayDeque<IdleConnection> kept = idle.getOrDefault(endpoint, new ArrayDeque<>());
+            IdleConnection resting = null;
+            for (Iterator<IdleConnection> all = kept.descendingIterator(); all.hasNext(); ) {
+                IdleConnection last = all.next();
                 if (now - last.since() >= limits.idleMs()) {
-                    all.remove(); // a sweep would have ended it: the endpoint may do so at any moment
+                    all.remove(); // due for the sweep: the endpoint may close it at any moment
                     last.link().leave();
                     continue;
                 }
                 if (now - last.since() < limits.restMs()) {
-                    rests = last; // what is still to come behind its last answer must not be taken for the next one
+                    resting = last; // stray bytes after its last response must not be taken for the next one
                     continue;
                 }
                 all.remove();
                 if (last.link().idle()) {
                     link = last.link();
-                    up.add(this);
+                    connected.add(this);
                     return;
                 }
             }
-            limitUnwritten(now);
-            if (rests == null) {
-                open();
+            startUnwrittenTimeouts(now);
+            if (resting == null) {
+                openConnection();
                 return;
             }
-            // The rest is shorter than a handshake, and an endpoint may have no place for a further connection.
-            kept.remove(rests);
-            link = rests.link();
-            timers.add(loop.after(rests.since() + limits.restMs() - now, () -> up.add(this)));
+            // Waiting is faster than a handshake, and the endpoint may have reached its connection limit.
+            kept.remove(resting);
+            link = resting.link();
+            timers.add(loop.after(resting.since() + limits.restMs() - now, () -> connected.add(this)));
         }
 
-        private void open() {
-            makeRoom();
-            fresh = true;
-            Link[] made = new Link[1];
-            link = dialer.open(to, limits.maxBody(), null, this, () -> loop.post(() -> forget(made[0])));
-            made[0] = link;
+        private void openConnection() {
+            evictIdle();
+            newConnection = true;
+            Link[] opened = new Link[1];
+            link = dialer.open(address, limits.maxBody(), null, this, () -> loop.post(() -> removeIdle(opened[0])));
+            opened[0] = link;
             timers.add(loop.after(limits.connectMs(), () -> {
                 if (link.connecting()) {
-                    expire();
+                    onTimeout();
                 }
             }));
         }
@@ -349,101 +363,104 @@
         @Override
         public void up() {
             loop.post(() -> {
-                if (!over) {
-                    up.add(this);
+                if (!finished) {
+                    connected.add(this);
                 }
             });
         }
 
-        private void trace(String what) {
+        private void trace(String event) {
             if (LOG.isLoggable(Level.FINE)) {
                 LOG.fine("call to " + endpoint + " with "
-                        + items.stream().map(Item::requestId).toList() + ": " + what);
+                        + items.stream().map(Item::requestId).toList() + ": " + event);
             }
         }
 
-        void ask(Decider decider) {
+        void recheck(SendPolicy policy) {
             double least = timeoutMs;
-            for (Item i : List.copyOf(items)) {
-                double ms = decider.mayGo(i.id(), i.attempt());
+            for (Item item : List.copyOf(items)) {
+                double ms = policy.mayGo(item.id(), item.attempt());
                 if (ms > 0) {
                     least = Math.min(least, ms);
                 } else {
-                    withhold(i);
+                    withhold(item);
                 }
             }
             timeoutMs = least;
-            if (!over && !to.equals(addresses.get(endpoint))) {
+            if (!finished && !address.equals(addresses.get(endpoint))) {
                 link.leave();
-                ended(Result.CONNECT_FAILED); // it has moved: another one may be there by now
+                finishWithoutResponse(Result.CONNECT_FAILED); // its old address may belong to another endpoint
             }
         }
 
-        /** Once noted, its number is taken: then it is an attempt that was not made. */
-        private void withhold(Item i) {
-            end(i, new Answers.End(noted ? Result.NOT_SENT : Result.WITHHELD, false), 0, Load.NONE);
+        /** Once recorded, the attempt number is used up, so the message ends as an attempt that was not sent. */
+        private void withhold(Item item) {
+            finish(item, new Responses.AttemptEnd(recorded ? Result.NOT_SENT : Result.WITHHELD, false), 0, Load.NONE);
         }
 
-        /** Writes it, but for messages that could not be noted. */
-        void write(LongPredicate isNoted) {
-            for (Item i : List.copyOf(items)) {
-                if (!isNoted.test(i.id())) {
-                    end(i, new Answers.End(Result.NOT_SENT, false), 0, Load.NONE);
-                    loop.post(() -> {}); // decisions come in the next round
+        /** Sends the call, except for messages whose attempts could not be recorded. */
+        void write(LongPredicate isRecorded) {
+            for (Item item : List.copyOf(items)) {
+                if (!isRecorded.test(item.id())) {
+                    finish(item, new Responses.AttemptEnd(Result.NOT_SENT, false), 0, Load.NONE);
+                    loop.post(() -> {}); // the control decides in the next round
                 }
             }
-            if (over) {
+            if (finished) {
                 return;
             }
-            noted = true;
-            if (unheard.stream().anyMatch(c -> told.shareWaits(c.endpoint, endpoint))) {
-                trace("left to the next round, a wait has been read");
-                up.add(this);
+            recorded = true;
+            if (unreportedWaits.stream().anyMatch(call -> listener.shareWaits(call.endpoint, endpoint))) {
+                trace("left to the next round because of a Retry-After");
+                connected.add(this);
                 return;
             }
             bundle = items.size() > 1;
-            ids = items.stream().map(Item::requestId).collect(Collectors.toSet());
+            requestIds = items.stream().map(Item::requestId).collect(Collectors.toSet());
             double now = loop.now();
-            double patience = patience(now);
-            written = link.send(request(patience, HostPort.of(to)), this);
-            trace((written ? "written, " : "not written, ") + Math.round(patience) + " ms of patience");
+            double responseTimeoutMs = responseTimeoutMs(now);
+            written = link.send(request(responseTimeoutMs, HostPort.of(address)), this);
+            trace((written ? "written, response timeout " : "not written, response timeout ")
+                    + Math.round(responseTimeoutMs) + " ms");
             if (written) {
-                limit(now, patience);
+                startTimeout(now, responseTimeoutMs);
                 return;
             }
             bundle = false;
-            items.forEach(i -> told.unwritten(i.id(), i.attempt()));
-            if (!fresh) {
-                loop.post(this::connect); // one that it opened itself tells its end
+            items.forEach(item -> listener.unwritten(item.id(), item.attempt()));
+            if (!newConnection) {
+                loop.post(this::connect); // a connection opened for this call reports its own end
             }
         }
 
-        private byte[] request(double patience, String host) {
-            String wait = String.valueOf((long) Math.ceil(patience));
+        private byte[] request(double responseTimeoutMs, String host) {
+            String timeout = String.valueOf((long) Math.ceil(responseTimeoutMs));
             if (!bundle) {
-                Item i = items.get(0);
-                HttpWriter w = HttpWriter.request("POST", "/receive", host).header("Request-Id", i.requestId());
-                if (i.key() != null) {
-                    w.header("Idempotency-Key", i.key());
+                Item item = items.get(0);
+                HttpWriter writer = HttpWriter.request("POST", "/receive", host).header("Request-Id", item.requestId());
+                if (item.key() != null) {
+                    writer.header("Idempotency-Key", item.key());
                 }
-                return ending(w.header("Request-Timeout-Ms", wait)).body(i.body());
+                return closeAfterIfRequested(writer.header("Request-Timeout-Ms", timeout))
+                        .body(item.body());
             }
-            return ending(HttpWriter.request("POST", "/receive-many", host).header("Request-Timeout-Ms", wait))
+            return closeAfterIfRequested(
+                            HttpWriter.request("POST", "/receive-many", host).header("Request-Timeout-Ms", timeout))
                     .body(Bundles.write(items.stream().map(Item::part).toList()));
         }
 
-        /** Has the endpoint close behind its answer: our own end would come a way there and back later. */
-        private HttpWriter ending(HttpWriter w) {
-            return items.stream().anyMatch(Item::last) ? w.header("Connection", "close") : w;
+        /** Lets the endpoint close the connection after its response: closing it here would be a round trip later. */
+        private HttpWriter closeAfterIfRequested(HttpWriter writer) {
+            return items.stream().anyMatch(Item::closeAfter) ? writer.header("Connection", "close") : writer;
         }
 
-        /** An answer that begins and does not end says no more than its first line, and keeps a slot. */
+        /** Limits the time of the response: one that never ends gives no more than its status line but holds a slot. */
         @Override
         public void begun() {
             loop.post(() -> {
-                if (!over) {
-                    answerTimer = loop.after(limits.answerMs(), () -> leave(Result.RESET));
-                    timers.add(answerTimer);
+                if (!finished) {
+                    responseTimer = loop.after(limits.answerMs(), () -> abandon(Result.RESET));
+                    timers.add(responseTimer);
                 }
             });
         }
@@ -451,43 +468,43 @@
         @Override
         public void interim() {
             loop.post(() -> {
-                if (answerTimer != null) {
-                    answerTimer.cancel();
+                if (responseTimer != null) {
+                    responseTimer.cancel();
                 }
             });
         }
 
         @Override
         public void first(int status) {
-            first = status;
+            statusLineCode = status;
         }
 
-        /** A wait binds from when it was read, whatever becomes of the rest of its answer or of the call. */
+        /** A Retry-After applies from when it was read, even if the rest of the response or the call fails. */
         @Override
         public void field(String name, String value) {
-            double ms = name.equals(Answers.WAIT) ? Answers.waitMs(value) : 0;
+            double ms = name.equals(Responses.RETRY_AFTER) ? Responses.retryAfterMs(value) : 0;
             if (ms > waitMs) {
-                waitAt = loop.now();
+                waitReadAt = loop.now();
                 waitMs = ms;
-                unheard.add(this);
-                loop.post(this::tellWait);
+                unreportedWaits.add(this);
+                loop.post(this::reportWait);
             }
         }
 
-        private void tellWait() {
-            unheard.remove(this); // before it is looked at: one that is read from now on is told by itself
+        private void reportWait() {
+            unreportedWaits.remove(this); // before reading waitMs: a later Retry-After posts its own report
             double ms = waitMs;
-            if (ms > toldMs) {
-                toldMs = ms;
-                trace("told to wait for " + ms + " ms, read " + Math.round(loop.now() - waitAt) + " ms ago");
-                Item of = items.isEmpty() ? lead : items.get(0);
-                told.waits(waitAt, endpoint, of.id(), of.attempt(), ms);
+            if (ms > reportedWaitMs) {
+                reportedWaitMs = ms;
+                trace("Retry-After of " + ms + " ms, read " + Math.round(loop.now() - waitReadAt) + " ms ago");
+                Item item = items.isEmpty() ? firstItem : items.get(0);
+                listener.waits(waitReadAt, endpoint, item.id(), item.attempt(), ms);
             }
         }
 
         @Override
-        public void head(Head h) {
-            head = h;
+        public void head(Head received) {
+            head = received;
         }
 
         @Override
@@ -500,154 +517,169 @@
         @Override
         public void done(boolean reusable, boolean alone) {
             double at = loop.now();
-            ending = true;
-            loop.post(() -> answered(at, reusable, alone));
+            exchangeEnded = true;
+            loop.post(() -> responseReceived(at, reusable, alone));
         }
 
         @Override
         public void broken(boolean maybeArrived) {
-            ending = true;
-            loop.post(() -> ended(expired ? Result.TIMEOUT : maybeArrived ? Result.RESET : Result.CONNECT_FAILED));
+            exchangeEnded = true;
+            loop.post(() -> finishWithoutResponse(
+                    timedOut ? Result.TIMEOUT : maybeArrived ? Result.RESET : Result.CONNECT_FAILED));
         }
 
-        /** Once noted, its number is taken: then it is an attempt that was not made. */
+        /** As for {@link #withhold}: once recorded, the attempt number is used up. */
         @Override
         public void unasked() {
-            ending = true;
-            loop.post(() -> ended(noted ? Result.NOT_SENT : Result.LOCAL_FAILURE));
+            exchangeEnded = true;
+            loop.post(() -> finishWithoutResponse(recorded ? Result.NOT_SENT : Result.LOCAL_FAILURE));
         }
 
-        private void answered(double at, boolean reusable, boolean alone) {
-            if (over) {
+        private void responseReceived(double at, boolean reusable, boolean alone) {
+            if (finished) {
                 return;
             }
-            if (expired) { // it answers a call that we had ended, which the endpoint may not count any more
-                ended(Result.TIMEOUT);
+            if (timedOut) { // the call was halted before; to the endpoint it may have been over
+                finishWithoutResponse(Result.TIMEOUT);
                 return;
             }
-            Answers.End all = Answers.of(head, bundle, fresh);
-            Map<String, String> ends = all == null ? Bundles.read(body.toByteArray(), ids) : Map.of();
+            Responses.AttemptEnd all = Responses.fromStatus(head, bundle, newConnection);
+            Map<String, String> ends = all == null ? Bundles.read(body.toByteArray(), requestIds) : Map.of();
             if (ends == null || all != null && !alone && all.result() != Result.OK) {
-                // Its length does not fit: that nothing ran is believed of an answer without a fault only.
+                // The length does not match. Only a well-formed response can prove that nothing has run.
                 link.leave();
-                ended(Result.RESET);
+                finishWithoutResponse(Result.RESET);
                 return;
             }
             if (reusable) {
-                keep(at);
+                keepConnection(at);
             }
-            double waitMs = Answers.waitMs(head);
-            Load load = Answers.load(head);
-            for (Item i : List.copyOf(items)) {
-                end(i, all != null ? all : Answers.of(ends.get(i.requestId())), waitMs, load);
+            double retryAfterMs = Responses.retryAfterMs(head);
+            Load load = Responses.load(head);
+            for (Item item : List.copyOf(items)) {
+                finish(item, all != null ? all : Responses.fromEntry(ends.get(item.requestId())), retryAfterMs, load);
             }
         }
 
         /**
-         * The call ended without a whole answer. A first line alone delivers a call with one message; anything else
-         * that it says proves nothing, but a wait that was told is kept. Behind our own end nothing delivers.
+         * Ends the call without a complete response. A status line with 200 is enough to deliver a call with one
+         * message, unless it came after the call was halted. Any other part of a response proves nothing, but its
+         * Retry-After applies.
          */
-        private void ended(Result result) {
-            if (over) {
+        private void finishWithoutResponse(Result result) {
+            if (finished) {
                 return;
             }
-            boolean delivered = expired ? settled : firstLineDelivers();
-            for (Item i : List.copyOf(items)) {
-                end(
-                        i,
-                        delivered ? new Answers.End(Result.OK, true) : new Answers.End(result, false),
+            boolean delivered = timedOut ? deliveredBeforeTimeout : statusLineDelivers();
+            for (Item item : List.copyOf(items)) {
+                finish(
+                        item,
+                        delivered ? new Responses.AttemptEnd(Result.OK, true) : new Responses.AttemptEnd(result, false),
                         waitMs,
-                        head == null ? Load.NONE : Answers.load(head));
+                        head == null ? Load.NONE : Responses.load(head));
             }
         }
 
-        private boolean firstLineDelivers() {
-            return first == DELIVERED && !bundle;
+        private boolean statusLineDelivers() {
+            return statusLineCode == STATUS_OK && !bundle;
         }
 
         /**
-         * The endpoint counts the call until it has seen its end. Were the time-out told before, a call sent in
-         * its place would often find all slots taken and cost its message an attempt.
+         * Halts the call and waits for the endpoint to notice, because until then it counts the call as running. If the
+         * timeout were reported earlier, a call sent in its place would often find all slots taken, and its message
+         * would lose an attempt.
          */
-        private void expire() {
-            if (over || expired || ending) {
+        private void onTimeout() {
+            if (finished || timedOut || exchangeEnded) {
                 return;
             }
-            boolean before = firstLineDelivers();
+            boolean delivered = statusLineDelivers();
             if (link != null && link.halt()) {
-                expired = true;
-                settled = before;
-                timers.add(loop.after(limits.haltMs(), () -> leave(Result.TIMEOUT)));
+                timedOut = true;
+                deliveredBeforeTimeout = delivered;
+                timers.add(loop.after(limits.haltMs(), () -> abandon(Result.TIMEOUT)));
             } else {
-                leave(Result.TIMEOUT);
+                abandon(Result.TIMEOUT);
             }
         }
 
         /**
-         * Waits no longer. A connection that has told the end of the call by now, behind the events of this round, is
-         * not asked: it has nothing out any more, which is no sign that the request never arrived.
+         * Closes the connection and ends the call, unless the connection has reported the end of the call already and
+         * the loop has yet to process it. In that case {@link Link#leave} would find no request in progress, which does
+         * not mean that the request never arrived.
          */
-        private void leave(Result sent) {
-            boolean arrived = !ending && link != null && link.leave();
-            if (!ending) {
-                ended(arrived ? sent : Result.CONNECT_FAILED);
+        private void abandon(Result resultIfSent) {
+            boolean arrived = !exchangeEnded && link != null && link.leave();
+            if (!exchangeEnded) {
+                finishWithoutResponse(arrived ? resultIfSent : Result.CONNECT_FAILED);
             }
         }
 
-        /** What became of it is not known; it never ran only where nothing of it was written. */
-        private void outlived() {
-            boolean never = !written;
+        /** Ends a call whose state is unknown; only a call that was not written is known not to have run. */
+        private void forceEnd() {
+            boolean neverRan = !written;
             if (link != null) {
                 link.leave();
             }
-            ended(never ? Result.CONNECT_FAILED : Result.RESET);
+            finishWithoutResponse(neverRan ? Result.CONNECT_FAILED : Result.RESET);
         }
 
         void cancel(long id, int attempt) {
-            for (Item i : List.copyOf(items)) {
-                if (i.id() == id && i.attempt() == attempt) {
-                    end(i, new Answers.End(written ? Result.CANCELLED : Result.NOT_SENT, false), 0, Load.NONE);
+            for (Item item : List.copyOf(items)) {
+                if (item.id() == id && item.attempt() == attempt) {
+                    finish(
+                            item,
+                            new Responses.AttemptEnd(written ? Result.CANCELLED : Result.NOT_SENT, false),
+                            0,
+                            Load.NONE);
                 }
             }
         }
 
-        /** What comes before a request is written answers none: it delivers nothing, and nothing has run. */
-        private void end(Item i, Answers.End how, double wait, Load load) {
-            if (!items.remove(i)) {
+        /** Ends one message. Whatever arrives before the request is written delivers nothing, and nothing has run. */
+        private void finish(Item item, Responses.AttemptEnd end, double retryAfterMs, Load load) {
+            if (!items.remove(item)) {
                 return;
             }
-            tellWait(); // before its outcome
-            Result result = written || !how.result().maybeRan() ? how.result() : Result.CONNECT_FAILED;
+            reportWait(); // must precede the outcome
+            Result result = written || !end.result().maybeRan() ? end.result() : Result.CONNECT_FAILED;
             if (items.isEmpty()) {
-                over = true;
+                finished = true;
                 calls.remove(this);
-                up.remove(this);
+                connected.remove(this);
                 timers.forEach(Loop.Timer::cancel);
-                boolean given = result == Result.TIMEOUT || result == Result.CANCELLED;
+                boolean abandoned = result == Result.TIMEOUT || result == Result.CANCELLED;
                 boolean unsent = !written && (result == Result.NOT_SENT || result == Result.WITHHELD);
                 if (unsent && link != null && link.keep()) {
-                    keep(loop.now() - limits.restMs()); // whole, and nothing is to come on it
-                } else if ((given || !written) && link != null) {
+                    keepConnection(loop.now() - limits.restMs()); // unused, so it need not rest
+                } else if ((abandoned || !written) && link != null) {
                     link.leave();
                 }
             }
-            told.ended(new Outcome(
-                    i.id(), i.attempt(), endpoint, result, loop.now() - startedAt, written && how.over(), wait, load));
-        }
-
-        /** Keeps its connection for a further call, if the endpoint is still there. */
-        private void keep(double since) {
-            if (to.equals(addresses.get(endpoint))) {
-                idle.computeIfAbsent(endpoint, k -> new ArrayDeque<>()).addLast(new Idle(link, since));
+            listener.ended(new Outcome(
+                    item.id(),
+                    item.attempt(),
+                    endpoint,
+                    result,
+                    loop.now() - startedAt,
+                    written && end.messageDone(),
+                    retryAfterMs,
+                    load));
+        }
+
+        /** Keeps the connection for a later call, if the endpoint still has the same address. */
+        private void keepConnection(double idleSince) {
+            if (address.equals(addresses.get(endpoint))) {
+                idle.computeIfAbsent(endpoint, key -> new ArrayDeque<>()).addLast(new IdleConnection(link, idleSince));
             } else {
                 link.leave();
             }
         }
 
-        private void forget(Link closed) {
-            ArrayDeque<Idle> kept = idle.get(endpoint);
+        private void removeIdle(Link closed) {
+            ArrayDeque<IdleConnection> kept = idle.get(endpoint);
             if (kept != null) {
-                kept.removeIf(i -> i.link() == closed);
+                kept.removeIf(connection -> connection.link() == closed);
             }
         }
     }
--- a/src/main/java/firstair/relay/endpoints/Item.java
+++ b/src/main/java/firstair/relay/endpoints/Item.java
@@ -6,9 +6,9 @@
  * One message in a call.
  *
  * @param attempt    number of this attempt among those of the message
- * @param timeoutMs  how long the answer is waited for
- * @param deadlineAt end of the message's time, on the loop's clock
- * @param last       whether the connection is not to be kept after the call
+ * @param timeoutMs  time limit for the response
+ * @param deadlineAt deadline of the message, on the loop's clock
+ * @param closeAfter whether to close the connection after the call rather than keep it
  */
 public record Item(
         long id,
@@ -18,9 +18,9 @@
         byte[] body,
         double timeoutMs,
         double deadlineAt,
-        boolean last) {
+        boolean closeAfter) {
 
-    /** Its bytes in a call with several messages. */
+    /** Size in bytes within a call that carries several messages. */
     public int bundled() {
         return part().bytes();
     }
--- a/src/main/java/firstair/relay/endpoints/package-info.java
+++ b/src/main/java/firstair/relay/endpoints/package-info.java
@@ -1,2 +1,2 @@
-/** Partners' endpoints: calls to them and the connections that carry the calls. */
+/** Calls to partners' endpoints, and the connections that carry them. */
 package firstair.relay.endpoints;
--- a/src/test/java/firstair/relay/endpoints/CallCrossingsTest.java
+++ b/src/test/java/firstair/relay/endpoints/CallRaceTest.java
@@ -37,17 +37,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two events of a call that cross, on real sockets. The loop's thread and the selector's are held up at the step in
- * question, so that the order is forced: each call ends exactly once, and never as one that surely did not run when it
- * may have.
+ * Races between two events of a call, on real sockets. The loop's thread and the selector's are blocked at chosen
+ * points to force the order of the events: each call must end exactly once, and never with a result that excludes that
+ * it ran when it may have.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class CallCrossingsTest {
+class CallRaceTest {
     private static final double LONG_MS = 20_000;
     private static final double TIMEOUT_MS = 1000;
     private static final double HALT_MS = 1000;
     private static final double IDLE_MS = 10_000;
-    private static final int LARGE = 16 << 20; // more than the system holds of a connection
+    private static final int LARGE = 16 << 20; // more than the system buffers for a connection
 
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final List<AutoCloseable> open = new ArrayList<>();
@@ -65,7 +65,7 @@
                                 Map.of("endpoints.answer", "1s"),
                                 Map.of("endpoints.answer", "test"),
                                 TunableSettings.schema())
-                        .values()); // a test may get little of a core
+                        .values()); // the test may get little CPU
         wire = new Wire(limits);
         selector = new SelectorGate(wire);
         loop = LoopThread.start(() -> {
@@ -93,7 +93,7 @@
         }
     }
 
-    // ---- the two sides ----
+    // ---- both ends of a connection ----
 
     private static Item item(long id, double timeoutMs, int bytes) {
         return new Item(id, 0, "r" + id, "k" + id, new byte[bytes], timeoutMs, 1e9, false);
@@ -104,23 +104,23 @@
     }
 
     private Outcome next() throws InterruptedException {
-        Outcome o = outcomes.poll(10, TimeUnit.SECONDS);
-        assertThat(o).as("an outcome").isNotNull();
-        return o;
+        Outcome outcome = outcomes.poll(10, TimeUnit.SECONDS);
+        assertThat(outcome).as("an outcome").isNotNull();
+        return outcome;
     }
 
-    /** A connection that has come; nothing of it is read. */
-    private Socket accepted() throws IOException {
-        Socket s = server.accept();
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(10_000);
-        open.add(s);
-        return s;
+    /** Accepts a connection without reading from it. */
+    private Socket accept() throws IOException {
+        Socket socket = server.accept();
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(10_000);
+        open.add(socket);
+        return socket;
     }
 
-    /** Reads one request with all its bytes, and returns its head. */
-    private static String request(Socket s) throws IOException {
-        InputStream in = s.getInputStream();
+    /** Reads one complete request and returns its head. */
+    private static String request(Socket socket) throws IOException {
+        InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -131,38 +131,38 @@
         return head.toString();
     }
 
-    private static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.replace("\\n", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.replace("\\n", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static void reset(Socket s) throws IOException {
-        s.setSoLinger(true, 0);
-        s.close();
+    private static void reset(Socket socket) throws IOException {
+        socket.setSoLinger(true, 0);
+        socket.close();
     }
 
-    private static void act(Socket s, String what) throws IOException {
-        switch (what) {
-            case "reset" -> reset(s);
-            case "end" -> s.shutdownOutput();
-            default -> write(s, what);
+    private static void apply(Socket socket, String action) throws IOException {
+        switch (action) {
+            case "reset" -> reset(socket);
+            case "end" -> socket.shutdownOutput();
+            default -> write(socket, action);
         }
     }
 
-    /** The end of a connection as its endpoint sees it: in order, or by a reset where bytes were unread. */
-    private static boolean ended(Socket s) {
+    /** Whether the endpoint sees the connection end: closed, or reset because bytes were unread. */
+    private static boolean isClosed(Socket socket) {
         try {
-            return s.getInputStream().read() < 0;
+            return socket.getInputStream().read() < 0;
         } catch (IOException e) {
             return !(e instanceof java.net.SocketTimeoutException);
         }
     }
 
-    /** Holds up the loop's thread, between two events of one round. */
-    private final class Held {
+    /** Blocks the loop's thread between two events of one round. */
+    private final class LoopHold {
         private final CountDownLatch reached = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
 
-        Held() {
+        LoopHold() {
             loop.post(() -> {
                 reached.countDown();
                 try {
@@ -174,8 +174,8 @@
         }
     }
 
-    /** Returns once the loop has run what was posted to it, and the round has ended. */
-    private void settled() throws InterruptedException {
+    /** Waits until the loop has run everything posted to it, and the round has ended. */
+    private void awaitLoop() throws InterruptedException {
         for (int i = 0; i < 2; i++) {
             CountDownLatch done = new CountDownLatch(1);
             loop.post(done::countDown);
@@ -183,32 +183,32 @@
         }
     }
 
-    /** Does something in a round whose timers are due, before they run: what it brings is told behind them. */
-    private void inTheRoundThatIsDue(double dueAt, Step step) throws Exception {
-        Held first = new Held();
+    /** Runs an action in a round with a due timer, before the timer runs: its events are processed after the timer. */
+    private void inRoundWithDueTimer(double dueAt, Action action) throws Exception {
+        LoopHold first = new LoopHold();
         first.reached.await();
-        Held second = new Held();
+        LoopHold second = new LoopHold();
         Await.until("a timer is due", () -> loop.now() > dueAt);
         first.released.countDown();
         second.reached.await();
-        step.run();
+        action.run();
         selector.pass();
         second.released.countDown();
     }
 
-    private interface Step {
+    private interface Action {
         void run() throws IOException;
     }
 
-    private void once() throws Exception {
+    private void assertEndedOnce() throws Exception {
         selector.pass();
-        settled();
-        assertThat(outcomes).as("a second end").isEmpty();
+        awaitLoop();
+        assertThat(outcomes).as("a second outcome").isEmpty();
     }
 
-    // ---- an answer or an end, and the time-out ----
+    // ---- a response or an end of the connection, and the timeout ----
 
-    /** The bytes had all been written: taken for a call that never ran, an unsafe message would be sent again. */
+    /** The whole request had been written: if the call counted as never run, an unsafe message would be sent again. */
     @ParameterizedTest
     @CsvSource({
         "reset, RESET",
@@ -218,30 +218,30 @@
         "HTTP/1.1 500 x\\nConnection: close\\nContent-Length: 0\\n\\n, ERROR",
         "noise, RESET"
     })
-    void whatCameBeforeTheTimeOutWasLookedAtIsTheEnd(String what, Result result) throws Exception {
+    void anEventBeforeTheTimeoutIsProcessedDecidesTheOutcome(String action, Result result) throws Exception {
         call(item(1, TIMEOUT_MS, 1));
-        Socket s = accepted();
-        request(s);
-        inTheRoundThatIsDue(loop.now() + TIMEOUT_MS + 1, () -> act(s, what));
+        Socket socket = accept();
+        request(socket);
+        inRoundWithDueTimer(loop.now() + TIMEOUT_MS + 1, () -> apply(socket, action));
         assertThat(next().result()).isEqualTo(result);
-        once();
+        assertEndedOnce();
     }
 
-    /** Both were delivered: told that their call never ran, they would be sent on after their end. */
+    /** Both were delivered: if their call counted as never run, they would be sent again after their outcome. */
     @Test
-    void severalThatWereDeliveredBeforeTheTimeOutWasLookedAtAreOver() throws Exception {
+    void aBundleDeliveredBeforeTheTimeoutIsProcessedIsDone() throws Exception {
         call(item(1, TIMEOUT_MS, 1), item(2, TIMEOUT_MS, 1));
-        Socket s = accepted();
-        request(s);
-        inTheRoundThatIsDue(
+        Socket socket = accept();
+        request(socket);
+        inRoundWithDueTimer(
                 loop.now() + TIMEOUT_MS + 1,
-                () -> write(s, "HTTP/1.1 200 x\\nContent-Length: 14\\n\\nr1 ok\\nr2 ok\\n"));
+                () -> write(socket, "HTTP/1.1 200 x\\nContent-Length: 14\\n\\nr1 ok\\nr2 ok\\n"));
         assertThat(next().over()).isTrue();
         assertThat(next().over()).isTrue();
-        once();
+        assertEndedOnce();
     }
 
-    /** Where the call has been given up and its end is waited for, all that comes says that it may have run. */
+    /** Once a call has been halted and waits for its end, whatever arrives means that it may have run. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -251,161 +251,163 @@
                 "HTTP/1.1 503 x\\nContent-Length: 0\\n\\n",
                 "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n"
             })
-    void whatCameBehindTheEndOfACallIsATimeOut(String what) throws Exception {
+    void anEventAfterACallWasHaltedIsATimeout(String action) throws Exception {
         call(item(1, 500, 1));
-        Socket s = accepted();
-        request(s);
-        assertThat(s.getInputStream().read()).as("given up").isEqualTo(-1);
-        settled();
-        inTheRoundThatIsDue(loop.now() + HALT_MS + 1, () -> act(s, what));
+        Socket socket = accept();
+        request(socket);
+        assertThat(socket.getInputStream().read()).as("call halted").isEqualTo(-1);
+        awaitLoop();
+        inRoundWithDueTimer(loop.now() + HALT_MS + 1, () -> apply(socket, action));
         assertThat(next().result()).isEqualTo(Result.TIMEOUT);
-        once();
+        assertEndedOnce();
     }
 
     /**
-     * Row R2. A call that is waited for until its message's time is ended before that, so that what an endpoint may
-     * take to see the end is over by then: the message's notice has 0.3 s from its time on.
+     * Row R2. A call limited by its message's deadline is halted early enough for the endpoint to notice before the
+     * deadline, because the message's notice must follow within 0.3 s of it.
      *
-     * <p>What happened: the end of the call began with the message's time, and the decisions heard of it only behind
-     * that. What showed it, in a soak beside busy processes (seed 219, a notice 355 ms behind its message's time): a
-     * call that ran to the message's time, and its time-out 50 ms and a late timer behind that.
+     * <p>The halt used to begin only at the deadline, and the control got the timeout after it. In a soak run next to
+     * busy processes (seed 219) a call ran to the deadline of its message, its timeout came 50 ms and a late timer
+     * after that, and the notice was 355 ms late.
      */
     @Test
-    void aCallIsOverWithItsMessagesTimeThoughItsEndpointDoesNotSeeTheEnd() throws Exception {
+    void aCallEndsByItsMessagesDeadlineEvenIfTheEndpointDoesNotNoticeTheHalt() throws Exception {
         double timeMs = 3 * HALT_MS;
         double deadlineAt = loop.now() + timeMs;
         call(new Item(1, 0, "r1", "k1", new byte[1], LONG_MS, deadlineAt, false));
-        Socket s = accepted();
-        request(s);
+        Socket socket = accept();
+        request(socket);
         assertThat(next().result()).isEqualTo(Result.TIMEOUT);
         assertThat(loop.now()).isLessThan(deadlineAt + 300);
-        assertThat(s.getInputStream().read()).as("given up").isEqualTo(-1);
-        once();
+        assertThat(socket.getInputStream().read()).as("call halted").isEqualTo(-1);
+        assertEndedOnce();
     }
 
-    /** One that has begun has a time of its own. */
+    /** A response that has begun has a timeout of its own. */
     @Test
-    void anAnswerThatWasWholeBeforeItsTimeWasLookedAtCounts() throws Exception {
+    void aResponseCompleteBeforeItsTimeoutIsProcessedCounts() throws Exception {
         call(item(1, LONG_MS, 1), item(2, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
-        write(s, "HTTP/1.1 200 x\\nContent-Length: 14\\n");
+        Socket socket = accept();
+        request(socket);
+        write(socket, "HTTP/1.1 200 x\\nContent-Length: 14\\n");
         selector.pass();
-        settled();
-        inTheRoundThatIsDue(loop.now() + limits.answerMs() + 1, () -> write(s, "\\nr1 ok\\nr2 ok\\n"));
+        awaitLoop();
+        inRoundWithDueTimer(loop.now() + limits.answerMs() + 1, () -> write(socket, "\\nr1 ok\\nr2 ok\\n"));
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(next().result()).isEqualTo(Result.OK);
-        once();
+        assertEndedOnce();
     }
 
     @Test
-    void anAnswerThatComesWithACancelDoesNotEndTheCallTwice() throws Exception {
+    void aResponseDuringACancelDoesNotEndTheCallTwice() throws Exception {
         call(item(1, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
-        Held held = new Held();
-        held.reached.await();
+        Socket socket = accept();
+        request(socket);
+        LoopHold hold = new LoopHold();
+        hold.reached.await();
         loop.post(() -> endpoints.cancel(1, 0));
-        write(s, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
+        write(socket, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
         selector.pass();
-        held.released.countDown();
+        hold.released.countDown();
         assertThat(next().result()).isEqualTo(Result.CANCELLED);
-        assertThat(ended(s)).as("nothing is kept of it").isTrue();
-        once();
+        assertThat(isClosed(socket)).as("connection closed").isTrue();
+        assertEndedOnce();
     }
 
-    // ---- a kept connection and the next call ----
+    // ---- an idle connection and the next call ----
 
-    /** A connection that has carried one call and rests no longer. */
-    private Socket kept() throws Exception {
+    /** Opens a connection, makes one call on it, and waits until it may be reused. */
+    private Socket idleConnection() throws Exception {
         call(item(1, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
-        write(s, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
+        Socket socket = accept();
+        request(socket);
+        write(socket, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
         assertThat(next().result()).isEqualTo(Result.OK);
         double answered = loop.now();
-        Await.until("its rest over", () -> loop.now() - answered > 2 * limits.restMs());
-        return s;
+        Await.until("the rest time is over", () -> loop.now() - answered > 2 * limits.restMs());
+        return socket;
     }
 
     /**
-     * What came before the next call was written, and nobody has read. On a connection that has ended that call would
-     * be lost; an answer that nobody asked for would be taken for the call's own, and a refusal have it sent twice.
+     * Input that arrived on an idle connection before the next call was written, and has not been read. If the
+     * connection has ended, that call would be lost; an unsolicited response would be taken for the call's own, and a
+     * rejection would cause the call to be sent twice.
      *
-     * <p>A connection's end and its bytes are known once the selector's thread has read them, and a link that is asked
-     * whether it is idle knows no more. Here that thread is held until the call has been written.
+     * <p>The end of a connection and its bytes are known once the selector's thread has read them, and
+     * {@link firstair.relay.net.Link#idle} knows no more than that. Here that thread is blocked until the call has been
+     * written.
      */
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "HTTP/1.1 503 x\\nContent-Length: 0\\n\\n", "HTTP/1.1 5"})
-    void whatHasComeOnAKeptConnectionIsSeenBeforeTheNextCallGoes(String what) throws Exception {
-        Socket first = kept();
-        Kernel.End ours = Kernel.otherEnd(first);
+    void inputOnAnIdleConnectionIsNoticedBeforeTheNextCallIsWritten(String action) throws Exception {
+        Socket first = idleConnection();
+        Kernel.End ourEnd = Kernel.otherEnd(first);
         selector.hold();
-        act(first, what);
-        Await.until("it is with the system", ours::waits);
+        apply(first, action);
+        Await.until("it has reached the system", ourEnd::waits);
         call(item(2, LONG_MS, 1));
-        settled();
+        awaitLoop();
         selector.release();
-        Socket second = accepted();
+        Socket second = accept();
         assertThat(request(second)).contains("Request-Id: r2");
         write(second, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
-        Outcome o = next();
-        assertThat(o.id()).isEqualTo(2);
-        assertThat(o.result()).isEqualTo(Result.OK);
-        once();
+        Outcome outcome = next();
+        assertThat(outcome.id()).isEqualTo(2);
+        assertThat(outcome.result()).isEqualTo(Result.OK);
+        assertEndedOnce();
     }
 
-    /** What ends behind the last look at it may have run: the bytes were written to a connection that had gone. */
+    /** The connection ended after the last check: the request was written to it, so it may have run. */
     @Test
-    void aKeptConnectionThatEndsUnderTheNextCallMayHaveRun() throws Exception {
-        Socket s = kept();
+    void aCallOnAnIdleConnectionThatEndsMeanwhileMayHaveRun() throws Exception {
+        Socket socket = idleConnection();
         call(item(2, LONG_MS, 1));
-        Await.until("the next call", () -> available(s) > 0);
-        reset(s);
+        Await.until("the next call", () -> available(socket) > 0);
+        reset(socket);
         assertThat(next().result()).isEqualTo(Result.RESET);
-        once();
+        assertEndedOnce();
     }
 
-    private static int available(Socket s) {
+    private static int available(Socket socket) {
         try {
-            return s.getInputStream().available();
+            return socket.getInputStream().available();
         } catch (IOException e) {
             return 0;
         }
     }
 
-    /** Half a line in the moment in which we close an idle connection: no call is on it, and none hears of it. */
+    /** Part of a line arrives while an idle connection is being closed: no call is affected. */
     @Test
-    void bytesThatCrossTheCloseOfAnIdleConnectionAreNobodys() throws Exception {
-        Socket s = kept();
+    void inputDuringTheCloseOfAnIdleConnectionIsIgnored() throws Exception {
+        Socket socket = idleConnection();
         selector.hold();
         loop.post(() -> endpoints.closeIdle("e"));
-        write(s, "HTTP/1.1 20");
-        settled();
+        write(socket, "HTTP/1.1 20");
+        awaitLoop();
         selector.release();
-        assertThat(ended(s)).isTrue();
-        once();
+        assertThat(isClosed(socket)).isTrue();
+        assertEndedOnce();
         call(item(2, LONG_MS, 1));
-        Socket next = accepted();
+        Socket next = accept();
         request(next);
         write(next, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
         assertThat(next().result()).isEqualTo(Result.OK);
     }
 
     @Test
-    void noiseOnAnIdleConnectionClosesIt() throws Exception {
-        Socket s = kept();
-        write(s, "HTTP/1.1 503 x\\nContent-Length: 0\\n\\n");
-        assertThat(ended(s)).isTrue();
-        once();
+    void inputOnAnIdleConnectionClosesIt() throws Exception {
+        Socket socket = idleConnection();
+        write(socket, "HTTP/1.1 503 x\\nContent-Length: 0\\n\\n");
+        assertThat(isClosed(socket)).isTrue();
+        assertEndedOnce();
     }
 
-    // ---- interim answers ----
+    // ---- interim responses ----
 
     /**
-     * An endpoint may send answers of 1xx before its own, and take its time behind them. An answer that has begun must
-     * be whole within {@code answerMs}; a 1xx used to count as that begin, and the call was given up as one that may
-     * have run, though its delivery was on the way.
+     * An endpoint may send 1xx responses first and the final response much later. A response that has begun must be
+     * complete within {@code answerMs}; a 1xx used to count as its beginning, so that the call was ended as one that
+     * may have run although its delivery was on the way.
      */
     @ParameterizedTest
     @ValueSource(
@@ -414,24 +416,24 @@
                 "HTTP/1.1 103 Early Hints\\nLink: x\\n\\n|",
                 "HTTP/1.1 10|2 Processing\\n\\n"
             })
-    void anInterimAnswerIsNoBeginOfOne(String pieces) throws Exception {
+    void anInterimResponseDoesNotStartTheResponseTimeout(String pieces) throws Exception {
         call(item(1, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
+        Socket socket = accept();
+        request(socket);
         for (String piece : pieces.split("\\|", -1)) {
-            write(s, piece);
+            write(socket, piece);
             TimeUnit.MILLISECONDS.sleep(20);
         }
         double interimAt = loop.now();
-        Await.until("longer than an answer takes", () -> loop.now() - interimAt > 2 * limits.answerMs());
-        write(s, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
+        Await.until("longer than the response timeout", () -> loop.now() - interimAt > 2 * limits.answerMs());
+        write(socket, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
         assertThat(next().result()).isEqualTo(Result.OK);
-        once();
+        assertEndedOnce();
     }
 
-    // ---- connections that break off ----
+    // ---- connections that end early ----
 
-    /** At each step on the endpoint's side; what was not written whole cannot have run. */
+    /** The endpoint ends the connection at each step of its response, after it has read the whole request. */
     @ParameterizedTest
     @CsvSource({
         "HTTP/1.1 200, end, RESET",
@@ -454,16 +456,16 @@
         "'', end, RESET",
         "'', reset, RESET"
     })
-    void anAnswerThatBreaksOffEndsTheCallByWhatHasCome(String text, String how, Result result) throws Exception {
+    void anIncompleteResponseEndsTheCallByWhatHasBeenRead(String text, String action, Result result) throws Exception {
         call(item(1, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
-        selector.hold(); // the bytes and the end are found together
-        write(s, text);
-        act(s, how);
+        Socket socket = accept();
+        request(socket);
+        selector.hold(); // so that the bytes and the end are read together
+        write(socket, text);
+        apply(socket, action);
         selector.release();
         assertThat(next().result()).isEqualTo(result);
-        once();
+        assertEndedOnce();
     }
 
     @ParameterizedTest
@@ -472,21 +474,21 @@
         "HTTP/1.1 200 x\\nTransfer-Encoding: chunked\\n\\n1\\nx\\n0\\n\\n, OK, 0",
         "HTTP/1.1 102 x\\n\\nHTTP/1.1 500 x\\nContent-Length: 0\\n\\n, ERROR, 0"
     })
-    void oneByteAtATime(String text, Result result, double waitMs) throws Exception {
+    void aResponseIsReadOneByteAtATime(String text, Result result, double waitMs) throws Exception {
         call(item(1, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
+        Socket socket = accept();
+        request(socket);
         for (byte b : text.replace("\\n", "\r\n").getBytes(StandardCharsets.US_ASCII)) {
-            s.getOutputStream().write(b);
-            selector.pass(); // a read of its own
+            socket.getOutputStream().write(b);
+            selector.pass(); // so that each byte is read by itself
         }
-        Outcome o = next();
-        assertThat(o.result()).isEqualTo(result);
-        assertThat(o.waitMs()).isEqualTo(waitMs);
-        once();
+        Outcome outcome = next();
+        assertThat(outcome.result()).isEqualTo(result);
+        assertThat(outcome.waitMs()).isEqualTo(waitMs);
+        assertEndedOnce();
     }
 
-    /** An answer without an end: what it may hold is bounded, and so is its time. */
+    /** A response that never ends is limited in size and time. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -496,62 +498,62 @@
                 "HTTP/1.1 503 x\\nX: ",
                 "HTTP/1.1 503 "
             })
-    void anAnswerWithoutAnEndMayHaveRun(String text) throws Exception {
+    void aCallWithAnEndlessResponseMayHaveRun(String text) throws Exception {
         call(item(1, LONG_MS, 1));
-        Socket s = accepted();
-        request(s);
-        write(s, text);
+        Socket socket = accept();
+        request(socket);
+        write(socket, text);
         byte[] more = new byte[1024];
         java.util.Arrays.fill(more, (byte) 'x');
         Thread endless = new Thread(() -> {
             try {
                 while (true) {
-                    s.getOutputStream().write(more);
+                    socket.getOutputStream().write(more);
                 }
             } catch (IOException e) {
-                // it has been given up
+                // the relay has closed the connection
             }
         });
         endless.start();
         assertThat(next().result()).isEqualTo(Result.RESET);
         endless.join(10_000);
-        assertThat(endless.isAlive()).as("its connection is still open").isFalse();
-        once();
+        assertThat(endless.isAlive()).as("connection still open").isFalse();
+        assertEndedOnce();
     }
 
-    // ---- the request's last byte ----
+    // ---- the last byte of the request ----
 
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset"})
-    void whatBreaksBeforeTheLastByteIsWrittenNeverRan(String how) throws Exception {
+    void aConnectionThatEndsBeforeTheLastByteIsWrittenNeverRan(String action) throws Exception {
         call(item(1, LONG_MS, LARGE));
-        Socket s = accepted();
-        assertThat(s.getInputStream().read()).isEqualTo('P');
-        act(s, how);
+        Socket socket = accept();
+        assertThat(socket.getInputStream().read()).isEqualTo('P');
+        apply(socket, action);
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
-        once();
+        assertEndedOnce();
     }
 
-    /** All of it is with the system, and the endpoint has read one byte: it may get the rest. */
+    /** The system has the whole request and the endpoint has read one byte: it may get the rest. */
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset"})
-    void whatBreaksBehindTheLastByteMayHaveRun(String how) throws Exception {
+    void aConnectionThatEndsAfterTheLastByteIsWrittenMayHaveRun(String action) throws Exception {
         call(item(1, LONG_MS, 1000));
-        Socket s = accepted();
-        assertThat(s.getInputStream().read()).isEqualTo('P');
-        act(s, how);
+        Socket socket = accept();
+        assertThat(socket.getInputStream().read()).isEqualTo('P');
+        apply(socket, action);
         assertThat(next().result()).isEqualTo(Result.RESET);
-        once();
+        assertEndedOnce();
     }
 
-    /** It came up, and was reset before its first byte or just behind its last. */
+    /** The connection came up and was reset before the first byte of the request or just after its last. */
     @Test
-    void aConnectionThatIsResetAtOnceEndsTheCallOnce() throws Exception {
+    void aConnectionResetAtOnceEndsTheCallOnce() throws Exception {
         selector.hold();
         call(item(1, LONG_MS, 1));
-        reset(accepted());
+        reset(accept());
         selector.release();
         assertThat(next().result()).isIn(Result.CONNECT_FAILED, Result.RESET);
-        once();
+        assertEndedOnce();
     }
 }
--- a/src/test/java/firstair/relay/endpoints/LateCallsTest.java
+++ b/src/test/java/firstair/relay/endpoints/DelayedConnectionTest.java
@@ -30,22 +30,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What may have changed while a call got its connection, and waits in answers that are never whole. */
+/** Calls whose connection opens late, and Retry-After headers in responses that may never be complete. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class LateCallsTest {
+class DelayedConnectionTest {
     private static final double LONG_MS = 20_000;
     private static final double CONNECT_MS = 2_000;
 
-    private record Wait(double at, double ms, double heardAt, int outcomesBefore) {}
+    private record Wait(double at, double ms, double reportedAt, int outcomesBefore) {}
 
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final BlockingQueue<Wait> waits = new LinkedBlockingQueue<>();
     private final BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
     private final BlockingQueue<Long> unwritten = new LinkedBlockingQueue<>();
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final Set<Long> barred = ConcurrentHashMap.newKeySet();
-    private final Set<Long> unnoted = ConcurrentHashMap.newKeySet();
-    private final Set<Long> noted = ConcurrentHashMap.newKeySet();
+    private final Set<Long> withheld = ConcurrentHashMap.newKeySet();
+    private final Set<Long> unrecorded = ConcurrentHashMap.newKeySet();
+    private final Set<Long> recorded = ConcurrentHashMap.newKeySet();
     private Loop loop;
     private Wire wire;
     private GateDialer gate;
@@ -58,15 +58,15 @@
         gate = new GateDialer(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
-                endpoints.ask((id, attempt) -> barred.contains(id) ? 0 : LONG_MS);
-                endpoints.ready((e, i) -> noted.add(i.id()));
-                endpoints.write(id -> !unnoted.contains(id), () -> false);
+                endpoints.ask((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
+                endpoints.ready((e, i) -> recorded.add(i.id()));
+                endpoints.write(id -> !unrecorded.contains(id), () -> false);
             }
         });
         endpoints = new Endpoints(gate, limits, loop, new Endpoints.Told() {
             @Override
-            public void ended(Outcome o) {
-                outcomes.add(o);
+            public void ended(Outcome outcome) {
+                outcomes.add(outcome);
             }
 
             @Override
@@ -91,13 +91,13 @@
     }
 
     private StandIn endpoint(StandIn.Handler handler) throws IOException {
-        StandIn s = new StandIn(r -> {
+        StandIn standIn = new StandIn(r -> {
             calls.add(r);
             handler.handle(r);
         });
-        open.add(s);
-        loop.post(() -> endpoints.learn(Map.of("e", s.address())));
-        return s;
+        open.add(standIn);
+        loop.post(() -> endpoints.learn(Map.of("e", standIn.address())));
+        return standIn;
     }
 
     private static Item item(long id, double timeoutMs, double deadlineAt) {
@@ -118,17 +118,17 @@
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T t = queue.poll(10, TimeUnit.SECONDS);
-        assertThat(t).isNotNull();
-        return t;
+        T element = queue.poll(10, TimeUnit.SECONDS);
+        assertThat(element).isNotNull();
+        return element;
     }
 
     private Outcome next() throws InterruptedException {
         return next(outcomes);
     }
 
-    /** Waits until all that was posted to the loop has been done. */
-    private void settle() throws InterruptedException {
+    /** Waits until the loop has run everything posted to it. */
+    private void awaitLoop() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             BlockingQueue<Boolean> done = new LinkedBlockingQueue<>();
             loop.post(() -> done.add(true));
@@ -136,32 +136,32 @@
         }
     }
 
-    // ---- connections that come up late ----
+    // ---- connections that open late ----
 
     @Test
-    void aCallThatMayNotGoAnyMoreIsNotWrittenAndLeavesItsConnection() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
+    void aCallThatMustNotBeSentAnyMoreIsNotWrittenAndItsConnectionIsKept() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
         gate.shut();
         call(1);
         gate.awaitOne();
-        assertThat(noted).as("noted while it dials").isEmpty();
-        barred.add(1L);
+        assertThat(recorded).as("recorded while connecting").isEmpty();
+        withheld.add(1L);
         gate.pass();
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
         call(2);
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(calls.stream().map(r -> r.header("request-id"))).containsExactly("r2");
-        assertThat(s.accepted()).as("connections").isEqualTo(1);
-        assertThat(noted).containsExactly(2L);
+        assertThat(standIn.accepted()).as("connections").isEqualTo(1);
+        assertThat(recorded).containsExactly(2L);
     }
 
     @Test
-    void ofSeveralOnlyThoseThatMayGoAreWritten() throws Exception {
+    void onlyMessagesThatMayBeSentAreWritten() throws Exception {
         endpoint(r -> r.answer(200, "r1 ok\r\nr3 ok\r\n".getBytes(StandardCharsets.US_ASCII)));
         gate.shut();
         call(1, 2, 3);
         gate.awaitOne();
-        barred.add(2L);
+        withheld.add(2L);
         gate.pass();
         Outcome held = next();
         assertThat(held.id() + " " + held.result()).isEqualTo("2 WITHHELD");
@@ -173,12 +173,12 @@
     }
 
     @Test
-    void whereOneOfSeveralIsLeftItGoesAlone() throws Exception {
+    void aSingleRemainingMessageIsSentWithoutABundle() throws Exception {
         endpoint(r -> r.answer(200));
         gate.shut();
         call(1, 2);
         gate.awaitOne();
-        barred.add(1L);
+        withheld.add(1L);
         gate.pass();
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
         assertThat(next().result()).isEqualTo(Result.OK);
@@ -186,16 +186,18 @@
         assertThat(r.target() + " " + r.header("request-id")).isEqualTo("/receive r2");
     }
 
-    /** Its time is up while the call that it shares still dials: it has its final answer when the connection comes. */
+    /**
+     * The message reaches its deadline while its call is still connecting, so it has ended when the connection opens.
+     */
     @Test
-    void ofSeveralOneWhoseTimeIsUpIsNotSentOnAfterItsEnd() throws Exception {
+    void aMessagePastItsDeadlineIsNotSentWithItsBundle() throws Exception {
         endpoint(r -> r.answer(200));
         gate.shut();
         loop.post(() -> endpoints.call("e", List.of(item(1, 100, loop.now() + 100), item(2, LONG_MS, 1e9))));
         gate.awaitOne();
-        Outcome o = next();
-        assertThat(o.id()).isEqualTo(1);
-        assertThat(o.result()).as("nothing of it was written").isEqualTo(Result.CONNECT_FAILED);
+        Outcome outcome = next();
+        assertThat(outcome.id()).isEqualTo(1);
+        assertThat(outcome.result()).as("nothing of it was written").isEqualTo(Result.CONNECT_FAILED);
         gate.pass();
         assertThat(next().result()).isEqualTo(Result.OK);
         StandIn.Request r = next(calls);
@@ -203,22 +205,22 @@
     }
 
     @Test
-    void aConnectionThatComesUpAfterItsCallWasGivenUpIsClosedUnused() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
+    void aConnectionThatOpensAfterItsCallTimedOutIsClosedUnused() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
         gate.shut();
         call(List.of(item(1, 100, 1e9)));
         gate.awaitOne();
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
         gate.pass();
-        Await.until("it closed", () -> s.accepted() == 1 && s.open() == 0);
-        settle();
+        Await.until("connection closed", () -> standIn.accepted() == 1 && standIn.open() == 0);
+        awaitLoop();
         assertThat(calls).isEmpty();
         assertThat(outcomes).isEmpty();
     }
 
-    /** What it took to get the connection is no part of an answer's time. */
+    /** The time taken to connect does not count towards the response timeout. */
     @Test
-    void aTimeOutIsCountedFromTheWrite() throws Exception {
+    void theTimeoutStartsAtTheWrite() throws Exception {
         endpoint(r -> {
             long from = System.nanoTime();
             Await.until("a while", () -> System.nanoTime() - from > 350_000_000L);
@@ -234,42 +236,44 @@
     }
 
     @Test
-    void aConnectionThatRestsIsAskedFor() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
+    void aCallOnARestingConnectionIsCheckedAgain() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
         call(1);
         assertThat(next().result()).isEqualTo(Result.OK);
-        barred.add(2L);
-        call(2); // on the connection that has just answered, once it has rested
+        withheld.add(2L);
+        call(2); // on the same connection, once it has rested
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
         call(3);
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(calls.stream().map(r -> r.header("request-id"))).containsExactly("r1", "r3");
-        assertThat(s.accepted()).isEqualTo(1);
+        assertThat(standIn.accepted()).isEqualTo(1);
     }
 
     @Test
-    void whatIsHeldBackAtTheEndIsNotWritten() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
+    void withheldCallsAreNotWritten() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
         gate.shut();
         call(1);
         gate.awaitOne();
         loop.post(endpoints::withhold);
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
         gate.pass();
-        settle();
+        awaitLoop();
         assertThat(calls).isEmpty();
-        Await.until("kept or closed, and nothing out", () -> endpoints.out() == 0 && s.accepted() == 1);
+        Await.until(
+                "connection kept or closed, and no call in progress",
+                () -> endpoints.out() == 0 && standIn.accepted() == 1);
     }
 
-    /** It could be another one's place by now, where the message would be a stranger. */
+    /** The old address may belong to another endpoint by now, which must not get the message. */
     @Test
-    void whereTheEndpointHasMovedMeanwhileNothingIsWritten() throws Exception {
+    void nothingIsWrittenIfTheEndpointHasMovedMeanwhile() throws Exception {
         StandIn before = endpoint(r -> r.answer(200));
         gate.shut();
         call(1);
         gate.awaitOne();
         endpoint(r -> r.answer(200));
-        settle();
+        awaitLoop();
         gate.pass();
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
         Await.until("its connection closed", () -> before.open() == 0);
@@ -277,188 +281,188 @@
     }
 
     @Test
-    void whatCannotBeNotedIsNotWritten() throws Exception {
+    void aMessageThatCannotBeRecordedIsNotWritten() throws Exception {
         endpoint(r -> r.answer(200));
-        unnoted.add(1L);
+        unrecorded.add(1L);
         call(1, 2);
-        Outcome o = next();
-        assertThat(o.id() + " " + o.result()).isEqualTo("1 NOT_SENT");
+        Outcome outcome = next();
+        assertThat(outcome.id() + " " + outcome.result()).isEqualTo("1 NOT_SENT");
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(next(calls).header("request-id")).isEqualTo("r2");
     }
 
-    // ---- what comes before the request ----
+    // ---- input before the request ----
 
-    /** A peer that speaks as soon as it is connected to. */
-    private void speaks(String text, boolean closes) throws Exception {
+    /** Starts a call to a server that sends a text as soon as the connection is open. */
+    private void serverSendsFirst(String text, boolean closes) throws Exception {
         ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         open.add(server);
         loop.post(() -> endpoints.learn(Map.of("e", (java.net.InetSocketAddress) server.getLocalSocketAddress())));
         gate.shut();
         call(1);
-        Socket s = server.accept();
-        open.add(s);
+        Socket standIn = server.accept();
+        open.add(standIn);
         gate.awaitOne();
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        s.getOutputStream().flush();
+        standIn.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        standIn.getOutputStream().flush();
         if (closes) {
-            s.close();
+            standIn.close();
         }
     }
 
     @Test
-    void aDoorThatTurnsAwayBeforeTheRequestIsHeard() throws Exception {
-        speaks("HTTP/1.1 503 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true);
+    void aRejectionBeforeTheRequestIsProcessed() throws Exception {
+        serverSendsFirst("HTTP/1.1 503 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true);
         assertThat(next().result()).isEqualTo(Result.CROWDED);
         gate.pass();
-        settle();
+        awaitLoop();
         assertThat(outcomes).isEmpty();
     }
 
     @Test
-    void anAnswerToNoRequestDeliversNothing() throws Exception {
-        speaks("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
-        Outcome o = next();
-        assertThat(o.result()).isEqualTo(Result.CONNECT_FAILED);
-        assertThat(o.over()).isFalse();
+    void aResponseBeforeTheRequestDeliversNothing() throws Exception {
+        serverSendsFirst("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
+        Outcome outcome = next();
+        assertThat(outcome.result()).isEqualTo(Result.CONNECT_FAILED);
+        assertThat(outcome.over()).isFalse();
     }
 
-    /** Half a line, and then the connection would take the request: its answer could not be told from that. */
+    /** After part of a line the connection could still carry the request, but its response could not be separated. */
     @Test
-    void halfAnAnswerBeforeTheRequestIsNone() throws Exception {
-        speaks("HTTP/1.1 200 O", false);
-        Outcome o = next(); // at the latest once it is not whole in time
-        assertThat(o.result()).isEqualTo(Result.CONNECT_FAILED);
-        assertThat(o.over()).isFalse();
+    void aPartialResponseBeforeTheRequestDeliversNothing() throws Exception {
+        serverSendsFirst("HTTP/1.1 200 O", false);
+        Outcome outcome = next(); // at the latest when the response timeout expires
+        assertThat(outcome.result()).isEqualTo(Result.CONNECT_FAILED);
+        assertThat(outcome.over()).isFalse();
         gate.pass();
-        settle();
+        awaitLoop();
         assertThat(outcomes).isEmpty();
     }
 
     @Test
-    void aConnectionThatEndsBeforeTheRequestNeverRan() throws Exception {
-        speaks("", true);
+    void aCallWhoseConnectionEndsBeforeTheRequestNeverRan() throws Exception {
+        serverSendsFirst("", true);
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
         gate.pass();
-        settle();
+        awaitLoop();
         assertThat(outcomes).isEmpty();
     }
 
-    // ---- waits ----
+    // ---- Retry-After ----
 
-    private Wait wait(String answer) throws Exception {
-        endpoint(r -> r.write(answer.replace("\\n", "\r\n").getBytes(StandardCharsets.US_ASCII)));
+    private Wait assertRetryAfterReported(String response) throws Exception {
+        endpoint(r -> r.write(response.replace("\\n", "\r\n").getBytes(StandardCharsets.US_ASCII)));
         call(1);
-        Wait w = next(waits);
-        assertThat(w.ms()).isEqualTo(500);
-        assertThat(w.outcomesBefore()).as("told before the call's end").isZero();
-        assertThat(w.at()).isLessThanOrEqualTo(w.heardAt());
-        Outcome o = next();
-        assertThat(o.waitMs()).isEqualTo(500);
-        settle();
-        assertThat(waits).as("told once").isEmpty();
-        return w;
+        Wait wait = next(waits);
+        assertThat(wait.ms()).isEqualTo(500);
+        assertThat(wait.outcomesBefore()).as("reported before the outcome").isZero();
+        assertThat(wait.at()).isLessThanOrEqualTo(wait.reportedAt());
+        Outcome outcome = next();
+        assertThat(outcome.waitMs()).isEqualTo(500);
+        awaitLoop();
+        assertThat(waits).as("reported once").isEmpty();
+        return wait;
     }
 
     @Test
-    void aWaitIsToldThoughTheBodyNeverComes() throws Exception {
-        wait("HTTP/1.1 503 x\\nRetry-After: 0.5\\nContent-Length: 9\\n\\nab");
+    void aRetryAfterIsReportedEvenIfTheBodyNeverArrives() throws Exception {
+        assertRetryAfterReported("HTTP/1.1 503 x\\nRetry-After: 0.5\\nContent-Length: 9\\n\\nab");
     }
 
     @Test
-    void aWaitIsToldThoughTheHeadNeverEnds() throws Exception {
-        wait("HTTP/1.1 429 x\\nRetry-After: 0.5\\nServer-");
+    void aRetryAfterIsReportedEvenIfTheHeadNeverEnds() throws Exception {
+        assertRetryAfterReported("HTTP/1.1 429 x\\nRetry-After: 0.5\\nServer-");
     }
 
     @Test
-    void aWaitIsToldThoughTheBodyIsNoise() throws Exception {
-        wait("HTTP/1.1 429 x\\nRetry-After: 0.5\\nTransfer-Encoding: chunked\\n\\nnoise\\n");
+    void aRetryAfterIsReportedEvenIfTheBodyIsInvalid() throws Exception {
+        assertRetryAfterReported("HTTP/1.1 429 x\\nRetry-After: 0.5\\nTransfer-Encoding: chunked\\n\\nnoise\\n");
     }
 
     @Test
-    void aWaitOfAWholeAnswerIsToldOnce() throws Exception {
-        wait("HTTP/1.1 429 x\\nRetry-After: 0.5\\nContent-Length: 0\\n\\n");
+    void aRetryAfterInACompleteResponseIsReportedOnce() throws Exception {
+        assertRetryAfterReported("HTTP/1.1 429 x\\nRetry-After: 0.5\\nContent-Length: 0\\n\\n");
     }
 
-    /** It may have said 0.5 or 0.54321: what is not a whole line says nothing. */
+    /** The value may have been 0.5 or 0.54321: only a complete line counts. */
     @Test
-    void halfALineTellsNoWait() throws Exception {
+    void anIncompleteRetryAfterLineIsIgnored() throws Exception {
         endpoint(r -> {
             r.write("HTTP/1.1 503 x\r\nRetry-After: 0.5".getBytes(StandardCharsets.US_ASCII));
             r.reset();
         });
         call(1);
         assertThat(next().waitMs()).isZero();
-        settle();
+        awaitLoop();
         assertThat(waits).isEmpty();
     }
 
     @Test
-    void aWaitOfACallThatIsGivenUpBehindItsHeadIsTold() throws Exception {
+    void aRetryAfterOfACallCancelledAfterItsHeadIsReported() throws Exception {
         endpoint(r -> r.write("HTTP/1.1 503 x\r\nRetry-After: 0.5\r\n".getBytes(StandardCharsets.US_ASCII)));
         call(1);
         assertThat(next(waits).ms()).isEqualTo(500);
         loop.post(() -> endpoints.cancel(1, 0));
         assertThat(next().id()).isEqualTo(1);
-        settle();
+        awaitLoop();
         assertThat(waits).isEmpty();
     }
 
     @Test
-    void aWaitForSeveralIsToldOnce() throws Exception {
+    void aRetryAfterForABundleIsReportedOnce() throws Exception {
         endpoint(r -> r.answer(200, "r1 ok\r\nr2 later\r\n".getBytes(StandardCharsets.US_ASCII), "Retry-After: 0.5"));
         call(1, 2);
         assertThat(next(waits).outcomesBefore()).isZero();
         next();
         next();
-        settle();
+        awaitLoop();
         assertThat(waits).isEmpty();
     }
 
-    // ---- a kept connection that is found dead ----
+    // ---- an idle connection that turns out to be stale ----
 
     @Test
-    void whatWasNotedForAConnectionThatIsDeadIsAskedAgain() throws Exception {
-        StandIn s = new StandIn(r -> {
+    void aCallRecordedForAStaleConnectionIsCheckedAgain() throws Exception {
+        StandIn standIn = new StandIn(r -> {
             calls.add(r);
             r.answer(200);
         });
-        open.add(s);
-        DyingDialer dying = new DyingDialer(wire);
+        open.add(standIn);
+        StaleConnectionDialer staleDialer = new StaleConnectionDialer(wire);
         Limits limits = ShortTimes.ofCalls(50, CONNECT_MS, 10_000, 50);
-        Loop[] made = new Loop[1];
-        Endpoints[] e = new Endpoints[1];
-        made[0] = LoopThread.start(() -> {
-            if (e[0] != null) {
-                e[0].ask((id, attempt) -> barred.contains(id) ? 0 : LONG_MS);
-                e[0].write(id -> true, () -> false);
+        Loop[] madeLoop = new Loop[1];
+        Endpoints[] started = new Endpoints[1];
+        madeLoop[0] = LoopThread.start(() -> {
+            if (started[0] != null) {
+                started[0].ask((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
+                started[0].write(id -> true, () -> false);
             }
         });
-        open.add(made[0]::end);
-        Endpoints late = new Endpoints(dying, limits, made[0], new Endpoints.Told() {
+        open.add(madeLoop[0]::end);
+        Endpoints local = new Endpoints(staleDialer, limits, madeLoop[0], new Endpoints.Told() {
             @Override
-            public void ended(Outcome o) {
-                outcomes.add(o);
+            public void ended(Outcome outcome) {
+                outcomes.add(outcome);
             }
 
             @Override
             public void unwritten(long id, int attempt) {
                 unwritten.add(id);
-                barred.add(id);
+                withheld.add(id);
             }
         });
-        made[0].post(() -> {
-            e[0] = late;
-            late.learn(Map.of("e", s.address()));
-            late.call("e", List.of(item(1, LONG_MS, 1e9)));
+        madeLoop[0].post(() -> {
+            started[0] = local;
+            local.learn(Map.of("e", standIn.address()));
+            local.call("e", List.of(item(1, LONG_MS, 1e9)));
         });
         assertThat(next().result()).isEqualTo(Result.OK);
         double answered = loop.now();
-        Await.until("its rest over", () -> loop.now() - answered > 50);
-        dying.dead = true;
-        made[0].post(() -> late.call("e", List.of(item(2, LONG_MS, 1e9))));
+        Await.until("the rest time is over", () -> loop.now() - answered > 50);
+        staleDialer.stale = true;
+        madeLoop[0].post(() -> local.call("e", List.of(item(2, LONG_MS, 1e9))));
         assertThat(next(unwritten)).isEqualTo(2);
-        assertThat(next().result()).as("its number is taken").isEqualTo(Result.NOT_SENT);
+        assertThat(next().result()).as("its attempt number is used up").isEqualTo(Result.NOT_SENT);
         assertThat(calls).hasSize(1);
     }
 }
--- a/src/test/java/firstair/relay/endpoints/EndpointsTest.java
+++ b/src/test/java/firstair/relay/endpoints/EndpointsTest.java
@@ -67,10 +67,10 @@
     }
 
     private StandIn endpoint(StandIn.Handler handler) throws IOException {
-        StandIn s = new StandIn(handler);
-        open.add(s);
-        learn(s.address());
-        return s;
+        StandIn standIn = new StandIn(handler);
+        open.add(standIn);
+        learn(standIn.address());
+        return standIn;
     }
 
     private void learn(InetSocketAddress at) {
@@ -94,64 +94,66 @@
     }
 
     private Outcome next() throws InterruptedException {
-        Outcome o = outcomes.poll(10, TimeUnit.SECONDS);
-        assertThat(o).as("an outcome").isNotNull();
-        return o;
+        Outcome outcome = outcomes.poll(10, TimeUnit.SECONDS);
+        assertThat(outcome).as("an outcome").isNotNull();
+        return outcome;
     }
 
-    private Result ends(double timeoutMs) throws InterruptedException {
+    private Result resultOf(double timeoutMs) throws InterruptedException {
         call(item(1, timeoutMs, 1e9));
         return next().result();
     }
 
     @Test
-    void whatACallCarries() throws Exception {
+    void aCallCarriesHeadersAndBodyAndItsResponseIsRead() throws Exception {
         BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
         endpoint(r -> {
             calls.add(r);
             r.answer(429, "Retry-After: 0.25", "Server-Load: {\"x0\":0.5,\"x1\":9}");
         });
         call(item(1, 1500, 1e9));
-        Outcome o = next();
+        Outcome outcome = next();
         StandIn.Request r = calls.take();
         assertThat(r.method() + " " + r.target()).isEqualTo("POST /receive");
         assertThat(r.header("request-id")).isEqualTo("r1");
         assertThat(r.header("idempotency-key")).isEqualTo("k1");
         assertThat(r.header("request-timeout-ms")).isEqualTo("1500");
         assertThat(r.body()).asString(StandardCharsets.US_ASCII).isEqualTo("body1");
-        assertThat(o.result()).isEqualTo(Result.FULL);
-        assertThat(o.waitMs()).isEqualTo(250);
-        assertThat(o.load().limitPerS()).isEqualTo(9);
+        assertThat(outcome.result()).isEqualTo(Result.FULL);
+        assertThat(outcome.waitMs()).isEqualTo(250);
+        assertThat(outcome.load().limitPerS()).isEqualTo(9);
     }
 
     @Test
-    void aConnectionIsUsedAgain() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
+    void aConnectionIsReused() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
         for (int i = 0; i < 5; i++) {
-            assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+            assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
             double answered = loop.now();
-            Await.until("its rest over", () -> loop.now() - answered > REST_MS);
+            Await.until("the rest time is over", () -> loop.now() - answered > REST_MS);
         }
-        assertThat(s.accepted()).isEqualTo(1);
+        assertThat(standIn.accepted()).isEqualTo(1);
     }
 
-    /** A further one would cost a handshake, and a place that an endpoint in a crowd does not have. */
+    /** Another connection would take a handshake, and the endpoint may have reached its connection limit. */
     @Test
-    void aConnectionThatRestsIsWaitedFor() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+    void aCallWaitsForARestingConnection() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         call(item(2, LONG_MS, 1e9));
-        Outcome o = next();
-        assertThat(o.result()).isEqualTo(Result.OK);
-        assertThat(s.accepted()).isEqualTo(1);
-        assertThat(ends(1)).as("given up while it rests").isEqualTo(Result.CONNECT_FAILED);
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(s.accepted()).as("what was set aside has been closed").isEqualTo(2);
+        Outcome outcome = next();
+        assertThat(outcome.result()).isEqualTo(Result.OK);
+        assertThat(standIn.accepted()).isEqualTo(1);
+        assertThat(resultOf(1)).as("timed out while the connection rests").isEqualTo(Result.CONNECT_FAILED);
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
+        assertThat(standIn.accepted())
+                .as("the reserved connection has been closed")
+                .isEqualTo(2);
     }
 
-    /** Its place is free as soon as the answer is written, and not a way there and back later. */
+    /** This frees the connection at the endpoint as soon as the response is written, not a round trip later. */
     @Test
-    void theLastCallOnAConnectionSaysSo() throws Exception {
+    void theLastCallOnAConnectionAsksToCloseIt() throws Exception {
         BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
         endpoint(r -> {
             calls.add(r);
@@ -167,73 +169,76 @@
     }
 
     @Test
-    void aConnectionThatTheEndpointEndsIsNot() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200, "Connection: close"));
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(s.accepted()).isEqualTo(2);
+    void aConnectionThatTheEndpointClosesIsNotReused() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200, "Connection: close"));
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
+        assertThat(standIn.accepted()).isEqualTo(2);
     }
 
-    /** A request on a connection that the endpoint has just closed would be lost with its outcome unknown. */
+    /** A request on a connection that the endpoint has just closed would be lost, with an unknown outcome. */
     @Test
-    void anIdleConnectionIsClosedBeforeTheEndpointWould() throws Exception {
-        LinkedBlockingQueue<Boolean> ended = new LinkedBlockingQueue<>();
-        StandIn s = endpoint(r -> {
+    void anIdleConnectionIsClosedBeforeTheEndpointDoes() throws Exception {
+        LinkedBlockingQueue<Boolean> closedByRelay = new LinkedBlockingQueue<>();
+        StandIn standIn = endpoint(r -> {
             r.answer(200);
             int more = r.socket().getInputStream().read(); // -1 once the relay has closed
-            ended.add(more < 0);
+            closedByRelay.add(more < 0);
         });
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
-        double[] idle = {loop.now()};
-        while (ended.isEmpty() && loop.now() - idle[0] < 10_000) {
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
+        double[] idleSince = {loop.now()};
+        while (closedByRelay.isEmpty() && loop.now() - idleSince[0] < 10_000) {
             loop.post(endpoints::sweep);
-            Boolean b = ended.poll(10, TimeUnit.MILLISECONDS);
+            Boolean b = closedByRelay.poll(10, TimeUnit.MILLISECONDS);
             if (b != null) {
-                ended.add(b);
+                closedByRelay.add(b);
             }
         }
-        assertThat(ended.poll()).isTrue();
-        assertThat(loop.now() - idle[0]).isGreaterThanOrEqualTo(IDLE_MS - 50);
-        assertThat(s.accepted()).isEqualTo(1);
+        assertThat(closedByRelay.poll()).isTrue();
+        assertThat(loop.now() - idleSince[0]).isGreaterThanOrEqualTo(IDLE_MS - 50);
+        assertThat(standIn.accepted()).isEqualTo(1);
     }
 
-    /** Between two sweeps: a relay that is held up for 0.15 s would write where the endpoint may close (row P38). */
+    /**
+     * Between two sweeps, a relay delayed by 0.15 s could write to a connection as the endpoint closes it (row P38).
+     */
     @Test
-    void anIdleConnectionThatIsDueIsNotUsedBeforeASweepHasSeenIt() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+    void anExpiredIdleConnectionIsNotReusedEvenBeforeTheSweep() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         double answered = loop.now();
         while (loop.now() - answered < IDLE_MS + 20) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(s.accepted()).isEqualTo(2);
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
+        assertThat(standIn.accepted()).isEqualTo(2);
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
-        learn(LoopbackPorts.shared().next()); // nobody listens there, nor will somebody who asks for any free port
-        assertThat(ends(LONG_MS)).isEqualTo(Result.CONNECT_FAILED);
+    void aCallOnARefusedConnectionNeverRan() throws Exception {
+        // Nobody listens on it, and the system does not give it to anyone who asks for a free port.
+        learn(LoopbackPorts.shared().next());
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.CONNECT_FAILED);
     }
 
-    /** Open files of this process; 0 where the system does not tell. */
+    /** Number of open files of this process; 0 if the system does not report it. */
     private static long descriptors() {
         String[] all = new java.io.File("/proc/self/fd").list();
         return all == null ? 0 : all.length;
     }
 
     @Test
-    void aConnectionThatNeverComesUpNeverRan() throws Exception {
+    void aCallOnAConnectionThatNeverOpensNeverRan() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<java.net.Socket> waiting = new ArrayList<>();
             for (int i = 0; i < 3; i++) { // nobody accepts, and the queue is full
-                java.net.Socket s = new java.net.Socket();
+                java.net.Socket standIn = new java.net.Socket();
                 try {
-                    s.connect(full.getLocalSocketAddress(), 200);
+                    standIn.connect(full.getLocalSocketAddress(), 200);
                 } catch (IOException e) {
-                    // full by now
+                    // the queue is full by now
                 }
-                waiting.add(s);
+                waiting.add(standIn);
             }
             learn((InetSocketAddress) full.getLocalSocketAddress());
             long before = descriptors();
@@ -243,83 +248,83 @@
             for (int i = 0; i < 20; i++) {
                 assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
             }
-            // The system would hold each of them for minutes.
-            Await.until("descriptors given back", () -> descriptors() <= before + 5);
-            for (java.net.Socket s : waiting) {
-                s.close();
+            // Left alone, the system would hold each of them for minutes.
+            Await.until("descriptors released", () -> descriptors() <= before + 5);
+            for (java.net.Socket standIn : waiting) {
+                standIn.close();
             }
         }
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheLastByteMayHaveRun() throws Exception {
+    void aCallWhoseConnectionFailsAfterTheLastByteMayHaveRun() throws Exception {
         endpoint(StandIn.Request::reset);
-        assertThat(ends(LONG_MS)).isEqualTo(Result.RESET);
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.RESET);
     }
 
-    /** What the kernel still held of a large request shows that the endpoint cannot have had all of it. */
+    /** The kernel still buffered part of a large request, so the endpoint cannot have received all of it. */
     @Test
-    void aConnectionThatBreaksBeforeTheLastByteNeverRan() throws Exception {
+    void aCallWhoseConnectionFailsBeforeTheLastByteNeverRan() throws Exception {
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4096);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             learn((InetSocketAddress) server.getLocalSocketAddress());
             Item large = new Item(1, 0, "r1", null, new byte[16 << 20], LONG_MS, 1e9, false);
             call(large);
-            try (java.net.Socket s = server.accept()) {
-                assertThat(s.getInputStream().read()).isEqualTo('P');
-                s.setSoLinger(true, 0);
+            try (java.net.Socket standIn = server.accept()) {
+                assertThat(standIn.getInputStream().read()).isEqualTo('P');
+                standIn.setSoLinger(true, 0);
             }
             assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
         }
     }
 
-    /** Descriptors run out otherwise: a busy day leaves idle connections to every endpoint. */
+    /** Otherwise descriptors would run out: after heavy load there are idle connections to every endpoint. */
     @Test
-    void whereNoMoreMayBeOpenTheLongestIdleOneIsClosed() throws Exception {
+    void atTheConnectionLimitTheLongestIdleConnectionIsClosed() throws Exception {
         LinkedBlockingQueue<StandIn.Request> first = new LinkedBlockingQueue<>();
-        StandIn s = endpoint(first::add);
+        StandIn standIn = endpoint(first::add);
         call(item(1, LONG_MS, 1e9));
         call(item(2, LONG_MS, 1e9));
         first.take().answer(200);
         first.take().answer(200);
         next();
         next();
-        assertThat(s.open()).isEqualTo(2); // two kept, and two is all that may be open
+        assertThat(standIn.open()).isEqualTo(2); // both kept, and the limit is two
         LinkedBlockingQueue<StandIn.Request> second = new LinkedBlockingQueue<>();
         try (StandIn other = new StandIn(second::add)) {
             loop.post(() -> endpoints.learn(Map.of("other", other.address())));
             loop.post(() -> endpoints.call("other", List.of(item(3, LONG_MS, 1e9))));
             second.take().answer(200);
             assertThat(next().result()).isEqualTo(Result.OK);
-            Await.until("one closed", () -> s.open() <= 1);
+            Await.until("one closed", () -> standIn.open() <= 1);
         }
     }
 
-    /** A call sent in its place before the endpoint has seen its end would find all slots taken. */
+    /** A call sent in its place before the endpoint has noticed the halt would find all slots taken. */
     @Test
-    void aTimeOutIsToldOnceTheEndpointHasSeenTheEndOfTheCall() throws Exception {
+    void aTimeoutIsReportedOnceTheEndpointHasNoticedTheHalt() throws Exception {
         LinkedBlockingQueue<Integer> read = new LinkedBlockingQueue<>();
         endpoint(r -> {
             read.add(r.socket().getInputStream().read());
             r.socket().close();
         });
-        assertThat(ends(200)).isEqualTo(Result.TIMEOUT);
+        assertThat(resultOf(200)).isEqualTo(Result.TIMEOUT);
         assertThat(read.poll()).isEqualTo(-1);
     }
 
-    /** A call is given up by ending our sending: from then on the endpoint may hold it to be over. */
+    /** A call is halted by closing the sending side: from then on the endpoint may consider it over. */
     @Test
-    void anAnswerThatCrossesTheTimeOutDoesNotCount() throws Exception {
+    void aResponseAfterTheTimeoutDoesNotCount() throws Exception {
         endpoint(r -> {
             r.socket().getInputStream().read();
             r.answer(200);
         });
-        assertThat(ends(200)).isEqualTo(Result.TIMEOUT);
+        assertThat(resultOf(200)).isEqualTo(Result.TIMEOUT);
     }
 
     @Test
-    void anEndpointThatNeverSeesTheEndHoldsUpItsTimeOutForALittle() throws Exception {
+    void anEndpointThatNeverNoticesTheHaltDelaysTheTimeoutBriefly() throws Exception {
         CountDownLatch done = new CountDownLatch(1);
         endpoint(r -> {
             try {
@@ -329,25 +334,25 @@
             }
         });
         call(item(1, 200, 1e9));
-        Outcome o = next();
+        Outcome outcome = next();
         done.countDown();
-        assertThat(o.result()).isEqualTo(Result.TIMEOUT);
-        assertThat(o.tookMs()).isGreaterThanOrEqualTo(200 + HALT_MS - 1);
+        assertThat(outcome.result()).isEqualTo(Result.TIMEOUT);
+        assertThat(outcome.tookMs()).isGreaterThanOrEqualTo(200 + HALT_MS - 1);
     }
 
     @Test
-    void aFirstLineSettlesACallThoughItsBodyNeverComes() throws Exception {
+    void aStatusLineDeliversACallEvenIfTheBodyNeverArrives() throws Exception {
         endpoint(r -> {
             r.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc".getBytes(StandardCharsets.US_ASCII));
             r.reset();
         });
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
     }
 
-    private Outcome spoilt(String answer) throws Exception {
+    private Outcome outcomeOfBrokenResponse(String response) throws Exception {
         LinkedBlockingQueue<Integer> read = new LinkedBlockingQueue<>();
         endpoint(r -> {
-            r.write(answer.replace("\\n", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            r.write(response.replace("\\n", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
             try {
                 read.add(r.socket().getInputStream().read());
             } catch (IOException e) {
@@ -355,15 +360,15 @@
             }
         });
         call(item(1, LONG_MS, 1e9));
-        Outcome o = next();
+        Outcome outcome = next();
         assertThat(read.poll(10, TimeUnit.SECONDS))
                 .as("the end of the connection")
                 .isEqualTo(-1);
-        assertThat(o.tookMs()).isLessThan(LONG_MS / 4);
-        return o;
+        assertThat(outcome.tookMs()).isLessThan(LONG_MS / 4);
+        return outcome;
     }
 
-    /** The connection stays open and silent: nothing but what has come tells that no more will. */
+    /** The endpoint leaves the connection open and silent: only the bytes received show that no more will follow. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -375,13 +380,13 @@
                 "HTTP/1.1 200 OK\\n\\nno length",
                 "HTTP/1.1 200 OK\\nTransfer-Encoding: chunked\\n\\nzz\\n"
             })
-    void aSpoiltAnswerThatBegins200IsDeliveredAndItsConnectionDropped(String answer) throws Exception {
-        Outcome o = spoilt(answer);
-        assertThat(o.result()).isEqualTo(Result.OK);
-        assertThat(o.over()).isTrue();
+    void aBrokenResponseWithStatus200DeliversAndItsConnectionIsClosed(String response) throws Exception {
+        Outcome outcome = outcomeOfBrokenResponse(response);
+        assertThat(outcome.result()).isEqualTo(Result.OK);
+        assertThat(outcome.over()).isTrue();
     }
 
-    /** It may say 503, but the call has run: sending an unsafe message again would do its work twice. */
+    /** Even with a 503 the call may have run: sending an unsafe message again would run it twice. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -394,31 +399,31 @@
                 "HTTP/1.1 504 x\\nContent-Length: 1, 2\\n\\n",
                 "HTTP/1.1 2OO x\\n\\n"
             })
-    void anyOtherSpoiltAnswerMayHaveRun(String answer) throws Exception {
-        Outcome o = spoilt(answer);
-        assertThat(o.result()).isEqualTo(Result.RESET);
-        assertThat(o.over()).isFalse();
+    void aCallWithAnyOtherBrokenResponseMayHaveRun(String response) throws Exception {
+        Outcome outcome = outcomeOfBrokenResponse(response);
+        assertThat(outcome.result()).isEqualTo(Result.RESET);
+        assertThat(outcome.over()).isFalse();
     }
 
     @Test
-    void aWaitIsKeptThoughTheRestOfItsAnswerIsSpoilt() throws Exception {
-        Outcome o = spoilt("HTTP/1.1 429 x\\nRetry-After: 0.5\\nContent-Length: 9\\n\\nabc");
-        assertThat(o.result()).isEqualTo(Result.RESET);
-        assertThat(o.waitMs()).isEqualTo(500);
+    void aRetryAfterAppliesEvenIfTheRestOfTheResponseIsBroken() throws Exception {
+        Outcome outcome = outcomeOfBrokenResponse("HTTP/1.1 429 x\\nRetry-After: 0.5\\nContent-Length: 9\\n\\nabc");
+        assertThat(outcome.result()).isEqualTo(Result.RESET);
+        assertThat(outcome.waitMs()).isEqualTo(500);
     }
 
-    /** Behind an answer a second copy of it may come: were it taken for the next one, a message would be lost. */
+    /** A response may be followed by a second copy: if that were taken for the next one, a message would be lost. */
     @Test
-    void whatComesBehindAnAnswerIsNeverTheNextCallsAnswer() throws Exception {
+    void inputAfterAResponseIsNeverTakenForTheNextResponse() throws Exception {
         BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
         CountDownLatch first = new CountDownLatch(1);
-        StandIn s = endpoint(r -> {
+        StandIn standIn = endpoint(r -> {
             calls.add(r);
             if (first.getCount() > 0) {
                 r.answer(200);
                 first.countDown();
                 try {
-                    Thread.sleep(2); // the copy is a packet of its own
+                    Thread.sleep(2); // so that the copy is a packet of its own
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -428,42 +433,43 @@
         call(item(1, LONG_MS, 1e9));
         assertThat(next().result()).isEqualTo(Result.OK);
         call(item(2, 300, 1e9));
-        assertThat(next().result()).isEqualTo(Result.TIMEOUT); // it was never answered
-        assertThat(s.accepted()).isEqualTo(2);
+        assertThat(next().result()).isEqualTo(Result.TIMEOUT); // there was no response to it
+        assertThat(standIn.accepted()).isEqualTo(2);
     }
 
     @Test
-    void aGoodAnswerMayHaveMoreAheadAndBehind() throws Exception {
-        StandIn s = endpoint(r -> r.write(("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nServer-Load: {\"x0\":\r\n"
-                        + "Content-Length: 0\r\n\r\nHTTP/1.1 500 x\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII)));
+    void aDeliveryMayHaveOtherInputBeforeAndAfterIt() throws Exception {
+        StandIn standIn =
+                endpoint(r -> r.write(("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nServer-Load: {\"x0\":\r\n"
+                                + "Content-Length: 0\r\n\r\nHTTP/1.1 500 x\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII)));
         for (int i = 0; i < 2; i++) {
-            assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+            assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         }
-        assertThat(s.accepted()).isEqualTo(2);
+        assertThat(standIn.accepted()).isEqualTo(2);
     }
 
     @Test
-    void anAnswerToSeveralThatIsCutShortMayHaveRunForAll() throws Exception {
+    void allMessagesOfABundleWithATruncatedResponseMayHaveRun() throws Exception {
         endpoint(r -> r.answer(200, "r1 ok\r\nr2 la".getBytes(StandardCharsets.US_ASCII)));
         call(item(1, LONG_MS, 1e9), item(2, LONG_MS, 1e9));
         assertThat(next().result()).isEqualTo(Result.RESET);
         assertThat(next().result()).isEqualTo(Result.RESET);
     }
 
-    /** Its address may be another one's by now. */
+    /** Its address may belong to another endpoint by now. */
     @Test
-    void nothingIsKeptOfAnEndpointThatHasLeftTheList() throws Exception {
-        StandIn s = endpoint(r -> r.answer(200));
-        assertThat(ends(LONG_MS)).isEqualTo(Result.OK);
+    void connectionsToARemovedEndpointAreClosed() throws Exception {
+        StandIn standIn = endpoint(r -> r.answer(200));
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         loop.post(() -> endpoints.forget(List.of("e")));
-        Await.until("its connection closed", () -> s.open() == 0);
-        assertThat(ends(LONG_MS)).isEqualTo(Result.CONNECT_FAILED);
-        assertThat(s.accepted()).isEqualTo(1);
+        Await.until("its connection closed", () -> standIn.open() == 0);
+        assertThat(resultOf(LONG_MS)).isEqualTo(Result.CONNECT_FAILED);
+        assertThat(standIn.accepted()).isEqualTo(1);
     }
 
     @Test
-    void severalTravelTogetherAndEachHasItsOwnEnd() throws Exception {
+    void eachMessageOfABundleHasItsOwnOutcome() throws Exception {
         BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
         endpoint(r -> {
             calls.add(r);
@@ -484,29 +490,29 @@
                 .isEqualTo("r1 k1 5\r\nbody1\r\nr2 k2 5\r\nbody2\r\nr3 k3 5\r\nbody3\r\n");
     }
 
-    /** Were some told of a time-out while their call is out, they would be sent a second time beside it. */
+    /** A timeout reported for some messages while the call is in progress would cause a second, concurrent send. */
     @Test
-    void allMessagesOfACallEndWithIt() throws Exception {
+    void allMessagesOfACallEndTogether() throws Exception {
         endpoint(r -> r.socket().getInputStream().read());
         loop.post(() -> endpoints.call("e", List.of(item(1, 100, 1e9), item(2, 100, 1e9), item(3, 700, 1e9))));
         for (long id = 1; id <= 3; id++) {
-            Outcome o = next();
-            assertThat(o.id()).isEqualTo(id);
-            assertThat(o.result()).isEqualTo(Result.TIMEOUT);
-            assertThat(o.tookMs()).as("the longest that was told").isGreaterThanOrEqualTo(650);
+            Outcome outcome = next();
+            assertThat(outcome.id()).isEqualTo(id);
+            assertThat(outcome.result()).isEqualTo(Result.TIMEOUT);
+            assertThat(outcome.tookMs()).as("the longest timeout").isGreaterThanOrEqualTo(650);
         }
     }
 
     @Test
-    void aCancelledCallEndsItsConnection() throws Exception {
+    void aCancelledCallClosesItsConnection() throws Exception {
         LinkedBlockingQueue<Integer> read = new LinkedBlockingQueue<>();
-        LinkedBlockingQueue<Boolean> came = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<Boolean> received = new LinkedBlockingQueue<>();
         endpoint(r -> {
-            came.add(true);
+            received.add(true);
             read.add(r.socket().getInputStream().read());
         });
         call(item(1, LONG_MS, 1e9));
-        came.take();
+        received.take();
         loop.post(() -> endpoints.cancel(1, 0));
         assertThat(next().result()).isEqualTo(Result.CANCELLED);
         assertThat(read.poll(10, TimeUnit.SECONDS)).isEqualTo(-1);
--- a/src/test/java/firstair/relay/endpoints/SharedCallsTest.java
+++ b/src/test/java/firstair/relay/endpoints/MultiMessageCallTest.java
@@ -29,18 +29,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A call has one time for all its messages, and what comes behind our own end of it is no answer. */
+/** A call has one timeout for all its messages, and whatever arrives after it has been halted does not count. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class SharedCallsTest {
+class MultiMessageCallTest {
     private static final double LONG_MS = 20_000;
-    private static final double TIME_MS = 300;
+    private static final double TIMEOUT_MS = 300;
     private static final double HALT_MS = 5_000;
     private static final double REST_MS = 50;
 
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final Map<Long, Double> goesFor = new ConcurrentHashMap<>();
+    private final Map<Long, Double> timeoutsMs = new ConcurrentHashMap<>();
     private Loop loop;
     private Wire wire;
     private GateDialer gate;
@@ -53,7 +53,7 @@
         gate = new GateDialer(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
-                endpoints.ask((id, attempt) -> goesFor.getOrDefault(id, LONG_MS));
+                endpoints.ask((id, attempt) -> timeoutsMs.getOrDefault(id, LONG_MS));
                 endpoints.write(id -> true, () -> false);
             }
         });
@@ -70,43 +70,43 @@
     }
 
     private StandIn endpoint(StandIn.Handler handler) throws IOException {
-        StandIn s = new StandIn(r -> {
+        StandIn standIn = new StandIn(r -> {
             calls.add(r);
             handler.handle(r);
         });
-        open.add(s);
-        loop.post(() -> endpoints.learn(Map.of("e", s.address())));
-        return s;
+        open.add(standIn);
+        loop.post(() -> endpoints.learn(Map.of("e", standIn.address())));
+        return standIn;
     }
 
-    /** A connection that has answered and rested, so that the next call takes it; or none. */
-    private void connection(boolean kept) throws Exception {
-        if (!kept) {
+    /** With {@code reuse}, prepares an idle connection that the next call will use. */
+    private void prepareIdleConnection(boolean reuse) throws Exception {
+        if (!reuse) {
             return;
         }
-        call(new Asked(99, LONG_MS, LONG_MS));
+        call(new TestMessage(99, LONG_MS, LONG_MS));
         assertThat(next().result()).isEqualTo(Result.OK);
         next(calls);
         double answered = loop.now();
-        Await.until("its rest over", () -> loop.now() - answered > REST_MS);
+        Await.until("the rest time is over", () -> loop.now() - answered > REST_MS);
     }
 
-    /** A message, what its call is told for it and its time left, in milliseconds. */
-    private record Asked(long id, double timeoutMs, double leftMs) {}
+    /** A message with the timeout given to its call and the time left to its deadline, in milliseconds. */
+    private record TestMessage(long id, double timeoutMs, double leftMs) {}
 
-    private void call(Asked... all) {
+    private void call(TestMessage... all) {
         loop.post(() -> {
             List<Item> items = new ArrayList<>();
-            for (Asked a : all) {
-                String key = a.id() % 2 == 0 ? "k" + a.id() : null;
+            for (TestMessage message : all) {
+                String key = message.id() % 2 == 0 ? "k" + message.id() : null;
                 items.add(new Item(
-                        a.id(),
+                        message.id(),
                         0,
-                        "r" + a.id(),
+                        "r" + message.id(),
                         key,
                         "body".getBytes(StandardCharsets.US_ASCII),
-                        a.timeoutMs(),
-                        loop.now() + a.leftMs(),
+                        message.timeoutMs(),
+                        loop.now() + message.leftMs(),
                         false));
             }
             endpoints.call("e", items);
@@ -114,22 +114,22 @@
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T t = queue.poll(10, TimeUnit.SECONDS);
-        assertThat(t).isNotNull();
-        return t;
+        T element = queue.poll(10, TimeUnit.SECONDS);
+        assertThat(element).isNotNull();
+        return element;
     }
 
     private Outcome next() throws InterruptedException {
         return next(outcomes);
     }
 
-    private void nothingMore() throws InterruptedException {
+    private void assertNoFurtherOutcome() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             BlockingQueue<Boolean> done = new LinkedBlockingQueue<>();
             loop.post(() -> done.add(true));
             next(done);
         }
-        assertThat(outcomes).as("a second end").isEmpty();
+        assertThat(outcomes).as("a second outcome").isEmpty();
         assertThat(endpoints.out()).isZero();
     }
 
@@ -145,90 +145,96 @@
         return ("HTTP/1.1 200 x\r\nContent-Length: " + length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Returns when the relay has ended its sending. */
-    private static void awaitEnd(StandIn.Request r) throws IOException {
+    /** Waits until the relay has halted the call by closing its sending side. */
+    private static void awaitHalt(StandIn.Request r) throws IOException {
         assertThat(r.socket().getInputStream().read()).isNegative();
     }
 
-    // ---- one time ----
+    // ---- one timeout for all messages ----
 
     /**
-     * The answer comes whole behind the time of the shortest of them: it was the call's time, so it is nobody's. Each
-     * has its outcome in the same round, at that time.
+     * The complete response arrives after the timeout of the call, which follows from the shortest message, so it
+     * counts for no message. All outcomes are reported in the same round, at the timeout.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void anAnswerBehindTheTimeOfTheShortestIsNobodys(boolean kept) throws Exception {
+    void aResponseAfterTheTimeoutCountsForNoMessage(boolean reuse) throws Exception {
         endpoint(r -> {
             if (r.target().equals("/receive")) {
                 r.answer(200);
                 return;
             }
-            awaitEnd(r);
+            awaitHalt(r);
             r.answer(200, ok(3));
         });
-        connection(kept);
+        prepareIdleConnection(reuse);
         double from = loop.now();
-        call(new Asked(1, TIME_MS, TIME_MS), new Asked(2, TIME_MS, LONG_MS), new Asked(3, TIME_MS, LONG_MS));
-        List<Outcome> ends = List.of(next(), next(), next());
-        assertThat(ends).extracting(Outcome::id).containsExactly(1L, 2L, 3L);
-        assertThat(ends).allMatch(o -> o.result() == Result.TIMEOUT && !o.over());
-        assertThat(loop.now() - from).isGreaterThanOrEqualTo(TIME_MS - 1);
-        assertThat(ends.get(2).tookMs() - ends.get(0).tookMs())
-                .as("between first and last end")
+        call(
+                new TestMessage(1, TIMEOUT_MS, TIMEOUT_MS),
+                new TestMessage(2, TIMEOUT_MS, LONG_MS),
+                new TestMessage(3, TIMEOUT_MS, LONG_MS));
+        List<Outcome> results = List.of(next(), next(), next());
+        assertThat(results).extracting(Outcome::id).containsExactly(1L, 2L, 3L);
+        assertThat(results).allMatch(outcome -> outcome.result() == Result.TIMEOUT && !outcome.over());
+        assertThat(loop.now() - from).isGreaterThanOrEqualTo(TIMEOUT_MS - 1);
+        assertThat(results.get(2).tookMs() - results.get(0).tookMs())
+                .as("between the first and the last outcome")
                 .isLessThan(50);
-        nothingMore();
+        assertNoFurtherOutcome();
     }
 
-    /** A message with less time than its call was told of, by a fault above: the call is bounded by it all the same. */
+    /** The deadline of a message limits its call, even if a fault elsewhere gave the call a longer timeout. */
     @Test
-    void noCallOutlivesAMessageOfIt() throws Exception {
+    void noCallOutlivesTheDeadlineOfAMessage() throws Exception {
         endpoint(r -> {
-            awaitEnd(r);
+            awaitHalt(r);
             r.answer(200, ok(2));
         });
         double from = loop.now();
-        call(new Asked(1, LONG_MS, TIME_MS), new Asked(2, LONG_MS, LONG_MS));
+        call(new TestMessage(1, LONG_MS, TIMEOUT_MS), new TestMessage(2, LONG_MS, LONG_MS));
         assertThat(next().result()).isEqualTo(Result.TIMEOUT);
         assertThat(next().result()).isEqualTo(Result.TIMEOUT);
         assertThat(loop.now() - from).isLessThan(HALT_MS);
-        assertThat(Double.parseDouble(next(calls).header("request-timeout-ms"))).isLessThanOrEqualTo(TIME_MS);
-        nothingMore();
+        assertThat(Double.parseDouble(next(calls).header("request-timeout-ms"))).isLessThanOrEqualTo(TIMEOUT_MS);
+        assertNoFurtherOutcome();
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void theHeadTellsTheTimeOfTheCall(boolean kept) throws Exception {
+    void theRequestHeaderHasTheTimeoutOfTheCall(boolean reuse) throws Exception {
         endpoint(r -> r.answer(200, r.target().equals("/receive") ? new byte[0] : ok(3)));
-        connection(kept);
-        call(new Asked(1, 700, 900), new Asked(2, 750, LONG_MS), new Asked(3, 800, LONG_MS));
+        prepareIdleConnection(reuse);
+        call(new TestMessage(1, 700, 900), new TestMessage(2, 750, LONG_MS), new TestMessage(3, 800, LONG_MS));
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(Double.parseDouble(next(calls).header("request-timeout-ms")))
-                .as("what the last one joined")
+                .as("timeout of the last message")
                 .isBetween(780.0, 800.0);
     }
 
-    /** Decided once more when the connection is there: the least of what is told for those that go. */
+    /** Decided again when the connection opens: the shortest timeout of the messages that may be sent. */
     @Test
-    void aLateConnectionBringsTheTimeThatIsToldThen() throws Exception {
+    void aLateConnectionUsesTheTimeoutDecidedWhenItOpens() throws Exception {
         endpoint(r -> r.answer(200, ok(2)));
         gate.shut();
-        call(new Asked(1, LONG_MS, LONG_MS), new Asked(2, LONG_MS, LONG_MS), new Asked(3, LONG_MS, LONG_MS));
+        call(
+                new TestMessage(1, LONG_MS, LONG_MS),
+                new TestMessage(2, LONG_MS, LONG_MS),
+                new TestMessage(3, LONG_MS, LONG_MS));
         gate.awaitOne();
-        goesFor.putAll(Map.of(1L, 900.0, 2L, 850.0, 3L, 0.0));
+        timeoutsMs.putAll(Map.of(1L, 900.0, 2L, 850.0, 3L, 0.0));
         gate.pass();
         Outcome withheld = next();
         assertThat(withheld.id() + " " + withheld.result()).isEqualTo("3 WITHHELD");
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(next(calls).header("request-timeout-ms")).isEqualTo("850");
-        nothingMore();
+        assertNoFurtherOutcome();
     }
 
-    /** Withdrawn while the call is out: its answer is that of the others, within the call's time. */
+    /** One message is cancelled during the call: the response still counts for the others. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void oneThatIsWithdrawnMeanwhileLeavesTheAnswerToTheOthers(boolean kept) throws Exception {
+    void aCancelledMessageDoesNotAffectTheOthers(boolean reuse) throws Exception {
         BlockingQueue<Boolean> cancelled = new LinkedBlockingQueue<>();
         endpoint(r -> {
             if (r.target().equals("/receive-many")) {
@@ -236,67 +242,72 @@
             }
             r.answer(200, r.target().equals("/receive") ? new byte[0] : ok(3));
         });
-        connection(kept);
-        call(new Asked(1, LONG_MS, LONG_MS), new Asked(2, LONG_MS, LONG_MS), new Asked(3, LONG_MS, LONG_MS));
+        prepareIdleConnection(reuse);
+        call(
+                new TestMessage(1, LONG_MS, LONG_MS),
+                new TestMessage(2, LONG_MS, LONG_MS),
+                new TestMessage(3, LONG_MS, LONG_MS));
         next(calls);
         loop.post(() -> endpoints.cancel(2, 0));
-        Outcome gone = next();
-        assertThat(gone.id() + " " + gone.result()).isEqualTo("2 CANCELLED");
+        Outcome cancelledOutcome = next();
+        assertThat(cancelledOutcome.id() + " " + cancelledOutcome.result()).isEqualTo("2 CANCELLED");
         cancelled.add(true);
-        List<Outcome> ends = List.of(next(), next());
-        assertThat(ends).extracting(Outcome::id).containsExactly(1L, 3L);
-        assertThat(ends).allMatch(o -> o.result() == Result.OK && o.over());
-        nothingMore();
+        List<Outcome> results = List.of(next(), next());
+        assertThat(results).extracting(Outcome::id).containsExactly(1L, 3L);
+        assertThat(results).allMatch(outcome -> outcome.result() == Result.OK && outcome.over());
+        assertNoFurtherOutcome();
     }
 
-    // ---- behind our own end ----
+    // ---- after the halt ----
 
-    /** Keyed or not, alone or together, on a fresh and on a kept connection: it was given up, and may have run. */
+    /** With and without keys, for one or more messages, on new and idle connections: the messages may have run. */
     @ParameterizedTest
     @CsvSource({"false,1", "true,1", "false,2", "true,2", "false,3", "true,3"})
-    void anAnswerBehindOurEndOfTheCallIsNone(boolean kept, int messages) throws Exception {
-        boolean[] first = {kept};
+    void aResponseAfterTheHaltDoesNotCount(boolean reuse, int messages) throws Exception {
+        boolean[] first = {reuse};
         endpoint(r -> {
             if (first[0]) {
                 first[0] = false;
                 r.answer(200);
                 return;
             }
-            awaitEnd(r);
+            awaitHalt(r);
             r.answer(200, ok(messages));
         });
-        connection(kept);
-        Asked[] all = new Asked[messages];
+        prepareIdleConnection(reuse);
+        TestMessage[] all = new TestMessage[messages];
         for (int i = 0; i < messages; i++) {
-            all[i] = new Asked(i + 1, TIME_MS, LONG_MS);
+            all[i] = new TestMessage(i + 1, TIMEOUT_MS, LONG_MS);
         }
         call(all);
         for (int i = 0; i < messages; i++) {
-            Outcome o = next();
-            assertThat(o.result()).isEqualTo(Result.TIMEOUT);
-            assertThat(o.over()).isFalse();
+            Outcome outcome = next();
+            assertThat(outcome.result()).isEqualTo(Result.TIMEOUT);
+            assertThat(outcome.over()).isFalse();
         }
-        nothingMore();
+        assertNoFurtherOutcome();
     }
 
-    /** So is one that proves by itself that nothing ran: to the endpoint its call was over. */
+    /** Nor does a rejection, which otherwise proves that nothing ran: to the endpoint the call was over. */
     @Test
-    void aRefusalBehindOurEndOfTheCallProvesNothing() throws Exception {
+    void aRejectionAfterTheHaltProvesNothing() throws Exception {
         endpoint(r -> {
-            awaitEnd(r);
+            awaitHalt(r);
             r.answer(429, "Retry-After: 0.5");
         });
-        call(new Asked(1, TIME_MS, LONG_MS));
-        Outcome o = next();
-        assertThat(o.result()).isEqualTo(Result.TIMEOUT);
-        assertThat(o.waitMs()).as("its wait binds").isEqualTo(500);
-        nothingMore();
+        call(new TestMessage(1, TIMEOUT_MS, LONG_MS));
+        Outcome outcome = next();
+        assertThat(outcome.result()).isEqualTo(Result.TIMEOUT);
+        assertThat(outcome.waitMs()).as("its Retry-After applies").isEqualTo(500);
+        assertNoFurtherOutcome();
     }
 
-    /** In pieces across our end: a whole first line with 200 delivers one, several only a whole answer. */
+    /**
+     * One message is delivered by a complete status line with 200 before the halt, several only by a whole response.
+     */
     @ParameterizedTest
     @CsvSource({"1,8,TIMEOUT", "1,16,OK", "1,40,OK", "2,16,TIMEOUT", "2,40,TIMEOUT"})
-    void anAnswerInPiecesAcrossOurEnd(int messages, int before, Result result) throws Exception {
+    void aResponseInPiecesBeforeAndAfterTheHalt(int messages, int before, Result result) throws Exception {
         byte[] body = messages == 1 ? new byte[4] : ok(messages);
         byte[] head = head(body.length);
         byte[] all = new byte[head.length + body.length];
@@ -305,27 +316,27 @@
         BlockingQueue<Boolean> written = new LinkedBlockingQueue<>();
         endpoint(r -> {
             byte[] piece = java.util.Arrays.copyOf(all, before);
-            Await.until("near its end", () -> !written.isEmpty());
+            Await.until("shortly before the timeout", () -> !written.isEmpty());
             r.write(piece);
-            awaitEnd(r);
+            awaitHalt(r);
             r.write(java.util.Arrays.copyOfRange(all, before, all.length));
         });
         double[] from = new double[1];
-        Asked[] asked = new Asked[messages];
+        TestMessage[] testMessages = new TestMessage[messages];
         for (int i = 0; i < messages; i++) {
-            asked[i] = new Asked(i + 1, TIME_MS, LONG_MS);
+            testMessages[i] = new TestMessage(i + 1, TIMEOUT_MS, LONG_MS);
         }
-        call(asked);
+        call(testMessages);
         next(calls);
         from[0] = loop.now();
-        // So late that what has begun is not taken for one that never ends (200 ms), and in time to be read.
-        Await.until("most of its time over", () -> loop.now() - from[0] > TIME_MS - 150);
+        // Late enough that the response timeout (200 ms) does not expire first, early enough for the piece to be read.
+        Await.until("shortly before the timeout", () -> loop.now() - from[0] > TIMEOUT_MS - 150);
         written.add(true);
         for (int i = 0; i < messages; i++) {
-            Outcome o = next();
-            assertThat(o.result()).isEqualTo(result);
-            assertThat(o.over()).isEqualTo(result == Result.OK);
+            Outcome outcome = next();
+            assertThat(outcome.result()).isEqualTo(result);
+            assertThat(outcome.over()).isEqualTo(result == Result.OK);
         }
-        nothingMore();
+        assertNoFurtherOutcome();
     }
 }
--- a/src/test/java/firstair/relay/endpoints/DyingDialer.java
+++ b/src/test/java/firstair/relay/endpoints/StaleConnectionDialer.java
@@ -4,27 +4,27 @@
 import firstair.relay.net.Link;
 import java.net.InetSocketAddress;
 
-/** Opens connections as another does; kept ones seem to be alive until something is sent on them. */
-final class DyingDialer implements Dialer {
-    volatile boolean dead;
+/** A dialer whose existing connections can turn stale: they seem to be alive until something is sent on them. */
+final class StaleConnectionDialer implements Dialer {
+    volatile boolean stale;
     private final Dialer real;
 
-    DyingDialer(Dialer real) {
+    StaleConnectionDialer(Dialer real) {
         this.real = real;
     }
 
     @Override
     public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
-        boolean before = dead;
+        boolean openedWhileStale = stale;
         Link link = real.open(to, maxBody, request, first, closedIdle);
         return new Link() {
             @Override
-            public boolean send(byte[] again, Exchange next) {
-                if (dead && !before) {
+            public boolean send(byte[] nextRequest, Exchange next) {
+                if (stale && !openedWhileStale) {
                     link.leave();
                     return false;
                 }
-                return link.send(again, next);
+                return link.send(nextRequest, next);
             }
 
             @Override
