--- a/src/main/java/firstair/settings/Contradictions.java
+++ b/src/main/java/firstair/settings/Contradictions.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * What no relay can serve by, though each value can be read. Only that: a deployment that tells less than others, or
- * figures that make little sense beside each other, is served all the same, since a relay that does not start serves
- * nobody. Of the relay alone; the simulator's settings come from its own hand.
+ * Rejects settings that can be parsed but that no relay can work with. Nothing else is rejected: missing settings, or
+ * values that make little sense together, are accepted, since a relay that does not start serves nobody. Used by the
+ * relay only; the simulator generates its own settings.
  */
 public final class Contradictions {
-    private static final List<String> TIMES = List.of(
+    private static final List<String> NON_NEGATIVE = List.of(
             "quantum",
             "limits.connectTimeout",
             "limits.connIdle",
@@ -23,47 +23,48 @@
             "safety.fallMultiple",
             "safety.overloadFor",
             "safety.settleAfterDoubt");
-    private static final List<String> OF_CLASSES =
+    private static final List<String> NON_NEGATIVE_PER_CLASS =
             List.of("aim", "aimStretch", "deadline", "repeatWindow", "importance", "lateValue");
-    private static final List<String> EFFECTS = List.of("retryable", "dedup", "fragile");
-    private static final List<String> GROUPS = List.of("", "all", "zone", "cell"); // a cell is a destination here
+    private static final List<String> SEMANTICS = List.of("retryable", "dedup", "fragile");
+    private static final List<String> GROUPS = List.of("", "all", "zone", "cell"); // "cell" means a single destination
 
     private Contradictions() {}
 
-    /** Ends in the exception of {@link Fields#bad} at the first one. */
-    public static void refuse(Fields s) {
-        TIMES.forEach(name -> notNegative(s, name));
+    /** Throws the exception of {@link Fields#bad} for the first contradiction found. */
+    public static void refuse(Fields fields) {
+        NON_NEGATIVE.forEach(name -> requireNonNegative(fields, name));
         Set<String> names = new HashSet<>();
-        long count = s.whole("classes.count", 0);
+        long count = fields.whole("classes.count", 0);
         for (int i = 0; i < count; i++) {
-            String p = "classes." + i + ".";
-            String name = s.text(p + "name", String.valueOf(i));
+            String prefix = "classes." + i + ".";
+            String name = fields.text(prefix + "name", String.valueOf(i));
             if (!names.add(name)) {
-                throw s.bad(p + "name", "named twice: " + name);
+                throw fields.bad(prefix + "name", "duplicate name: " + name);
             }
-            OF_CLASSES.forEach(field -> notNegative(s, p + field));
-            if (s.has(p + "deadline") && s.number(p + "deadline") == 0) {
-                throw s.bad(p + "deadline", "no time to deliver in: 0");
+            NON_NEGATIVE_PER_CLASS.forEach(field -> requireNonNegative(fields, prefix + field));
+            if (fields.has(prefix + "deadline") && fields.number(prefix + "deadline") == 0) {
+                throw fields.bad(prefix + "deadline", "must be greater than 0: 0");
             }
-            // Read as another effect, what must not run twice would run twice.
-            String effect = s.text(p + "semantics", "retryable");
-            if (!EFFECTS.contains(effect)) {
-                throw s.bad(p + "semantics", "neither retryable nor dedup nor fragile: " + effect);
+            // Falling back to a default here could run a message twice that must not run twice.
+            String semantics = fields.text(prefix + "semantics", "retryable");
+            if (!SEMANTICS.contains(semantics)) {
+                throw fields.bad(prefix + "semantics", "neither retryable nor dedup nor fragile: " + semantics);
             }
-            if (effect.equals("dedup")) {
-                if (!GROUPS.contains(s.text(p + "group", "all"))) {
-                    throw s.bad(p + "group", "neither all nor zone nor cell: " + s.text(p + "group"));
+            if (semantics.equals("dedup")) {
+                if (!GROUPS.contains(fields.text(prefix + "group", "all"))) {
+                    throw fields.bad(
+                            prefix + "group", "neither all nor zone nor cell: " + fields.text(prefix + "group"));
                 }
-                if (!(s.number(p + "repeatWindow", 0) > 0)) {
-                    throw s.bad(p + "repeatWindow", "dedup needs a time for which repeats are dropped");
+                if (!(fields.number(prefix + "repeatWindow", 0) > 0)) {
+                    throw fields.bad(prefix + "repeatWindow", "dedup requires a repeat window greater than 0");
                 }
             }
         }
     }
 
-    private static void notNegative(Fields s, String name) {
-        if (s.has(name) && s.number(name) < 0) {
-            throw s.bad(name, "less than 0: " + s.text(name));
+    private static void requireNonNegative(Fields fields, String name) {
+        if (fields.has(name) && fields.number(name) < 0) {
+            throw fields.bad(name, "must not be negative: " + fields.text(name));
         }
     }
 }
--- a/src/main/java/firstair/settings/Facts.java
+++ b/src/main/java/firstair/settings/Facts.java
@@ -13,126 +13,131 @@
 import java.util.List;
 
 /**
- * Reads a relay's settings from their paths and values, whichever host they reach. Keys that are not known are
- * passed over. A key that is absent stands for "nothing imposed": 0, false or empty; group size 1; kinds that
- * share one limit and carry one message a call; classes that are safe to repeat.
+ * Reads a relay's settings from paths and values, both for the relay and for the simulator's adapter. Unknown keys are
+ * ignored. An absent key means that nothing is restricted: 0, false or empty; group size 1; kinds whose endpoints share
+ * one limit and that carry one message per call; classes that are safe to repeat.
  */
 public final class Facts {
     private Facts() {}
 
-    /** Reads all settings; a value that cannot be read ends in the exception of {@link Fields#bad}. */
-    public static Settings read(Fields s) {
+    /** Reads all settings; throws the exception of {@link Fields#bad} for a value that cannot be parsed. */
+    public static Settings read(Fields fields) {
         return new Settings(
-                Math.max(1, count(s, "groupSize", 1)),
-                count(s, "slotNo", 0),
-                count(s, "az", 0),
-                s.text("discovery", "push").equals("ask"),
-                choice(s, "weightKind", "none", "nominal", Weight.NOMINAL, "rough", Weight.ROUGH, Weight.NONE),
-                limitsTold(s),
-                choice(s, "familyInfo.late", "linear", "halving", LateCurve.HALVING, "", null, LateCurve.LINEAR),
-                classes(s),
-                kinds(s),
-                limits(s),
-                rules(s));
+                Math.max(1, count(fields, "groupSize", 1)),
+                count(fields, "slotNo", 0),
+                count(fields, "az", 0),
+                fields.text("discovery", "push").equals("ask"),
+                choice(fields, "weightKind", "none", "nominal", Weight.NOMINAL, "rough", Weight.ROUGH, Weight.NONE),
+                responsesReportLimits(fields),
+                choice(fields, "familyInfo.late", "linear", "halving", LateCurve.HALVING, "", null, LateCurve.LINEAR),
+                classes(fields),
+                kinds(fields),
+                limits(fields),
+                rules(fields));
     }
 
-    /** Without the keys answers are taken to tell limits. Reports in probes alone tell nothing: nobody probes. */
-    private static boolean limitsTold(Fields s) {
-        String how = s.text("loadReport.how", "answers");
-        if (!List.of("answers", "probe", "none").contains(how)) {
-            throw s.bad("loadReport.how", "neither answers nor probe nor none: " + how);
+    /**
+     * Whether responses report limits, which is the default. Reports that come only in answers to probes do not count,
+     * since the relay sends no probes.
+     */
+    private static boolean responsesReportLimits(Fields fields) {
+        String source = fields.text("loadReport.how", "answers");
+        if (!List.of("answers", "probe", "none").contains(source)) {
+            throw fields.bad("loadReport.how", "neither answers nor probe nor none: " + source);
         }
-        return how.equals("answers")
-                && List.of(s.text("loadReport.names", "x1").split(",")).contains("x1");
+        return source.equals("answers")
+                && List.of(fields.text("loadReport.names", "x1").split(",")).contains("x1");
     }
 
-    private static List<MessageClass> classes(Fields s) {
+    private static List<MessageClass> classes(Fields fields) {
         List<MessageClass> all = new ArrayList<>();
-        long count = s.whole("classes.count", 0);
+        long count = fields.whole("classes.count", 0);
         for (int i = 0; i < count; i++) {
-            String p = "classes." + i + ".";
+            String prefix = "classes." + i + ".";
             all.add(new MessageClass(
-                    s.text(p + "name", String.valueOf(i)),
+                    fields.text(prefix + "name", String.valueOf(i)),
                     choice(
-                            s,
-                            p + "semantics",
+                            fields,
+                            prefix + "semantics",
                             "retryable",
                             "dedup",
                             Effect.KEYED,
                             "fragile",
                             Effect.UNSAFE,
                             Effect.SAFE),
-                    choice(s, p + "group", "all", "zone", Scope.ZONE, "", null, Scope.ALL),
-                    s.flag(p + "sequential", false),
-                    s.flag(p + "streaming", false),
-                    s.number(p + "aim", 0),
-                    s.number(p + "aimStretch", 0),
-                    s.number(p + "deadline", 0),
-                    s.number(p + "repeatWindow", 0),
-                    s.number(p + "importance", 1),
-                    s.number(p + "lateValue", 0)));
+                    choice(fields, prefix + "group", "all", "zone", Scope.ZONE, "", null, Scope.ALL),
+                    fields.flag(prefix + "sequential", false),
+                    fields.flag(prefix + "streaming", false),
+                    fields.number(prefix + "aim", 0),
+                    fields.number(prefix + "aimStretch", 0),
+                    fields.number(prefix + "deadline", 0),
+                    fields.number(prefix + "repeatWindow", 0),
+                    fields.number(prefix + "importance", 1),
+                    fields.number(prefix + "lateValue", 0)));
         }
         return all;
     }
 
-    private static List<Kind> kinds(Fields s) {
-        String[] apart = s.text("familyInfo.kindApart", "").split(",");
-        String[] bundle = s.text("familyInfo.bundleMax", "").split(",");
+    private static List<Kind> kinds(Fields fields) {
+        String[] apartFlags = fields.text("familyInfo.kindApart", "").split(",");
+        String[] bundleSizes = fields.text("familyInfo.bundleMax", "").split(",");
         List<Kind> all = new ArrayList<>();
-        for (int i = 0; i < Math.max(apart.length, bundle.length); i++) {
-            long most = 1;
-            if (i < bundle.length && !bundle[i].isEmpty()) {
+        for (int i = 0; i < Math.max(apartFlags.length, bundleSizes.length); i++) {
+            long bundleMax = 1;
+            if (i < bundleSizes.length && !bundleSizes[i].isEmpty()) {
                 try {
-                    most = Long.parseLong(bundle[i]);
+                    bundleMax = Long.parseLong(bundleSizes[i]);
                 } catch (NumberFormatException e) {
-                    throw s.bad("familyInfo.bundleMax", "not a whole number: " + bundle[i]);
+                    throw fields.bad("familyInfo.bundleMax", "not a whole number: " + bundleSizes[i]);
                 }
             }
-            boolean routes = i < apart.length && (apart[i].equals("true") || apart[i].equals("1"));
-            all.add(new Kind(routes, Math.max(1, within(most))));
+            boolean routesApart = i < apartFlags.length && (apartFlags[i].equals("true") || apartFlags[i].equals("1"));
+            all.add(new Kind(routesApart, Math.max(1, clampToInt(bundleMax))));
         }
         return all;
     }
 
-    private static Limits limits(Fields s) {
+    private static Limits limits(Fields fields) {
         return new Limits(
-                count(s, "familyInfo.maxCalls", 0),
-                count(s, "limits.maxOpen", 0),
-                count(s, "limits.maxAttempts", 0),
-                s.flag("limits.cancelling", false),
-                s.flag("limits.probes", false),
-                s.flag("limits.peers", false),
-                s.flag("limits.retryAfter", false),
-                s.number("limits.maxRetryAfter", 0),
-                s.flag("limits.mayDuplicate", false),
-                count(s, "limits.multiplex", 1),
-                s.number("limits.connectTimeout", 0),
-                s.number("limits.connIdle", 0));
+                count(fields, "familyInfo.maxCalls", 0),
+                count(fields, "limits.maxOpen", 0),
+                count(fields, "limits.maxAttempts", 0),
+                fields.flag("limits.cancelling", false),
+                fields.flag("limits.probes", false),
+                fields.flag("limits.peers", false),
+                fields.flag("limits.retryAfter", false),
+                fields.number("limits.maxRetryAfter", 0),
+                fields.flag("limits.mayDuplicate", false),
+                count(fields, "limits.multiplex", 1),
+                fields.number("limits.connectTimeout", 0),
+                fields.number("limits.connIdle", 0));
     }
 
-    private static Rules rules(Fields s) {
+    private static Rules rules(Fields fields) {
         return new Rules(
-                s.number("safety.answerSlack", 0),
-                s.number("safety.askEvery", 0),
-                s.number("safety.drainGrace", 0),
-                s.number("safety.startCapacity", 0),
-                s.number("safety.warmAfter", 0),
-                s.number("safety.fallMultiple", 0),
-                s.number("safety.overloadFor", 0),
-                s.number("safety.settleAfterDoubt", 0));
+                fields.number("safety.answerSlack", 0),
+                fields.number("safety.askEvery", 0),
+                fields.number("safety.drainGrace", 0),
+                fields.number("safety.startCapacity", 0),
+                fields.number("safety.warmAfter", 0),
+                fields.number("safety.fallMultiple", 0),
+                fields.number("safety.overloadFor", 0),
+                fields.number("safety.settleAfterDoubt", 0));
     }
 
-    private static int count(Fields s, String name, int absent) {
-        return within(s.whole(name, absent));
+    private static int count(Fields fields, String name, int absent) {
+        return clampToInt(fields.whole(name, absent));
     }
 
-    /** What counts more than can be counted imposes nothing; cut to its lower bits it would impose anything. */
-    private static int within(long whole) {
-        return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, whole));
+    /** Clamps to the int range: a value too large restricts nothing, but its lower 32 bits could mean any limit. */
+    private static int clampToInt(long value) {
+        return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, value));
     }
 
-    private static <T> T choice(Fields s, String name, String absent, String a, T forA, String b, T forB, T other) {
-        String v = s.text(name, absent);
-        return v.equals(a) ? forA : v.equals(b) ? forB : other;
+    /** Maps the value of a setting to a result: two values to one of their own each, any other to the fallback. */
+    private static <T> T choice(
+            Fields fields, String name, String absent, String valueA, T resultA, String valueB, T resultB, T fallback) {
+        String value = fields.text(name, absent);
+        return value.equals(valueA) ? resultA : value.equals(valueB) ? resultB : fallback;
     }
 }
--- a/src/main/java/firstair/settings/Fields.java
+++ b/src/main/java/firstair/settings/Fields.java
@@ -1,87 +1,87 @@
 package firstair.settings;
 
-/** Named values as text, and their readings. */
+/** Named text values, with typed access to them. */
 public abstract class Fields {
     /** The value of a name, or null if it is absent. */
     protected abstract String value(String name);
 
-    /** What is wrong with a field, as this source's exception. */
+    /** Creates the exception of this source for an invalid field. */
     public abstract RuntimeException bad(String name, String what);
 
-    /** Tells whether the field is there. */
+    /** Whether the field is present. */
     public final boolean has(String name) {
         return value(name) != null;
     }
 
-    /** A field that must be there. */
+    /** A required field. */
     public final String text(String name) {
-        String v = value(name);
-        if (v == null) {
+        String value = value(name);
+        if (value == null) {
             throw bad(name, "missing");
         }
-        return v;
+        return value;
     }
 
-    /** A field, or {@code absent} without it. */
+    /** A field, or {@code absent} if there is none. */
     public final String text(String name, String absent) {
-        String v = value(name);
-        return v == null ? absent : v;
+        String value = value(name);
+        return value == null ? absent : value;
     }
 
-    /** A finite number that must be there. */
+    /** A required finite number. */
     public final double number(String name) {
-        String v = text(name);
-        double d;
+        String value = text(name);
+        double number;
         try {
-            d = Double.parseDouble(v);
+            number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(name, "not a number: " + v);
+            throw bad(name, "not a number: " + value);
         }
-        if (!Double.isFinite(d)) {
-            throw bad(name, "not a finite number: " + v);
+        if (!Double.isFinite(number)) {
+            throw bad(name, "not a finite number: " + value);
         }
-        return d;
+        return number;
     }
 
-    /** A finite number, or {@code absent} without it. */
+    /** A finite number, or {@code absent} if there is none. */
     public final double number(String name, double absent) {
         return has(name) ? number(name) : absent;
     }
 
-    /** A whole number that must be there. */
+    /** A required whole number. */
     public final long whole(String name) {
-        String v = text(name);
+        String value = text(name);
         try {
-            return Long.parseLong(v);
+            return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw bad(name, "not a whole number: " + v);
+            throw bad(name, "not a whole number: " + value);
         }
     }
 
-    /** A whole number, or {@code absent} without it. */
+    /** A whole number, or {@code absent} if there is none. */
     public final long whole(String name, long absent) {
         return has(name) ? whole(name) : absent;
     }
 
-    /** A whole number that can count or index. */
+    /** A required whole number from 0 to {@link Integer#MAX_VALUE}. */
     public final int index(String name) {
-        long v = whole(name);
-        if (v < 0 || v > Integer.MAX_VALUE) {
-            throw bad(name, "out of range: " + v);
+        long value = whole(name);
+        if (value < 0 || value > Integer.MAX_VALUE) {
+            throw bad(name, "out of range: " + value);
         }
-        return (int) v;
+        return (int) value;
     }
 
-    /** A truth value, or {@code absent} without it. */
+    /** A boolean, or {@code absent} if there is none. */
     public final boolean flag(String name, boolean absent) {
-        String v = value(name);
-        if (v == null) {
+        String value = value(name);
+        if (value == null) {
             return absent;
         }
-        return switch (v) {
+        return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw bad(name, "not a bool: " + v);
+            default -> throw bad(name, "not a boolean: " + value);
         };
     }
 }
