--- a/src/main/java/firstair/simhost/Line.java
+++ b/src/main/java/firstair/simhost/Line.java
@@ -4,30 +4,30 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One line of the wire: its word and its fields. */
+/** One line of the simulator's protocol: a word that names the message, and its fields. */
 final class Line extends Fields {
     private final long number;
     private final String word;
     private final Map<String, String> fields = new LinkedHashMap<>();
 
-    /** Splits a line; {@code number} is its place in the input, counted from 1. */
+    /** Parses a line; {@code number} is its line number in the input, counted from 1. */
     Line(long number, String text) {
         this.number = number;
-        int end = text.indexOf('\t');
-        word = end < 0 ? text : text.substring(0, end);
-        int at = end < 0 ? text.length() + 1 : end + 1;
-        while (at <= text.length()) {
-            int stop = text.indexOf('\t', at);
-            if (stop < 0) {
-                stop = text.length();
+        int wordEnd = text.indexOf('\t');
+        word = wordEnd < 0 ? text : text.substring(0, wordEnd);
+        int fieldStart = wordEnd < 0 ? text.length() + 1 : wordEnd + 1;
+        while (fieldStart <= text.length()) {
+            int fieldEnd = text.indexOf('\t', fieldStart);
+            if (fieldEnd < 0) {
+                fieldEnd = text.length();
             }
-            int eq = text.indexOf('=', at);
-            if (eq <= at || eq >= stop) {
+            int equalsAt = text.indexOf('=', fieldStart);
+            if (equalsAt <= fieldStart || equalsAt >= fieldEnd) {
                 throw new WireException(
-                        "line " + number + " (" + word + "): not name=value: " + text.substring(at, stop));
+                        "line " + number + " (" + word + "): not name=value: " + text.substring(fieldStart, fieldEnd));
             }
-            fields.put(text.substring(at, eq), text.substring(eq + 1, stop));
-            at = stop + 1;
+            fields.put(text.substring(fieldStart, equalsAt), text.substring(equalsAt + 1, fieldEnd));
+            fieldStart = fieldEnd + 1;
         }
     }
 
@@ -40,13 +40,12 @@
         return fields.get(name);
     }
 
-    /** What is wrong with this line, in one sentence. */
     @Override
-    public WireException bad(String name, String what) {
-        return new WireException("line " + number + " (" + word + "): field " + name + ": " + what);
+    public WireException bad(String name, String problem) {
+        return new WireException("line " + number + " (" + word + "): field " + name + ": " + problem);
     }
 
-    WireException bad(String what) {
-        return new WireException("line " + number + ": " + what);
+    WireException bad(String problem) {
+        return new WireException("line " + number + ": " + problem);
     }
 }
--- a/src/main/java/firstair/simhost/SimHost.java
+++ b/src/main/java/firstair/simhost/SimHost.java
@@ -24,28 +24,32 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Hosts one {@link Control} for each instance on the simulator's wire. It translates and decides nothing. */
+/**
+ * Adapter for the simulator: runs one {@link Control} for each simulated relay and translates between its calls and the
+ * simulator's line protocol. Makes no decisions of its own.
+ */
 public final class SimHost {
-    private static final int AGAIN = 2;
-    private static final int HINT_VALID = 1;
-    private static final int FROM_DEAD = 16;
+    // Bits of the field "bitmap" of a request.
+    private static final int FLAG_RETRY = 2;
+    private static final int FLAG_ESTIMATE_VALID = 1;
+    private static final int FLAG_FROM_FAILED_RELAY = 16;
 
     private final BufferedReader in;
     private final OutputStream out;
     private final Map<Long, Instance> instances = new HashMap<>();
     private final Map<Long, List<Entry>> lists = new HashMap<>();
-    private final LinkedHashSet<Instance> touched = new LinkedHashSet<>();
+    private final LinkedHashSet<Instance> changed = new LinkedHashSet<>(); // have had an event in this batch
     private long lineNumber;
 
-    /** Reads batches from {@code in} and writes one reply each to {@code out}. */
+    /** Reads batches from {@code in} and writes one reply to each of them to {@code out}. */
     public SimHost(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
 
-    /** Serves until the end of the input. */
+    /** Processes batches until the end of the input. */
     public void run() throws IOException {
-        for (Line head = next(); head != null; head = next()) {
+        for (Line head = nextLine(); head != null; head = nextLine()) {
             if (!head.word().equals("batch")) {
                 throw head.bad("batch expected, found " + head.word());
             }
@@ -53,13 +57,13 @@
         }
     }
 
-    private Line next() throws IOException {
+    private Line nextLine() throws IOException {
         String text = in.readLine();
         return text == null ? null : new Line(++lineNumber, text);
     }
 
-    private Line require() throws IOException {
-        Line line = next();
+    private Line requireLine() throws IOException {
+        Line line = nextLine();
         if (line == null) {
             throw new WireException("line " + lineNumber + ": the input ends inside a batch");
         }
@@ -67,43 +71,43 @@
     }
 
     private void batch(double now) throws IOException {
-        touched.clear();
-        for (Line line = require(); !line.word().equals("commit"); line = require()) {
-            event(now, line);
+        changed.clear();
+        for (Line line = requireLine(); !line.word().equals("commit"); line = requireLine()) {
+            handleEvent(now, line);
         }
         StringBuilder reply = new StringBuilder();
-        for (Instance one : touched) {
-            one.guarded(c -> c.decide(now));
-            reply.append(one.actions);
-            one.actions.setLength(0);
+        for (Instance instance : changed) {
+            instance.runGuarded(c -> c.decide(now));
+            reply.append(instance.actions);
+            instance.actions.setLength(0);
         }
         reply.append("ack\n");
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
     }
 
-    private void event(double now, Line line) throws IOException {
+    private void handleEvent(double now, Line line) throws IOException {
         switch (line.word()) {
             case "snapshot_rows" -> lists.put(line.whole("setId"), entries(line));
             case "start" -> start(line);
-            case "exit" -> touched.remove(instances.remove(instance(line).who));
+            case "exit" -> changed.remove(instances.remove(instance(line).instanceId));
             case "membership" -> membership(now, line);
             case "request" -> request(now, line);
             case "settled" -> settled(now, line);
             case "ack_first" -> {
-                Instance one = instance(line);
-                long id = known(one, line);
+                Instance instance = instance(line);
+                long id = knownTicket(instance, line);
                 int n = line.index("n");
-                one.guarded(c -> c.begun(now, id, n));
+                instance.runGuarded(c -> c.begun(now, id, n));
             }
             case "timed_out_client" -> {
-                Instance one = instance(line);
-                long id = known(one, line);
-                one.guarded(c -> c.withdrawn(now, id));
+                Instance instance = instance(line);
+                long id = knownTicket(instance, line);
+                instance.runGuarded(c -> c.withdrawn(now, id));
             }
             case "ring" -> {
                 line.whole("mark");
-                instance(line).guarded(c -> c.timer(now));
+                instance(line).runGuarded(c -> c.timer(now));
             }
             case "echo", "datagram" -> instance(line);
             default -> throw line.bad("unknown message " + line.word());
@@ -114,7 +118,7 @@
         int count = head.index("elements");
         List<Entry> list = new ArrayList<>(Math.min(count, 1 << 16));
         for (int i = 0; i < count; i++) {
-            Line line = require();
+            Line line = requireLine();
             if (!line.word().equals("entry")) {
                 throw line.bad("entry expected, found " + line.word());
             }
@@ -137,18 +141,18 @@
     }
 
     private void start(Line line) {
-        Instance one = new Instance(line.whole("who"));
+        Instance instance = new Instance(line.whole("who"));
         long seed = line.whole("rngSeed");
         Controller.Settings settings = Facts.read(line);
-        one.classes = settings.classes().size();
-        one.control = new Control(settings, seed, one);
-        Instance before = instances.put(one.who, one);
-        touched.remove(before);
-        touched.add(one);
+        instance.classes = settings.classes().size();
+        instance.control = new Control(settings, seed, instance);
+        Instance previous = instances.put(instance.instanceId, instance);
+        changed.remove(previous);
+        changed.add(instance);
     }
 
     private void membership(double now, Line line) {
-        Instance one = instance(line);
+        Instance instance = instance(line);
         News news =
                 switch (line.text("how")) {
                     case "diff" -> News.CHANGES;
@@ -161,44 +165,44 @@
         if (news != News.FAILED) {
             list = lists.get(line.whole("setId"));
             if (list == null) {
-                throw line.bad("setId", "never given: " + line.text("setId"));
+                throw line.bad("setId", "unknown: " + line.text("setId"));
             }
         }
         for (Entry e : list) {
-            one.endpoints.add(e.endpoint());
+            instance.endpoints.add(e.endpoint());
         }
-        List<Entry> told = list;
-        one.guarded(c -> c.list(now, news, told));
+        List<Entry> announced = list;
+        instance.runGuarded(c -> c.list(now, news, announced));
     }
 
     private void request(double now, Line line) {
-        Instance one = instance(line);
+        Instance instance = instance(line);
         long id = line.whole("ticket");
-        int bits = (int) line.whole("bitmap", 0);
+        int flags = (int) line.whole("bitmap", 0);
         int type = line.index("type");
-        if (type >= one.classes) {
+        if (type >= instance.classes) {
             throw line.bad("type", "no such class: " + type);
         }
-        Message m = new Message(
+        Message message = new Message(
                 id,
                 type,
                 line.index("toDest"),
                 line.text("pathKey", null),
                 line.number("dropDead"),
-                (bits & HINT_VALID) != 0 ? line.number("estimate", 0) : 0,
-                (bits & AGAIN) != 0,
-                (bits & FROM_DEAD) != 0,
+                (flags & FLAG_ESTIMATE_VALID) != 0 ? line.number("estimate", 0) : 0,
+                (flags & FLAG_RETRY) != 0,
+                (flags & FLAG_FROM_FAILED_RELAY) != 0,
                 List.of());
-        one.tickets.add(id);
-        one.guarded(c -> c.taken(now, m));
+        instance.tickets.add(id);
+        instance.runGuarded(c -> c.taken(now, message));
     }
 
     private void settled(double now, Line line) {
-        Instance one = instance(line);
-        long id = known(one, line);
+        Instance instance = instance(line);
+        long id = knownTicket(instance, line);
         String endpoint = line.text("endpoint");
-        if (!one.endpoints.contains(endpoint)) {
-            throw line.bad("endpoint", "never given: " + endpoint);
+        if (!instance.endpoints.contains(endpoint)) {
+            throw line.bad("endpoint", "unknown: " + endpoint);
         }
         Result result =
                 switch ((int) line.whole("status")) {
@@ -212,7 +216,7 @@
                     case 9 -> Result.NOT_SENT;
                     default -> throw line.bad("status", "unknown: " + line.text("status"));
                 };
-        Outcome o = new Outcome(
+        Outcome outcome = new Outcome(
                 id,
                 line.index("n"),
                 endpoint,
@@ -221,7 +225,7 @@
                 line.flag("complete", false),
                 result == Result.FULL ? line.number("detail", 0) : 0,
                 load(line));
-        one.guarded(c -> c.ended(now, o));
+        instance.runGuarded(c -> c.ended(now, outcome));
     }
 
     private static Load load(Line line) {
@@ -231,10 +235,10 @@
             int colon = pair.indexOf(':');
             if (colon > 0) {
                 try {
-                    double v = Double.parseDouble(pair.substring(colon + 1));
+                    double value = Double.parseDouble(pair.substring(colon + 1));
                     switch (pair.substring(0, colon)) {
-                        case "x0" -> left = v;
-                        case "x1" -> limit = v;
+                        case "x0" -> left = value;
+                        case "x1" -> limit = value;
                         default -> {}
                     }
                 } catch (NumberFormatException e) {
@@ -246,26 +250,26 @@
     }
 
     private Instance instance(Line line) {
-        long who = line.whole("who");
-        Instance one = instances.get(who);
-        if (one == null) {
-            throw line.bad("who", "not started: " + who);
+        long instanceId = line.whole("who");
+        Instance instance = instances.get(instanceId);
+        if (instance == null) {
+            throw line.bad("who", "not started: " + instanceId);
         }
-        touched.add(one);
-        return one;
+        changed.add(instance);
+        return instance;
     }
 
-    private static long known(Instance one, Line line) {
+    private static long knownTicket(Instance instance, Line line) {
         long id = line.whole("ticket");
-        if (!one.tickets.contains(id)) {
-            throw line.bad("ticket", "never given: " + id);
+        if (!instance.tickets.contains(id)) {
+            throw line.bad("ticket", "unknown: " + id);
         }
         return id;
     }
 
-    /** One relay: its decisions, and its actions in the wire's words. */
+    /** One simulated relay: its control, and its actions written as lines of the protocol. */
     private static final class Instance implements Controller.Actions {
-        final long who;
+        final long instanceId;
         final StringBuilder actions = new StringBuilder();
         final Set<Long> tickets = new HashSet<>();
         final Set<String> endpoints = new HashSet<>();
@@ -273,21 +277,21 @@
         int classes = Integer.MAX_VALUE;
         private boolean failed;
 
-        Instance(long who) {
-            this.who = who;
+        Instance(long instanceId) {
+            this.instanceId = instanceId;
         }
 
-        interface Step {
+        interface ControlCall {
             void run(Controller c);
         }
 
-        /** An exception in the decision code is told to the simulator in place of guessed actions. */
-        void guarded(Step step) {
+        /** Reports an exception to the simulator instead of guessing actions, and ignores all further events. */
+        void runGuarded(ControlCall call) {
             if (failed) {
                 return;
             }
             try {
-                step.run(control);
+                call.run(control);
             } catch (RuntimeException e) {
                 failed = true;
                 e.printStackTrace();
@@ -298,13 +302,13 @@
             }
         }
 
-        /** Milliseconds to the microsecond, never in exponent form. */
-        private static String ms(double v) {
-            return java.math.BigDecimal.valueOf(Math.round(v * 1000), 3).toPlainString();
+        /** Formats milliseconds with microsecond precision, never in exponent form. */
+        private static String formatMs(double value) {
+            return java.math.BigDecimal.valueOf(Math.round(value * 1000), 3).toPlainString();
         }
 
         private StringBuilder line(String word) {
-            return actions.append(word).append("\twho=").append(who);
+            return actions.append(word).append("\twho=").append(instanceId);
         }
 
         private StringBuilder ticket(String word, long id) {
@@ -317,7 +321,7 @@
                     .append("\tendpoint=")
                     .append(endpoint)
                     .append("\tgiveUpAfter=")
-                    .append(ms(timeoutMs))
+                    .append(formatMs(timeoutMs))
                     .append('\n');
         }
 
@@ -330,7 +334,7 @@
         public void refuse(long id, double afterMs) {
             ticket("refuse", id);
             if (afterMs > 0) {
-                actions.append("\tstayAway=").append(ms(afterMs));
+                actions.append("\tstayAway=").append(formatMs(afterMs));
             }
             actions.append('\n');
         }
@@ -347,7 +351,7 @@
 
         @Override
         public void wake(double inMs) {
-            line("after").append("\tin=").append(ms(inMs)).append("\tmark=0\n");
+            line("after").append("\tin=").append(formatMs(inMs)).append("\tmark=0\n");
         }
 
         @Override
