--- a/src/main/java/firstair/fleet/booking/Booked.java
+++ b/src/main/java/firstair/fleet/booking/Booked.java
@@ -10,28 +10,29 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What one relay may send on bookings and beside them, by the newest {@link Sealed} that it has. Wall clocks are at
- * most {@code skewMs} off; around starts and ends a relay uses a booking only when its time has surely come, and leaves
- * it alone whenever it may have. Without a set that covers now it sends nothing on bookings and leaves all that can be
- * booked alone.
+ * The rates that a relay may use for bookings and for ordinary traffic, according to the newest {@link SealedBookings}
+ * that it has received. Wall clocks are off by at most {@code skewMs}; around the start and the end of a booking a
+ * relay uses the booking only when it is certainly active, and keeps ordinary traffic off its capacity whenever it may
+ * be active. Without a set that covers the current time it sends nothing on bookings, and keeps ordinary traffic off
+ * all bookable capacity.
  *
- * <p>Sums over the fleet hold because each relay multiplies with its own parts of a whole, and because what is granted
- * or given back later concerns only times that the set of no relay covers.
+ * <p>The limits hold for the whole fleet because each relay applies its own share of each total, and because later
+ * grants and releases only concern times that no relay's set covers.
  */
 public final class Booked {
-    private static final int MOST_DESTINATIONS = 10_000;
-    private static final int SECONDS = 5; // a booking's use is remembered for so long
-    private static final double HEADROOM = 2; // so many times its use is not borrowed
-    private static final double SECOND_MS = 1000;
+    private static final int MAX_DESTINATIONS = 10_000;
+    private static final int USAGE_WINDOW_S = 5; // how long the usage of a booking is remembered
+    private static final double BORROWING_HEADROOM = 2; // multiple of the peak usage of a booking that is not borrowed
+    private static final double MS_PER_SECOND = 1000;
 
-    /** Calls that wanted to go on one booking to one destination, in each of the last seconds. */
-    private static final class Use {
-        private final long[] seconds = new long[SECONDS];
-        private final double[] calls = new double[SECONDS];
+    /** Calls requested on one booking to one destination, counted for each of the last seconds. */
+    private static final class UsageWindow {
+        private final long[] seconds = new long[USAGE_WINDOW_S];
+        private final double[] calls = new double[USAGE_WINDOW_S];
 
         void add(double nowMs, double more) {
-            long second = second(nowMs);
-            int i = Math.floorMod(second, SECONDS);
+            long second = secondOf(nowMs);
+            int i = Math.floorMod(second, USAGE_WINDOW_S);
             if (seconds[i] != second) {
                 seconds[i] = second;
                 calls[i] = 0;
@@ -39,196 +40,201 @@
             calls[i] += more;
         }
 
-        double most(double nowMs) {
-            long oldest = second(nowMs) - SECONDS;
-            double most = 0;
-            for (int i = 0; i < SECONDS; i++) {
+        double max(double nowMs) {
+            long oldest = secondOf(nowMs) - USAGE_WINDOW_S;
+            double peak = 0;
+            for (int i = 0; i < USAGE_WINDOW_S; i++) {
                 if (seconds[i] > oldest) {
-                    most = Math.max(most, calls[i]);
+                    peak = Math.max(peak, calls[i]);
                 }
             }
-            return most;
+            return peak;
         }
 
-        private static long second(double nowMs) {
-            return (long) Math.floor(nowMs / SECOND_MS);
+        private static long secondOf(double nowMs) {
+            return (long) Math.floor(nowMs / MS_PER_SECOND);
         }
     }
 
     private final double skewMs;
-    private Sealed sealed; // null until told
-    private final Map<String, Sealed.Entry> entries = new LinkedHashMap<>();
-    private final Map<Integer, List<Sealed.Entry>> at = new TreeMap<>();
-    private final Map<Integer, Double> bookable = new TreeMap<>(); // calls a second, by limits told
-    private final Map<String, Map<Integer, Use>> uses = new LinkedHashMap<>(); // of those in the set
+    private SealedBookings sealed; // null until the first set is received
+    private final Map<String, SealedBookings.Entry> entriesById = new LinkedHashMap<>();
+    private final Map<Integer, List<SealedBookings.Entry>> entriesByDestination = new TreeMap<>();
+    private final Map<Integer, Double> bookableLimits = new TreeMap<>(); // bookable calls per second, by destination
+    private final Map<String, Map<Integer, UsageWindow>> usageByBooking = new LinkedHashMap<>(); // by booking id
 
     /**
-     * One that was told nothing.
+     * Creates an instance without a set of bookings.
      *
-     * @param skewMs wall clocks are off by so much at most
+     * @param skewMs maximum error of wall clocks
      */
     public Booked(double skewMs) {
         this.skewMs = skewMs;
     }
 
-    /** A set that was agreed; an older one than the newest changes nothing. Returns whether it is used. */
-    public boolean agreed(Sealed set) {
+    /** Accepts an agreed set unless it is older than the current one. Returns whether it was accepted. */
+    public boolean agreed(SealedBookings set) {
         if (sealed != null && set.version() <= sealed.version()) {
             return false;
         }
         sealed = set;
-        entries.clear();
-        at.clear();
-        for (Sealed.Entry e : set.entries()) {
-            entries.put(e.id(), e);
-            for (int d : e.leave().keySet()) {
-                at.computeIfAbsent(d, k -> new ArrayList<>()).add(e);
+        entriesById.clear();
+        entriesByDestination.clear();
+        for (SealedBookings.Entry entry : set.entries()) {
+            entriesById.put(entry.id(), entry);
+            for (int destination : entry.reserved().keySet()) {
+                entriesByDestination
+                        .computeIfAbsent(destination, k -> new ArrayList<>())
+                        .add(entry);
             }
         }
-        uses.keySet().retainAll(entries.keySet());
+        usageByBooking.keySet().retainAll(entriesById.keySet());
         return true;
     }
 
     /**
-     * A destination's limit as this relay knows it. Where it is lower than the ledger knows yet, bookings there are cut
-     * here in proportion to their rates.
+     * Sets a destination's limit as this relay knows it. Where it is lower than the limit in the ledger, the bookings
+     * there are reduced locally in proportion to their rates.
      *
-     * @param limit         calls a second
-     * @param bookableShare what part of it can be booked, 0 to 1
+     * @param limit         calls per second
+     * @param bookableShare share of the limit that can be booked, 0 to 1
      */
     public void limit(int destination, double limit, double bookableShare) {
-        if (bookable.size() < MOST_DESTINATIONS || bookable.containsKey(destination)) {
-            bookable.put(destination, limit * bookableShare);
+        if (bookableLimits.size() < MAX_DESTINATIONS || bookableLimits.containsKey(destination)) {
+            bookableLimits.put(destination, limit * bookableShare);
         }
     }
 
-    /** The version of the set in use, -1 if there is none. */
+    /** Version of the current set, -1 if there is none. */
     public long version() {
         return sealed == null ? -1 : sealed.version();
     }
 
-    /** Whose a booking is, null if the set does not name it. */
+    /** The team that owns a booking, null if the set does not contain it. */
     public String team(String bookingId) {
-        Sealed.Entry e = entries.get(bookingId);
-        return e == null ? null : e.team();
+        SealedBookings.Entry entry = entriesById.get(bookingId);
+        return entry == null ? null : entry.team();
     }
 
-    /** Calls a second that a booking has at a destination over the whole fleet, 0 if the set does not name it. */
+    /** Fleet-wide calls per second of a booking at a destination, 0 if the set does not contain it. */
     public double calls(String bookingId, int destination) {
-        Sealed.Entry e = entries.get(bookingId);
-        return e == null ? 0 : calls(e.rates().getOrDefault(destination, 0L));
+        SealedBookings.Entry entry = entriesById.get(bookingId);
+        return entry == null ? 0 : calls(entry.rates().getOrDefault(destination, 0L));
     }
 
-    /** Whether the set covers now, whichever way the clock is off. */
+    /** Whether the set covers the current time, allowing for clock error in either direction. */
     public boolean covers(long wallMs) {
         return sealed != null && wallMs - skewMs >= sealed.fromMs() && wallMs + skewMs <= sealed.throughMs();
     }
 
     /**
-     * Calls a second that this relay may send now on a booking; 0 if its time has not surely come or the set does not
-     * cover now. Raises {@link Fault.UnknownBooking} if the set covers now and does not name it, and
-     * {@link Fault.NotYours}.
+     * Calls per second that this relay may send on a booking now; 0 if the booking is not certainly active or the set
+     * does not cover the current time. Throws {@link Fault.UnknownBooking} if the set covers the current time and does
+     * not contain the booking, and {@link Fault.NotYours} for a booking of another team.
      *
-     * @param parts its part of the booking, millionths
+     * @param parts this relay's share of the booking, millionths
      */
     public double rate(long wallMs, String bookingId, String team, int destination, int parts) {
-        Sealed.Entry e = entries.get(bookingId);
-        if (e == null) {
+        SealedBookings.Entry entry = entriesById.get(bookingId);
+        if (entry == null) {
             if (covers(wallMs)) {
                 throw new Fault.UnknownBooking(bookingId);
             }
             return 0;
         }
-        if (!e.team().equals(team)) {
+        if (!entry.team().equals(team)) {
             throw new Fault.NotYours(bookingId, team);
         }
-        if (!covers(wallMs) || !surely(e, wallMs)) {
+        if (!covers(wallMs) || !isCertainlyActive(entry, wallMs)) {
             return 0;
         }
-        return share(parts) * calls(e.rates().getOrDefault(destination, 0L)) * fitting(wallMs, destination);
+        return share(parts) * calls(entry.rates().getOrDefault(destination, 0L)) * cutFactor(wallMs, destination);
     }
 
     /**
-     * Calls a second that ordinary traffic of the whole fleet may use now; a relay takes its part of it. Never less
-     * than what cannot be booked. It tells the {@link #limit} as well.
+     * Calls per second that ordinary traffic of the whole fleet may use now, of which a relay takes its share. Never
+     * less than the part that cannot be booked. Also sets the {@link #limit}.
      *
-     * @param limit         of the destination as this relay knows it, calls a second
-     * @param bookableShare what part of it can be booked, 0 to 1
+     * @param limit         limit of the destination as this relay knows it, calls per second
+     * @param bookableShare share of the limit that can be booked, 0 to 1
      */
     public double ordinary(long wallMs, int destination, double limit, double bookableShare) {
         limit(destination, limit, bookableShare);
-        double canBeBooked = limit * bookableShare;
+        double bookableLimit = limit * bookableShare;
         if (!covers(wallMs)) {
-            return limit - canBeBooked;
+            return limit - bookableLimit;
         }
-        return limit - Math.min(canBeBooked, left(wallMs, destination));
+        return limit - Math.min(bookableLimit, reservedRate(wallMs, destination));
     }
 
     /**
-     * Calls wanted to go on a booking, whether they could or not. What others borrow of it is back at once: from the
-     * next question on it is less by {@value #HEADROOM} times as many calls a second as came in the fullest of the
-     * last {@value #SECONDS} seconds.
+     * Counts calls requested on a booking, whether or not they could be sent. Borrowed capacity is returned at once:
+     * the next query of {@link #borrowed} is reduced by {@value #BORROWING_HEADROOM} times the calls of the busiest of
+     * the last {@value #USAGE_WINDOW_S} seconds.
      *
      * @param nowMs on the relay's own clock
      */
     public void used(double nowMs, String bookingId, int destination, double calls) {
-        Sealed.Entry e = entries.get(bookingId);
-        if (e != null && e.leave().containsKey(destination) && calls > 0) {
-            uses.computeIfAbsent(bookingId, k -> new TreeMap<>())
-                    .computeIfAbsent(destination, k -> new Use())
+        SealedBookings.Entry entry = entriesById.get(bookingId);
+        if (entry != null && entry.reserved().containsKey(destination) && calls > 0) {
+            usageByBooking
+                    .computeIfAbsent(bookingId, k -> new TreeMap<>())
+                    .computeIfAbsent(destination, k -> new UsageWindow())
                     .add(nowMs, calls);
         }
     }
 
     /**
-     * Calls a second that ordinary traffic of this relay may send now beside {@link #ordinary}: what its own parts of
-     * the bookings there are worth and their teams do not use. Its own alone, so that no relay has to ask another.
+     * Calls per second that ordinary traffic of this relay may send now in addition to {@link #ordinary}: the unused
+     * part of its own shares of the bookings there. A relay borrows only from its own shares, so it does not have to
+     * ask other relays.
      *
      * @param nowMs on the relay's own clock
-     * @param parts its part of each booking, millionths
+     * @param parts this relay's share of each booking, millionths
      */
     public double borrowed(double nowMs, long wallMs, int destination, ToIntFunction<String> parts) {
         if (!covers(wallMs)) {
             return 0;
         }
         double sum = 0;
-        double fitting = fitting(wallMs, destination);
-        for (Sealed.Entry e : at.getOrDefault(destination, List.of())) {
-            if (surely(e, wallMs)) {
-                long rate = wallMs + skewMs <= e.leaveToMs()
-                        ? e.leave().get(destination)
-                        : e.rates().getOrDefault(destination, 0L);
-                Use use = uses.getOrDefault(e.id(), Map.of()).get(destination);
-                double kept = use == null ? 0 : HEADROOM * use.most(nowMs);
-                sum += Math.max(0, share(parts.applyAsInt(e.id())) * calls(rate) * fitting - kept);
+        double cutFactor = cutFactor(wallMs, destination);
+        for (SealedBookings.Entry entry : entriesByDestination.getOrDefault(destination, List.of())) {
+            if (isCertainlyActive(entry, wallMs)) {
+                long rate = wallMs + skewMs <= entry.reservedUntilMs()
+                        ? entry.reserved().get(destination)
+                        : entry.rates().getOrDefault(destination, 0L);
+                UsageWindow usage =
+                        usageByBooking.getOrDefault(entry.id(), Map.of()).get(destination);
+                double withheld = usage == null ? 0 : BORROWING_HEADROOM * usage.max(nowMs);
+                sum += Math.max(0, share(parts.applyAsInt(entry.id())) * calls(rate) * cutFactor - withheld);
             }
         }
         return sum;
     }
 
-    /** By how much all bookings at a destination are cut here, because its limit is lower than the ledger knows yet. */
-    private double fitting(long wallMs, int destination) {
-        double most = bookable.getOrDefault(destination, Double.POSITIVE_INFINITY);
-        double left = left(wallMs, destination);
-        return left <= most ? 1 : most / left;
+    /** Factor applied to all bookings at a destination while its limit is lower here than in the ledger. */
+    private double cutFactor(long wallMs, int destination) {
+        double bookable = bookableLimits.getOrDefault(destination, Double.POSITIVE_INFINITY);
+        double reserved = reservedRate(wallMs, destination);
+        return reserved <= bookable ? 1 : bookable / reserved;
     }
 
-    /** What may be in use by bookings now, calls a second over the whole fleet. */
-    private double left(long wallMs, int destination) {
+    /** Fleet-wide calls per second that bookings may be using now. */
+    private double reservedRate(long wallMs, int destination) {
         long sum = 0;
-        for (Sealed.Entry e : at.getOrDefault(destination, List.of())) {
-            if (wallMs >= e.startMs() - skewMs && wallMs <= e.endMs() + skewMs) {
-                long rate = e.rates().getOrDefault(destination, 0L);
-                sum += wallMs <= e.leaveToMs() + skewMs
-                        ? Math.max(rate, e.leave().get(destination))
+        for (SealedBookings.Entry entry : entriesByDestination.getOrDefault(destination, List.of())) {
+            if (wallMs >= entry.startMs() - skewMs && wallMs <= entry.endMs() + skewMs) {
+                long rate = entry.rates().getOrDefault(destination, 0L);
+                sum += wallMs <= entry.reservedUntilMs() + skewMs
+                        ? Math.max(rate, entry.reserved().get(destination))
                         : rate;
             }
         }
         return calls(sum);
     }
 
-    private boolean surely(Sealed.Entry e, long wallMs) {
-        return wallMs - skewMs >= e.startMs() && wallMs + skewMs <= e.endMs();
+    private boolean isCertainlyActive(SealedBookings.Entry entry, long wallMs) {
+        return wallMs - skewMs >= entry.startMs() && wallMs + skewMs <= entry.endMs();
     }
 
     private static double share(int parts) {
@@ -236,6 +242,6 @@
     }
 
     private static double calls(long thousandths) {
-        return (double) thousandths / Rates.PARTS;
+        return (double) thousandths / Rates.PARTS_PER_CALL;
     }
 }
--- a/src/main/java/firstair/fleet/booking/Booking.java
+++ b/src/main/java/firstair/fleet/booking/Booking.java
@@ -4,22 +4,22 @@
 import java.util.SortedMap;
 
 /**
- * A booking as it stands. Rates are thousandths of a call a second; times are epoch ms.
+ * Current state of a booking. Rates are thousandths of a call per second; times are epoch ms.
  *
- * @param request    as its team put it
- * @param number     bookings that came later have higher ones
- * @param rates      what is booked at each destination now: less than requested once a limit was lowered
- * @param startMs    from when on
- * @param endMs      until when
- * @param bookedToMs until when its capacity is nobody else's; its end, or a little after it ended early
- * @param before     rates before they were cut, which others leave alone until {@code beforeToMs}
- * @param beforeToMs see {@code before}
- * @param state      how it stands
- * @param sinceMs    since when
- * @param cause      why
- * @param holdToMs   while held: until when it can be confirmed
- * @param shown      whether its run has begun
- * @param charged    thousandths of a call counted against its team's quota, by month (year x 12 + month - 1)
+ * @param request      as submitted by its team
+ * @param number       sequence number; later requests have higher ones
+ * @param rates        booked rate by destination; lower than requested once a limit was lowered
+ * @param startMs      start
+ * @param endMs        end (exclusive)
+ * @param bookedToMs   until when its capacity is reserved: its end, or shortly after it ended early
+ * @param uncutRates   rates before a cut, reserved until {@code uncutUntilMs}
+ * @param uncutUntilMs until when relays may still use the rates before the cut
+ * @param state        current state
+ * @param sinceMs      when it entered that state
+ * @param cause        why it entered that state
+ * @param confirmByMs  while held: until when it can be confirmed
+ * @param runStarted   whether its run has begun
+ * @param charged      thousandths of a call charged to its team's quota, by month (year x 12 + month - 1)
  */
 public record Booking(
         Operation.Put request,
@@ -28,17 +28,17 @@
         long startMs,
         long endMs,
         long bookedToMs,
-        SortedMap<Integer, Long> before,
-        long beforeToMs,
+        SortedMap<Integer, Long> uncutRates,
+        long uncutUntilMs,
         State state,
         long sinceMs,
         String cause,
-        long holdToMs,
-        boolean shown,
+        long confirmByMs,
+        boolean runStarted,
         SortedMap<Integer, Long> charged) {
 
-    /** As it was put, at once. */
-    static Booking of(Operation.Put put, long number, long atMs) {
+    /** A new booking for a request. */
+    static Booking of(Operation.Put put, long number, long nowMs) {
         return new Booking(
                 put,
                 number,
@@ -49,24 +49,24 @@
                 Rates.copy(Map.of()),
                 0,
                 State.REQUESTED,
-                atMs,
+                nowMs,
                 "requested",
                 0,
                 false,
                 Rates.copy(Map.of()));
     }
 
-    /** Its name. */
+    /** Name of the booking. */
     public String id() {
         return request.id();
     }
 
-    /** Whose it is. */
+    /** The team that owns the booking. */
     public String team() {
         return request.team();
     }
 
-    /** Whether its capacity is nobody else's, now or from its start on. */
+    /** Whether capacity is reserved for it, now or from its start. */
     public boolean holds() {
         return switch (state) {
             case HELD, CONFIRMED, SEALED, RUNNING -> true;
@@ -75,7 +75,7 @@
         };
     }
 
-    Booking become(State to, long atMs, String why) {
+    Booking withState(State newState, long nowMs, String newCause) {
         return new Booking(
                 request,
                 number,
@@ -83,53 +83,53 @@
                 startMs,
                 endMs,
                 bookedToMs,
-                before,
-                beforeToMs,
-                to,
-                atMs,
-                why,
-                holdToMs,
-                shown,
+                uncutRates,
+                uncutUntilMs,
+                newState,
+                nowMs,
+                newCause,
+                confirmByMs,
+                runStarted,
                 charged);
     }
 
-    Booking spanning(long fromMs, long toMs, long bookedTo) {
+    Booking withSpan(long newStartMs, long newEndMs, long newBookedToMs) {
         return new Booking(
                 request,
                 number,
                 rates,
-                fromMs,
-                toMs,
-                bookedTo,
-                before,
-                beforeToMs,
+                newStartMs,
+                newEndMs,
+                newBookedToMs,
+                uncutRates,
+                uncutUntilMs,
                 state,
                 sinceMs,
                 cause,
-                holdToMs,
-                shown,
+                confirmByMs,
+                runStarted,
                 charged);
     }
 
-    Booking cut(SortedMap<Integer, Long> to, SortedMap<Integer, Long> left, long leftToMs) {
+    Booking withCut(SortedMap<Integer, Long> newRates, SortedMap<Integer, Long> oldRates, long oldRatesUntilMs) {
         return new Booking(
                 request,
                 number,
-                to,
+                newRates,
                 startMs,
                 endMs,
                 bookedToMs,
-                left,
-                leftToMs,
+                oldRates,
+                oldRatesUntilMs,
                 state,
                 sinceMs,
                 cause,
-                holdToMs,
-                shown,
+                confirmByMs,
+                runStarted,
                 charged);
     }
 
-    Booking heldTo(long ms) {
+    Booking withConfirmBy(long newConfirmByMs) {
         return new Booking(
                 request,
                 number,
@@ -137,17 +137,17 @@
                 startMs,
                 endMs,
                 bookedToMs,
-                before,
-                beforeToMs,
+                uncutRates,
+                uncutUntilMs,
                 state,
                 sinceMs,
                 cause,
-                ms,
-                shown,
+                newConfirmByMs,
+                runStarted,
                 charged);
     }
 
-    Booking begun() {
+    Booking withRunStarted() {
         return new Booking(
                 request,
                 number,
@@ -155,17 +155,17 @@
                 startMs,
                 endMs,
                 bookedToMs,
-                before,
-                beforeToMs,
+                uncutRates,
+                uncutUntilMs,
                 state,
                 sinceMs,
                 cause,
-                holdToMs,
+                confirmByMs,
                 true,
                 charged);
     }
 
-    Booking charging(SortedMap<Integer, Long> months) {
+    Booking withCharged(SortedMap<Integer, Long> newCharged) {
         return new Booking(
                 request,
                 number,
@@ -173,13 +173,13 @@
                 startMs,
                 endMs,
                 bookedToMs,
-                before,
-                beforeToMs,
+                uncutRates,
+                uncutUntilMs,
                 state,
                 sinceMs,
                 cause,
-                holdToMs,
-                shown,
-                months);
+                confirmByMs,
+                runStarted,
+                newCharged);
     }
 }
--- a/src/main/java/firstair/fleet/booking/Bookings.java
+++ b/src/main/java/firstair/fleet/booking/Bookings.java
@@ -15,151 +15,155 @@
 import java.util.function.Supplier;
 
 /**
- * All bookings, as the ledger agrees on them: the same operations in the same order make the same bookings on every
- * voter. It has no clock; each operation brings the leader's time, which never goes back here.
+ * State machine of all bookings, replicated through the ledger: the same operations in the same order produce the same
+ * bookings on every voter. It reads no clock; each operation carries the leader's time, and time never runs backwards.
  *
- * <p>What is booked at a destination never passes its bookable part at any moment to come. Everything that starts
- * before the horizon, which is {@code sealBeforeMs} ahead of the time, is sealed; what is granted starts after it.
+ * <p>The total booked rate of a destination never exceeds its bookable capacity at any present or future time. Every
+ * booking that starts before the horizon, which is {@code sealBeforeMs} ahead of the current time, is sealed; new
+ * grants start after it.
  */
 public class Bookings {
-    /** Requests of one team that wait at a time. */
-    static final int MOST_WAITING = 200;
+    /** Maximum number of waiting requests of a team. */
+    static final int MAX_WAITING = 200;
 
-    private static final int MOST_TEAMS = 1000;
-    private static final int MOST_DESTINATIONS = 10_000;
-    private static final int MOST_REFUSED = 1000; // kept to be asked for; the oldest go
-    private static final int MONTHS_KEPT = 2; // longest span and a bit
+    private static final int MAX_TEAMS = 1000;
+    private static final int MAX_DESTINATIONS = 10_000;
+    private static final int MAX_REFUSED = 1000; // kept so that they can be queried; the oldest are removed
+    private static final int MONTHS_KEPT = 2; // covers the maximum span of 31 days
 
-    private static final Comparator<Booking> NEXT_IN_LINE =
-            Comparator.comparingInt((Booking b) -> b.request().rank()).thenComparingLong(Booking::number);
+    private static final Comparator<Booking> WAITING_ORDER = Comparator.comparingInt(
+                    (Booking booking) -> booking.request().rank())
+            .thenComparingLong(Booking::number);
 
-    /** A span in which there may be room again. */
-    private record Freed(int destination, long fromMs, long toMs) {}
+    /** A span in which capacity may have become available. */
+    private record FreedSpan(int destination, long fromMs, long toMs) {}
 
-    private final Supplier<Steps> steps;
+    private final Supplier<RateTimeline> newTimeline;
     private final SortedMap<String, Team> teams = new TreeMap<>();
     private final SortedMap<Integer, Destination> destinations = new TreeMap<>();
     private final SortedMap<String, Booking> bookings = new TreeMap<>();
-    private final TreeMap<Long, SortedSet<String>> timers = new TreeMap<>(); // when something becomes of whom by itself
-    private final TreeMap<Long, String> refused = new TreeMap<>(); // by number
-    private final SortedSet<String> told = new TreeSet<>(); // whom relays are told of
+    private final TreeMap<Long, SortedSet<String>> idsByDueTime = new TreeMap<>(); // next time-driven transition
+    private final TreeMap<Long, String> refusedByNumber = new TreeMap<>(); // ids by booking number
+    private final SortedSet<String> idsKnownToRelays = new TreeSet<>(); // ids of bookings that relays receive
     private Rules rules;
     private long time;
-    private long horizon; // the furthest that relays were told of; never goes back
+    private long horizon; // end of the sealed set sent to relays; never decreases
     private long version;
     private long nextNumber;
 
-    private final List<Change> changes = new ArrayList<>(); // of the operation under way
-    private final List<Freed> freed = new ArrayList<>(); // by it
-    private final SortedSet<String> eased = new TreeSet<>(); // teams that got quota back by it
+    private final List<Change> changes = new ArrayList<>(); // of the current operation
+    private final List<FreedSpan> freedSpans = new ArrayList<>(); // by the current operation
+    private final SortedSet<String> teamsWithRefund = new TreeSet<>(); // teams that regained quota
 
-    /** None yet. */
+    /** Creates an empty set of bookings. */
     public Bookings(Rules rules) {
-        this(rules, Steps::new);
+        this(rules, RateTimeline::new);
     }
 
-    Bookings(Rules rules, Supplier<Steps> steps) {
+    Bookings(Rules rules, Supplier<RateTimeline> newTimeline) {
         this.rules = rules;
-        this.steps = steps;
+        this.newTimeline = newTimeline;
     }
 
-    // ---- questions ----
+    // ---- queries ----
 
     /** The rules in force. */
     public Rules rules() {
         return rules;
     }
 
-    /** The time of the last operation, epoch ms. */
+    /** Time of the last operation, epoch ms. */
     public long time() {
         return time;
     }
 
-    /** How many operations there were. */
+    /** Number of operations applied. */
     public long version() {
         return version;
     }
 
-    /** One by its name; raises {@link Fault.UnknownBooking}. */
+    /** Finds a booking by id; throws {@link Fault.UnknownBooking}. */
     public Booking booking(String id) {
-        Booking b = bookings.get(id);
-        if (b == null) {
+        Booking booking = bookings.get(id);
+        if (booking == null) {
             throw new Fault.UnknownBooking(id);
         }
-        return b;
+        return booking;
     }
 
-    /** All that are not forgotten, by name. */
+    /** All stored bookings, sorted by id. */
     public Collection<Booking> all() {
         return Collections.unmodifiableCollection(bookings.values());
     }
 
-    /** What can still be booked of a destination over a span, thousandths of a call a second; 0 if it is unknown. */
+    /** Rate of a destination still available over a span, thousandths of a call per second; 0 if it is unknown. */
     public long left(int destination, long fromMs, long toMs) {
         Destination d = destinations.get(destination);
-        return d == null ? 0 : Math.max(0, d.capacity() - d.steps.most(Math.max(fromMs, time), toMs));
+        return d == null ? 0 : Math.max(0, d.capacity() - d.timeline.max(Math.max(fromMs, time), toMs));
     }
 
-    /** When time alone changes something next, epoch ms; {@link Long#MAX_VALUE} if never. */
+    /** When the next time-driven transition is due, epoch ms; {@link Long#MAX_VALUE} if there is none. */
     public long nextMs() {
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.firstKey();
+        return idsByDueTime.isEmpty() ? Long.MAX_VALUE : idsByDueTime.firstKey();
     }
 
     /**
-     * What relays are told: all that is booked around now and up to the horizon.
+     * The set that relays receive: all bookings around the current time and up to the horizon.
      *
-     * @param atMs the asker's time; what was over long before it is left out
+     * @param atMs the caller's time; bookings that ended more than {@code sealBeforeMs} before it are omitted
      */
-    public Sealed sealedSet(long atMs) {
+    public SealedBookings sealedSet(long atMs) {
         long from = Math.min(atMs, time) - rules.sealBeforeMs();
-        List<Sealed.Entry> entries = new ArrayList<>();
-        for (String id : told) {
-            Booking b = bookings.get(id);
-            if (b.bookedToMs() > from) {
-                boolean over = b.state().over();
-                entries.add(new Sealed.Entry(
+        List<SealedBookings.Entry> entries = new ArrayList<>();
+        for (String id : idsKnownToRelays) {
+            Booking booking = bookings.get(id);
+            if (booking.bookedToMs() > from) {
+                boolean over = booking.state().over();
+                entries.add(new SealedBookings.Entry(
                         id,
-                        b.team(),
-                        over ? Rates.copy(Map.of()) : b.rates(),
-                        over || b.beforeToMs() > time ? most(b.before(), b.rates()) : b.rates(),
-                        over ? b.bookedToMs() : b.beforeToMs(),
-                        b.startMs(),
-                        b.bookedToMs()));
+                        booking.team(),
+                        over ? Rates.copy(Map.of()) : booking.rates(),
+                        over || booking.uncutUntilMs() > time
+                                ? maxRates(booking.uncutRates(), booking.rates())
+                                : booking.rates(),
+                        over ? booking.bookedToMs() : booking.uncutUntilMs(),
+                        booking.startMs(),
+                        booking.bookedToMs()));
             }
         }
-        return new Sealed(version, from, horizon, entries);
+        return new SealedBookings(version, from, horizon, entries);
     }
 
-    private static SortedMap<Integer, Long> most(Map<Integer, Long> one, Map<Integer, Long> other) {
-        SortedMap<Integer, Long> most = new TreeMap<>(one);
-        other.forEach((d, rate) -> most.merge(d, rate, Math::max));
-        return Rates.copy(most);
+    private static SortedMap<Integer, Long> maxRates(Map<Integer, Long> one, Map<Integer, Long> other) {
+        SortedMap<Integer, Long> max = new TreeMap<>(one);
+        other.forEach((d, rate) -> max.merge(d, rate, Math::max));
+        return Rates.copy(max);
     }
 
     // ---- operations ----
 
     /**
-     * Carries out an operation, after all that time alone has brought. If it cannot be carried out, its fault is in
-     * the result and nothing else of it is done.
+     * Performs all time-driven transitions, then the operation. If the operation is rejected, the result carries the
+     * fault and nothing else of the operation is done.
      *
-     * @param atMs epoch ms; earlier than the operation before counts as the same moment
+     * @param atMs epoch ms; a time before that of the previous operation is replaced by it
      */
     public Result apply(long atMs, Operation operation) {
         changes.clear();
         version++;
-        pass(atMs);
+        advanceTime(atMs);
         Fault fault = null;
         try {
-            act(operation);
+            execute(operation);
         } catch (Fault f) {
             fault = f;
         }
-        pass(time);
-        String id = idOf(operation);
+        advanceTime(time);
+        String id = bookingId(operation);
         return new Result(id == null ? null : bookings.get(id), List.copyOf(changes), fault);
     }
 
-    private static String idOf(Operation operation) {
+    private static String bookingId(Operation operation) {
         if (operation instanceof Operation.Put o) {
             return o.id();
         } else if (operation instanceof Operation.Confirm o) {
@@ -178,7 +182,7 @@
         return null;
     }
 
-    private void act(Operation operation) {
+    private void execute(Operation operation) {
         if (operation instanceof Operation.Put o) {
             put(o);
         } else if (operation instanceof Operation.Confirm o) {
@@ -204,460 +208,481 @@
         }
     }
 
-    private void put(Operation.Put p) {
-        Booking old = bookings.get(p.id());
-        if (old != null && !old.request().equals(p)) {
-            throw new Fault.BadRequest("id", "another booking has this name");
+    private void put(Operation.Put request) {
+        Booking old = bookings.get(request.id());
+        if (old != null && !old.request().equals(request)) {
+            throw new Fault.BadRequest("id", "another booking has this id");
         }
         if (old != null && old.state() != State.REFUSED) {
-            return; // the same once more
+            return; // repeated request
         }
-        if (!teams.containsKey(p.team())) {
-            throw new Fault.BadRequest("team", "no team of this name");
+        if (!teams.containsKey(request.team())) {
+            throw new Fault.BadRequest("team", "unknown team");
         }
-        for (int d : p.rates().keySet()) {
-            if (!destinations.containsKey(d)) {
-                throw new Fault.BadRequest("calls." + d, "nothing can be booked there");
+        for (int destination : request.rates().keySet()) {
+            if (!destinations.containsKey(destination)) {
+                throw new Fault.BadRequest("calls." + destination, "not a bookable destination");
             }
         }
-        if (p.startMs() > time + rules.aheadMs()) {
+        if (request.startMs() > time + rules.aheadMs()) {
             throw new Fault.BadRequest("start", "is more than " + rules.aheadMs() + " ms ahead");
         }
-        if (old == null && bookings.size() >= rules.most() && !forgetRefused()) {
-            throw new Fault.BadRequest("id", rules.most() + " bookings are kept, there is no room for more");
-        }
-        Booking b = Booking.of(p, nextNumber++, time);
-        changes.add(new Change(p.id(), null, State.REQUESTED, time, "requested"));
-        Fault why = p.startMs() < time + rules.leadMs() ? new Fault.TooLate(p.id(), rules.leadMs()) : barred(b);
-        if (why == null) {
-            why = lacking(b);
-        }
-        if (why == null) {
-            hold(b, "there is room");
-        } else if (why instanceof Fault.NoRoom && p.waits() && mayWait(b)) {
-            set(b);
+        if (old == null && bookings.size() >= rules.maxBookings() && !removeOldestRefused()) {
+            throw new Fault.BadRequest("id", rules.maxBookings() + " bookings are stored, which is the maximum");
+        }
+        Booking booking = Booking.of(request, nextNumber++, time);
+        changes.add(new Change(request.id(), null, State.REQUESTED, time, "requested"));
+        Fault fault = request.startMs() < time + rules.leadMs()
+                ? new Fault.TooLate(request.id(), rules.leadMs())
+                : checkTimes(booking);
+        if (fault == null) {
+            fault = checkCapacity(booking);
+        }
+        if (fault == null) {
+            hold(booking, "there is room");
+        } else if (fault instanceof Fault.NoRoom && request.waits() && canWait(booking)) {
+            replace(booking);
         } else {
-            set(changed(b, State.REFUSED, why.code() + ", " + why.getMessage()));
-            if (refused.size() > MOST_REFUSED) {
-                forgetRefused();
+            replace(transitionTo(booking, State.REFUSED, fault.code() + ", " + fault.getMessage()));
+            if (refusedByNumber.size() > MAX_REFUSED) {
+                removeOldestRefused();
             }
-            throw why;
+            throw fault;
         }
     }
 
-    /** Room can only come if the whole capacity is enough. */
-    private boolean mayWait(Booking b) {
-        return teams.get(b.team()).waiting.size() < MOST_WAITING
-                && b.rates().entrySet().stream()
+    /** Waiting only makes sense if the request fits the full capacity. */
+    private boolean canWait(Booking booking) {
+        return teams.get(booking.team()).waitingIds.size() < MAX_WAITING
+                && booking.rates().entrySet().stream()
                         .allMatch(e ->
                                 e.getValue() <= destinations.get(e.getKey()).capacity());
     }
 
-    private boolean forgetRefused() {
-        if (refused.isEmpty()) {
+    private boolean removeOldestRefused() {
+        if (refusedByNumber.isEmpty()) {
             return false;
         }
-        forget(bookings.get(refused.firstEntry().getValue()));
+        remove(bookings.get(refusedByNumber.firstEntry().getValue()));
         return true;
     }
 
     private void confirm(Operation.Confirm o) {
-        Booking b = own(o.id(), o.team());
-        if (b.state() != State.CONFIRMED) { // the same once more
-            set(changed(b, State.CONFIRMED, "confirmed by its team"));
+        Booking booking = requireOwned(o.id(), o.team());
+        if (booking.state() != State.CONFIRMED) { // else a repeated request
+            replace(transitionTo(booking, State.CONFIRMED, "confirmed by its team"));
         }
     }
 
     private void showUp(Operation.ShowUp o) {
-        Booking b = own(o.id(), o.team());
-        if (b.state() != State.RUNNING) {
-            throw new Fault.IllegalChange(b.id(), b.state().word(), State.RUNNING.word());
+        Booking booking = requireOwned(o.id(), o.team());
+        if (booking.state() != State.RUNNING) {
+            throw new Fault.IllegalChange(booking.id(), booking.state().word(), State.RUNNING.word());
         }
-        if (!b.shown()) {
-            changes.add(new Change(b.id(), b.state(), b.state(), time, "its run has begun"));
-            set(b.begun());
+        if (!booking.runStarted()) {
+            changes.add(new Change(booking.id(), booking.state(), booking.state(), time, "its run has begun"));
+            replace(booking.withRunStarted());
         }
     }
 
     private void end(Operation.End o) {
-        Booking b = own(o.id(), o.team());
-        switch (b.state()) {
-            case SEALED -> throw new Fault.Sealed(b.id());
-            case RUNNING -> close(b, State.ENDED, "ended early by its team: " + o.reason());
-            case ENDED, RELEASED -> {} // the same once more
-            default -> close(b, State.RELEASED, "given up by its team: " + o.reason());
+        Booking booking = requireOwned(o.id(), o.team());
+        switch (booking.state()) {
+            case SEALED -> throw new Fault.Sealed(booking.id());
+            case RUNNING -> close(booking, State.ENDED, "ended early by its team: " + o.reason());
+            case ENDED, RELEASED -> {} // repeated request
+            default -> close(booking, State.RELEASED, "given up by its team: " + o.reason());
         }
     }
 
     private void extend(Operation.Extend o) {
-        Booking b = own(o.id(), o.team());
-        boolean held = b.state() == State.HELD || b.state() == State.CONFIRMED;
-        if (b.state() == State.SEALED) {
-            throw new Fault.Sealed(b.id());
+        Booking booking = requireOwned(o.id(), o.team());
+        boolean held = booking.state() == State.HELD || booking.state() == State.CONFIRMED;
+        if (booking.state() == State.SEALED) {
+            throw new Fault.Sealed(booking.id());
         }
-        if (!held && b.state() != State.RUNNING) {
-            throw new Fault.IllegalChange(b.id(), b.state().word(), "longer");
+        if (!held && booking.state() != State.RUNNING) {
+            throw new Fault.IllegalChange(booking.id(), booking.state().word(), "longer");
         }
-        if (o.endMs() <= b.endMs()) {
-            throw new Fault.BadRequest("end", "has to be after the end so far");
+        if (o.endMs() <= booking.endMs()) {
+            throw new Fault.BadRequest("end", "must be after the current end");
         }
-        // relays may have been told that it ends: what they know must stay true
-        if (b.state() == State.RUNNING && tooNear(b.endMs())) {
-            throw new Fault.TooLate(b.id(), rules.sealBeforeMs());
+        // relays may have received the current end, which must stay valid
+        if (booking.state() == State.RUNNING && withinHorizon(booking.endMs())) {
+            throw new Fault.TooLate(booking.id(), rules.sealBeforeMs());
         }
-        respan(b, b.startMs(), o.endMs(), "extended by its team");
+        reschedule(booking, booking.startMs(), o.endMs(), "extended by its team");
     }
 
     private void move(Operation.Move o) {
-        Booking b = booking(o.id());
-        if (b.state().told()) {
-            throw new Fault.Sealed(b.id());
+        Booking booking = booking(o.id());
+        if (booking.state().knownToRelays()) {
+            throw new Fault.Sealed(booking.id());
         }
-        if (b.state().over()) {
-            throw new Fault.IllegalChange(b.id(), b.state().word(), "moved");
+        if (booking.state().over()) {
+            throw new Fault.IllegalChange(booking.id(), booking.state().word(), "moved");
         }
         if (o.startMs() > time + rules.aheadMs()) {
             throw new Fault.BadRequest("start", "is more than " + rules.aheadMs() + " ms ahead");
         }
-        respan(b, o.startMs(), o.endMs(), "moved by operators: " + o.reason());
+        reschedule(booking, o.startMs(), o.endMs(), "moved by operators: " + o.reason());
     }
 
-    private void respan(Booking b, long startMs, long endMs, String why) {
-        Booking to = b.spanning(startMs, endMs, endMs);
-        Fault fault = b.state() == State.RUNNING ? barredSpan(to) : barred(to);
-        if (fault == null && b.holds()) {
-            count(b, -1); // it is not in its own way
-            fault = lacking(to);
-            count(b, 1);
+    private void reschedule(Booking booking, long startMs, long endMs, String cause) {
+        Booking to = booking.withSpan(startMs, endMs, endMs);
+        Fault fault = booking.state() == State.RUNNING ? checkSpan(to) : checkTimes(to);
+        if (fault == null && booking.holds()) {
+            updateTimelines(booking, -1); // its own capacity does not count against it
+            fault = checkCapacity(to);
+            updateTimelines(booking, 1);
         }
         if (fault != null) {
             throw fault;
         }
-        changes.add(new Change(b.id(), b.state(), b.state(), time, why));
-        set(to);
-        if (!to.holds()) {
-            to.rates().keySet().forEach(d -> freed.add(new Freed(d, startMs, endMs))); // there may be room here
+        changes.add(new Change(booking.id(), booking.state(), booking.state(), time, cause));
+        replace(to);
+        if (!to.holds()) { // the new span may have capacity
+            to.rates().keySet().forEach(d -> freedSpans.add(new FreedSpan(d, startMs, endMs)));
         }
     }
 
     private void drop(Operation.Drop o) {
-        Booking b = booking(o.id());
-        if (b.state().told()) {
-            throw new Fault.Sealed(b.id());
+        Booking booking = booking(o.id());
+        if (booking.state().knownToRelays()) {
+            throw new Fault.Sealed(booking.id());
         }
-        close(b, b.state() == State.REQUESTED ? State.REFUSED : State.RELEASED, "dropped by operators: " + o.reason());
+        close(
+                booking,
+                booking.state() == State.REQUESTED ? State.REFUSED : State.RELEASED,
+                "dropped by operators: " + o.reason());
     }
 
     private void limit(Operation.Limit o) {
-        Destination d = destinations.get(o.destination());
-        if (d == null) {
-            throw new Fault.BadRequest("destination", "nothing can be booked there");
+        Destination destination = destinations.get(o.destination());
+        if (destination == null) {
+            throw new Fault.BadRequest("destination", "not a bookable destination");
         }
-        d.limit = o.limit();
-        refit(d);
+        destination.limit = o.limit();
+        cutToCapacity(destination);
     }
 
     private void setTeam(Operation.SetTeam o) {
         Team team = teams.get(o.team());
         if (team != null) {
             team.set(o);
-        } else if (teams.size() < MOST_TEAMS) {
+        } else if (teams.size() < MAX_TEAMS) {
             teams.put(o.team(), new Team(o));
         } else {
-            throw new Fault.BadRequest("team", MOST_TEAMS + " teams at most");
+            throw new Fault.BadRequest("team", "at most " + MAX_TEAMS + " teams");
         }
-        eased.add(o.team());
+        teamsWithRefund.add(o.team());
     }
 
     private void setDestination(Operation.SetDestination o) {
-        Destination d = destinations.get(o.destination());
-        if (d != null) {
-            d.set(o);
-        } else if (destinations.size() < MOST_DESTINATIONS) {
-            d = new Destination(o, steps.get());
-            destinations.put(o.destination(), d);
+        Destination destination = destinations.get(o.destination());
+        if (destination != null) {
+            destination.set(o);
+        } else if (destinations.size() < MAX_DESTINATIONS) {
+            destination = new Destination(o, newTimeline.get());
+            destinations.put(o.destination(), destination);
         } else {
-            throw new Fault.BadRequest("destination", MOST_DESTINATIONS + " destinations at most");
+            throw new Fault.BadRequest("destination", "at most " + MAX_DESTINATIONS + " destinations");
         }
-        refit(d);
+        cutToCapacity(destination);
     }
 
     private void setRules(Rules to) {
         List<Booking> kept = List.copyOf(bookings.values());
-        kept.forEach(b -> timer(b, false));
+        kept.forEach(booking -> updateTimer(booking, false));
         rules = to;
-        kept.forEach(b -> timer(b, true));
+        kept.forEach(booking -> updateTimer(booking, true));
     }
 
     /**
-     * What can be booked of a destination has changed. Where that is less than what is booked, each booking there gets
-     * the share that fits in the fullest moment that it still has: all in proportion to what they have.
+     * Handles a change of a destination's capacity. Where it falls below the booked rate, each booking is cut by the
+     * ratio of the capacity to the peak booked rate in its remaining span, so all are cut in proportion to their rates.
      */
-    private void refit(Destination d) {
-        long capacity = d.capacity();
-        SortedMap<String, Long> less = new TreeMap<>();
-        for (String id : d.holding) {
-            Booking b = bookings.get(id);
-            long most = b.bookedToMs() <= time ? 0 : d.steps.most(Math.max(b.startMs(), time), b.bookedToMs());
-            if (most > capacity) {
-                less.put(id, b.rates().get(d.number) * capacity / most);
+    private void cutToCapacity(Destination destination) {
+        long capacity = destination.capacity();
+        SortedMap<String, Long> cutRates = new TreeMap<>();
+        for (String id : destination.holdingIds) {
+            Booking booking = bookings.get(id);
+            long peak = booking.bookedToMs() <= time
+                    ? 0
+                    : destination.timeline.max(Math.max(booking.startMs(), time), booking.bookedToMs());
+            if (peak > capacity) {
+                cutRates.put(id, booking.rates().get(destination.number) * capacity / peak);
             }
         }
-        less.forEach((id, rate) -> {
-            Booking b = bookings.get(id);
-            SortedMap<Integer, Long> rates = new TreeMap<>(b.rates());
-            long before = rates.put(d.number, rate);
-            String why = "cut at destination " + d.number + " from " + Rates.calls(before) + " to " + Rates.calls(rate)
-                    + " calls a second: its limit is " + Rates.calls(d.limit);
-            boolean known = told.contains(id); // relays may go by the old rates up to the horizon
-            if (!b.state().over()) {
-                changes.add(new Change(id, b.state(), b.state(), time, why));
+        cutRates.forEach((id, rate) -> {
+            Booking booking = bookings.get(id);
+            SortedMap<Integer, Long> rates = new TreeMap<>(booking.rates());
+            long oldRate = rates.put(destination.number, rate);
+            String cause = "cut at destination " + destination.number + " from " + Rates.toCalls(oldRate) + " to "
+                    + Rates.toCalls(rate) + " calls a second: its limit is " + Rates.toCalls(destination.limit);
+            boolean knownToRelays = idsKnownToRelays.contains(id); // relays may use the old rates up to the horizon
+            if (!booking.state().over()) {
+                changes.add(new Change(id, booking.state(), booking.state(), time, cause));
             }
-            set(
-                    known
-                            ? b.cut(
+            replace(
+                    knownToRelays
+                            ? booking.withCut(
                                     Rates.copy(rates),
-                                    most(b.beforeToMs() > time ? b.before() : Map.of(), b.rates()),
+                                    maxRates(
+                                            booking.uncutUntilMs() > time ? booking.uncutRates() : Map.of(),
+                                            booking.rates()),
                                     horizon)
-                            : b.cut(Rates.copy(rates), b.before(), b.beforeToMs()));
+                            : booking.withCut(Rates.copy(rates), booking.uncutRates(), booking.uncutUntilMs()));
         });
-        freed.add(new Freed(d.number, time, Long.MAX_VALUE));
+        freedSpans.add(new FreedSpan(destination.number, time, Long.MAX_VALUE));
     }
 
-    private Booking own(String id, String team) {
-        Booking b = booking(id);
-        if (!b.team().equals(team)) {
+    private Booking requireOwned(String id, String team) {
+        Booking booking = booking(id);
+        if (!booking.team().equals(team)) {
             throw new Fault.NotYours(id, team);
         }
-        return b;
+        return booking;
     }
 
     // ---- rules ----
 
-    /** Whether it is too near to be granted or changed; relays were told what there is until then. */
-    boolean tooNear(long ms) {
+    /** Whether a time is too near for a grant or a change: relays have received all bookings up to the horizon. */
+    boolean withinHorizon(long ms) {
         return ms <= horizon;
     }
 
-    private Fault barred(Booking b) {
-        return tooNear(b.startMs()) ? new Fault.TooLate(b.id(), rules.sealBeforeMs()) : barredSpan(b);
+    private Fault checkTimes(Booking booking) {
+        return withinHorizon(booking.startMs())
+                ? new Fault.TooLate(booking.id(), rules.sealBeforeMs())
+                : checkSpan(booking);
     }
 
-    private Fault barredSpan(Booking b) {
-        if (b.endMs() - b.startMs() > rules.longestMs()) {
-            return new Fault.TooLong(b.id(), rules.longestMs());
+    private Fault checkSpan(Booking booking) {
+        if (booking.endMs() - booking.startMs() > rules.longestMs()) {
+            return new Fault.TooLong(booking.id(), rules.longestMs());
         }
-        for (int number : b.rates().keySet()) {
-            for (Closed hours : destinations.get(number).closed) {
-                long at = hours.firstIn(b.startMs(), b.endMs());
+        for (int number : booking.rates().keySet()) {
+            for (ClosingHours closed : destinations.get(number).closed) {
+                long at = closed.firstClosedMs(booking.startMs(), booking.endMs());
                 if (at >= 0) {
-                    return new Fault.ClosedHours(b.id(), number, Json.time(at));
+                    return new Fault.ClosedHours(booking.id(), number, Json.timestamp(at));
                 }
             }
         }
         return null;
     }
 
-    /** What keeps it from being held: the quota of its team, or room at any of its destinations. */
-    private Fault lacking(Booking b) {
-        Team team = teams.get(b.team());
-        int month = team.lacking(team.cost(b.rates(), b.startMs(), b.endMs()), b.charged());
+    /** Checks the team's quota and the capacity of each destination; returns the fault, or null if both suffice. */
+    private Fault checkCapacity(Booking booking) {
+        Team team = teams.get(booking.team());
+        int month = team.firstMonthOverQuota(
+                team.cost(booking.rates(), booking.startMs(), booking.endMs()), booking.charged());
         if (month >= 0) {
-            String left = Rates.calls(Math.max(0, team.left(month))).toPlainString();
-            return new Fault.TeamQuota(b.team(), Team.named(month), left);
+            String left = Rates.toCalls(Math.max(0, team.remaining(month))).toPlainString();
+            return new Fault.TeamQuota(booking.team(), Team.monthText(month), left);
         }
-        for (Map.Entry<Integer, Long> e : b.rates().entrySet()) {
-            Destination d = destinations.get(e.getKey());
-            long left = d.capacity() - d.steps.most(Math.max(b.startMs(), time), b.endMs());
+        for (Map.Entry<Integer, Long> e : booking.rates().entrySet()) {
+            Destination destination = destinations.get(e.getKey());
+            long left = destination.capacity()
+                    - destination.timeline.max(Math.max(booking.startMs(), time), booking.endMs());
             if (e.getValue() > left) {
-                return new Fault.NoRoom(b.id(), d.number, Rates.calls(Math.max(0, left)) + " calls a second");
+                return new Fault.NoRoom(
+                        booking.id(), destination.number, Rates.toCalls(Math.max(0, left)) + " calls a second");
             }
         }
         return null;
     }
 
-    private void hold(Booking b, String why) {
-        long to = Math.min(time + rules.holdMs(), b.startMs() - rules.sealBeforeMs());
-        set(changed(b.heldTo(to), State.HELD, why));
+    private void hold(Booking booking, String cause) {
+        long confirmByMs = Math.min(time + rules.holdMs(), booking.startMs() - rules.sealBeforeMs());
+        replace(transitionTo(booking.withConfirmBy(confirmByMs), State.HELD, cause));
     }
 
     // ---- time ----
 
-    private void pass(long atMs) {
+    private void advanceTime(long atMs) {
         int month = Team.month(time, ZoneOffset.UTC);
-        time = Math.max(time, Math.min(atMs, Operation.MOST_MS));
+        time = Math.max(time, Math.min(atMs, Operation.MAX_TIME_MS));
         horizon = Math.max(horizon, time + rules.sealBeforeMs());
-        while (!timers.isEmpty() && timers.firstKey() <= time) {
-            due(bookings.get(timers.firstEntry().getValue().first()));
+        while (!idsByDueTime.isEmpty() && idsByDueTime.firstKey() <= time) {
+            onDue(bookings.get(idsByDueTime.firstEntry().getValue().first()));
         }
-        offer();
+        offerFreed();
         int now = Team.month(time, ZoneOffset.UTC);
         if (now != month) {
-            teams.values().forEach(t -> t.forgetBefore(now - MONTHS_KEPT));
-            told.removeIf(id -> bookings.get(id).bookedToMs() <= time - Rules.MOST_SPAN_MS);
+            teams.values().forEach(t -> t.removeMonthsBefore(now - MONTHS_KEPT));
+            idsKnownToRelays.removeIf(id -> bookings.get(id).bookedToMs() <= time - Rules.MAX_SPAN_MS);
         }
     }
 
-    private long dueMs(Booking b) {
-        return switch (b.state()) {
-            case REQUESTED, CONFIRMED -> b.startMs() - rules.sealBeforeMs();
-            case HELD -> Math.min(b.holdToMs(), b.startMs() - rules.sealBeforeMs());
-            case SEALED -> b.startMs();
-            case RUNNING -> b.shown() ? b.endMs() : Math.min(b.endMs(), b.startMs() + rules.showUpMs());
+    private long dueMs(Booking booking) {
+        return switch (booking.state()) {
+            case REQUESTED, CONFIRMED -> booking.startMs() - rules.sealBeforeMs();
+            case HELD -> Math.min(booking.confirmByMs(), booking.startMs() - rules.sealBeforeMs());
+            case SEALED -> booking.startMs();
+            case RUNNING ->
+                booking.runStarted()
+                        ? booking.endMs()
+                        : Math.min(booking.endMs(), booking.startMs() + rules.showUpMs());
             case ENDED, RELEASED, LAPSED, REFUSED ->
-                Math.max(b.sinceMs() + rules.forgetMs(), b.holds() ? b.bookedToMs() : 0);
+                Math.max(booking.sinceMs() + rules.forgetMs(), booking.holds() ? booking.bookedToMs() : 0);
         };
     }
 
-    private void due(Booking b) {
-        switch (b.state()) {
-            case REQUESTED -> close(b, State.LAPSED, "there was no room until its start was too near");
-            case HELD -> close(b, State.LAPSED, "not confirmed in time");
-            case CONFIRMED -> set(changed(b, State.SEALED, "its start is near"));
-            case SEALED -> set(changed(b, State.RUNNING, "its start has come"));
+    private void onDue(Booking booking) {
+        switch (booking.state()) {
+            case REQUESTED -> close(booking, State.LAPSED, "there was no room until its start was too near");
+            case HELD -> close(booking, State.LAPSED, "not confirmed in time");
+            case CONFIRMED -> replace(transitionTo(booking, State.SEALED, "its start is near"));
+            case SEALED -> replace(transitionTo(booking, State.RUNNING, "its start has come"));
             case RUNNING -> {
-                if (b.shown()) {
-                    close(b, State.ENDED, "its end has come");
+                if (booking.runStarted()) {
+                    close(booking, State.ENDED, "its end has come");
                 } else {
-                    close(b, State.RELEASED, "nobody showed up in time");
+                    close(booking, State.RELEASED, "nobody showed up in time");
                 }
             }
-            case ENDED, RELEASED, LAPSED, REFUSED -> forget(b);
-            default -> throw new IllegalStateException(b.state().name());
+            case ENDED, RELEASED, LAPSED, REFUSED -> remove(booking);
+            default -> throw new IllegalStateException(booking.state().name());
         }
     }
 
-    /** Offers what was freed to those next in line: by rank, then by age. */
-    private void offer() {
-        if (freed.isEmpty() && eased.isEmpty()) {
+    /** Offers freed capacity and quota to waiting requests, by rank, then by age. */
+    private void offerFreed() {
+        if (freedSpans.isEmpty() && teamsWithRefund.isEmpty()) {
             return;
         }
-        SortedSet<Booking> line = new TreeSet<>(NEXT_IN_LINE);
-        for (Freed f : freed) {
-            for (String id : destinations.get(f.destination).waiting(f.fromMs - Rules.MOST_SPAN_MS, f.toMs)) {
-                line.add(bookings.get(id));
+        SortedSet<Booking> waiting = new TreeSet<>(WAITING_ORDER);
+        for (FreedSpan span : freedSpans) {
+            for (String id :
+                    destinations.get(span.destination).waitingBetween(span.fromMs - Rules.MAX_SPAN_MS, span.toMs)) {
+                waiting.add(bookings.get(id));
             }
         }
-        eased.forEach(t -> teams.get(t).waiting.forEach(id -> line.add(bookings.get(id))));
-        freed.clear();
-        eased.clear();
-        for (Booking b : line) {
-            if (barred(b) == null && lacking(b) == null) {
-                hold(b, "offered from the waiting list");
+        teamsWithRefund.forEach(t -> teams.get(t).waitingIds.forEach(id -> waiting.add(bookings.get(id))));
+        freedSpans.clear();
+        teamsWithRefund.clear();
+        for (Booking booking : waiting) {
+            if (checkTimes(booking) == null && checkCapacity(booking) == null) {
+                hold(booking, "offered from the waiting list");
             }
         }
     }
 
-    // ---- bookkeeping ----
+    // ---- indexes ----
 
-    /** It is over; what it does not need any more is free, as far as no relay goes by it. */
-    private void close(Booking b, State to, String why) {
-        long bookedTo = b.state() == State.RUNNING ? Math.min(b.bookedToMs(), horizon) : b.startMs();
-        set(changed(b, to, why).spanning(b.startMs(), b.endMs(), bookedTo));
+    /** Moves a booking to a final state and frees its remaining capacity that no relay may still use. */
+    private void close(Booking booking, State to, String cause) {
+        long bookedTo = booking.state() == State.RUNNING ? Math.min(booking.bookedToMs(), horizon) : booking.startMs();
+        replace(transitionTo(booking, to, cause).withSpan(booking.startMs(), booking.endMs(), bookedTo));
     }
 
-    private Booking changed(Booking b, State to, String why) {
-        if (!b.state().may(to)) {
-            throw new Fault.IllegalChange(b.id(), b.state().word(), to.word());
+    private Booking transitionTo(Booking booking, State to, String cause) {
+        if (!booking.state().may(to)) {
+            throw new Fault.IllegalChange(booking.id(), booking.state().word(), to.word());
         }
-        changes.add(new Change(b.id(), b.state(), to, time, why));
-        return b.become(to, time, why);
+        changes.add(new Change(booking.id(), booking.state(), to, time, cause));
+        return booking.withState(to, time, cause);
     }
 
-    private Booking charged(Booking b) {
-        Team team = teams.get(b.team());
-        SortedMap<Integer, Long> cost =
-                b.holds() ? team.cost(b.rates(), b.startMs(), b.bookedToMs()) : Rates.copy(Map.of());
-        team.charge(b.charged(), -1);
+    private Booking withCharge(Booking booking) {
+        Team team = teams.get(booking.team());
+        SortedMap<Integer, Long> cost = booking.holds()
+                ? team.cost(booking.rates(), booking.startMs(), booking.bookedToMs())
+                : Rates.copy(Map.of());
+        team.charge(booking.charged(), -1);
         team.charge(cost, 1);
-        return b.charging(Rates.copy(cost));
+        return booking.withCharged(Rates.copy(cost));
     }
 
-    /** Puts a booking in the place of what it was. */
-    private void set(Booking b) {
-        Booking old = bookings.get(b.id());
+    /** Stores a new version of a booking and updates all indexes. */
+    private void replace(Booking booking) {
+        Booking old = bookings.get(booking.id());
         if (old != null) {
-            detach(old);
+            unindex(old);
         }
         boolean same = old != null
                 && old.holds()
-                && b.holds()
-                && old.startMs() == b.startMs()
-                && old.bookedToMs() == b.bookedToMs()
-                && old.rates().equals(b.rates());
+                && booking.holds()
+                && old.startMs() == booking.startMs()
+                && old.bookedToMs() == booking.bookedToMs()
+                && old.rates().equals(booking.rates());
         if (!same && old != null && old.holds()) {
-            old.rates().keySet().forEach(d -> freed.add(new Freed(d, Math.max(old.startMs(), time), old.bookedToMs())));
-            eased.add(old.team());
+            old.rates()
+                    .keySet()
+                    .forEach(d -> freedSpans.add(new FreedSpan(d, Math.max(old.startMs(), time), old.bookedToMs())));
+            teamsWithRefund.add(old.team());
         }
-        attach(same ? b : charged(b));
+        index(same ? booking : withCharge(booking));
     }
 
-    private void forget(Booking b) {
-        detach(b);
-        bookings.remove(b.id());
-        told.remove(b.id());
+    private void remove(Booking booking) {
+        unindex(booking);
+        bookings.remove(booking.id());
+        idsKnownToRelays.remove(booking.id());
     }
 
-    private void detach(Booking b) {
-        timer(b, false);
-        count(b, -1);
-        if (b.state() == State.REQUESTED) {
-            teams.get(b.team()).waiting.remove(b.id());
-            b.rates().keySet().forEach(d -> destinations.get(d).waitsNoMore(b.startMs(), b.id()));
-        } else if (b.state() == State.REFUSED) {
-            refused.remove(b.number());
+    private void unindex(Booking booking) {
+        updateTimer(booking, false);
+        updateTimelines(booking, -1);
+        if (booking.state() == State.REQUESTED) {
+            teams.get(booking.team()).waitingIds.remove(booking.id());
+            booking.rates().keySet().forEach(d -> destinations.get(d).removeWaiting(booking.startMs(), booking.id()));
+        } else if (booking.state() == State.REFUSED) {
+            refusedByNumber.remove(booking.number());
         }
     }
 
-    private void attach(Booking b) {
-        bookings.put(b.id(), b);
-        timer(b, true);
-        count(b, 1);
-        if (b.state() == State.REQUESTED) {
-            teams.get(b.team()).waiting.add(b.id());
-            b.rates().keySet().forEach(d -> destinations.get(d).waits(b.startMs(), b.id()));
-        } else if (b.state() == State.REFUSED) {
-            refused.put(b.number(), b.id());
-        } else if (b.state().told()) {
-            told.add(b.id());
+    private void index(Booking booking) {
+        bookings.put(booking.id(), booking);
+        updateTimer(booking, true);
+        updateTimelines(booking, 1);
+        if (booking.state() == State.REQUESTED) {
+            teams.get(booking.team()).waitingIds.add(booking.id());
+            booking.rates().keySet().forEach(d -> destinations.get(d).addWaiting(booking.startMs(), booking.id()));
+        } else if (booking.state() == State.REFUSED) {
+            refusedByNumber.put(booking.number(), booking.id());
+        } else if (booking.state().knownToRelays()) {
+            idsKnownToRelays.add(booking.id());
         }
     }
 
-    private void timer(Booking b, boolean on) {
-        long at = dueMs(b);
+    private void updateTimer(Booking booking, boolean on) {
+        long at = dueMs(booking);
         if (on) {
-            timers.computeIfAbsent(at, k -> new TreeSet<>()).add(b.id());
+            idsByDueTime.computeIfAbsent(at, k -> new TreeSet<>()).add(booking.id());
             return;
         }
-        SortedSet<String> ids = timers.get(at);
-        if (ids != null && ids.remove(b.id()) && ids.isEmpty()) {
-            timers.remove(at);
+        SortedSet<String> ids = idsByDueTime.get(at);
+        if (ids != null && ids.remove(booking.id()) && ids.isEmpty()) {
+            idsByDueTime.remove(at);
         }
     }
 
-    private void count(Booking b, int sign) {
-        if (!b.holds()) {
+    private void updateTimelines(Booking booking, int sign) {
+        if (!booking.holds()) {
             return;
         }
-        b.rates().forEach((number, rate) -> {
-            Destination d = destinations.get(number);
-            d.steps.add(b.startMs(), b.bookedToMs(), sign * rate);
+        booking.rates().forEach((number, rate) -> {
+            Destination destination = destinations.get(number);
+            destination.timeline.add(booking.startMs(), booking.bookedToMs(), sign * rate);
             if (sign > 0) {
-                d.holding.add(b.id());
+                destination.holdingIds.add(booking.id());
             } else {
-                d.holding.remove(b.id());
+                destination.holdingIds.remove(booking.id());
             }
         });
     }
 
     // ---- snapshot ----
 
-    /** All of it as bytes, the same for the same state. */
+    /** Snapshot of the state, identical for equal states. */
     public byte[] snapshot() {
         return new Snapshot(rules, time, horizon, version, nextNumber, teams, destinations, bookings).bytes();
     }
 
-    /** Reads {@link #snapshot}; raises {@link Fault.UnknownEntry} and {@link Fault.TornLedger}. */
+    /** Restores a {@link #snapshot}; throws {@link Fault.UnknownEntry} and {@link Fault.TornLedger}. */
     public static Bookings restore(byte[] bytes) {
         Snapshot s = Snapshot.read(bytes);
         Bookings all = new Bookings(s.rules());
@@ -667,10 +692,10 @@
         all.nextNumber = s.nextNumber();
         all.teams.putAll(s.teams());
         all.destinations.putAll(s.destinations());
-        for (Booking b : s.bookings().values()) {
-            all.attach(b);
-            if (b.state().over() && b.holds()) {
-                all.told.add(b.id());
+        for (Booking booking : s.bookings().values()) {
+            all.index(booking);
+            if (booking.state().over() && booking.holds()) {
+                all.idsKnownToRelays.add(booking.id());
             }
         }
         return all;
--- a/src/main/java/firstair/fleet/booking/Calendar.java
+++ b/src/main/java/firstair/fleet/booking/Calendar.java
@@ -31,38 +31,38 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
 /**
- * Working days and opening hours of one place. It knows no current time and no default zone or language: the same
- * questions have the same answers everywhere. What cannot be used raises {@link Fault.BadCalendar}.
+ * Working days and opening hours of a location. It depends on no current time, default zone or locale: equal queries
+ * give equal results on every machine. Invalid input throws {@link Fault.BadCalendar}.
  *
- * <p>A local time that never comes becomes the first instant after the gap. One that comes twice is its first coming
- * where something starts and its last where something ends.
+ * <p>A local time inside a daylight-saving gap becomes the first instant after the gap. An ambiguous local time is
+ * taken as the earlier instant for a start and as the later one for an end.
  */
 public final class Calendar {
-    /** Most times that one rule may come. */
-    public static final int MOST_TIMES = 400;
+    /** Maximum number of occurrences of a rule. */
+    public static final int MAX_OCCURRENCES = 400;
 
-    private static final int AHEAD_YEARS = 2;
-    private static final int MOST_RULE = 500;
-    private static final int MOST_INTERVAL = 1000;
-    private static final int MOST_STEPS = 2000; // days that a rule may come on before and within the two years
-    private static final int SEARCH_DAYS = 366; // for the next working day
-    private static final int YEARS_KEPT = 8;
-    private static final int MOST_CLOSED = 2000;
+    private static final int MAX_YEARS_AHEAD = 2;
+    private static final int MAX_RULE_LENGTH = 500;
+    private static final int MAX_INTERVAL = 1000;
+    private static final int MAX_RULE_DAYS = 2000; // days of a rule examined, from two years back to two years ahead
+    private static final int MAX_SEARCH_DAYS = 366; // range of the search for a working day
+    private static final int MAX_CACHED_YEARS = 8;
+    private static final int MAX_CLOSED_DAYS = 2000;
     private static final int FIRST_YEAR = 2000;
     private static final int LAST_YEAR = 2200;
-    private static final int MINUTE_SECONDS = 60;
-    private static final int DAY_MINUTES = 24 * 60;
+    private static final int SECONDS_PER_MINUTE = 60;
+    private static final int MINUTES_PER_DAY = 24 * 60;
 
     /**
-     * What a calendar is made of.
+     * Settings of a calendar.
      *
-     * @param zone      whose days and hours
-     * @param countries whose public holidays count, such as {@code de} or {@code de-by} for one of its parts
-     * @param weekend   days of the week on which nobody works
-     * @param closed    further days on which nobody works
-     * @param opens     first open moment of a working day
-     * @param closes    first closed moment again; midnight is the day's end; the same as {@code opens} is all day
-     * @param cutOff    what comes after it counts as come on the next working day
+     * @param zone      time zone of the days and hours
+     * @param countries countries whose public holidays apply, such as {@code de}, or {@code de-by} for a subdivision
+     * @param weekend   days of the week that are not working days
+     * @param closed    further dates that are not working days
+     * @param opens     opening time of a working day
+     * @param closes    closing time (exclusive); midnight is the end of the day; equal to {@code opens} means all day
+     * @param cutOff    requests received from this time on count as received on the next working day
      */
     public record Terms(
             String name,
@@ -74,31 +74,31 @@
             LocalTime closes,
             LocalTime cutOff) {}
 
-    /** Where a time goes that falls on a day on which nobody works. */
+    /** How an occurrence that falls on a non-working day is shifted. */
     public enum Shift {
-        /** To the working day before. */
+        /** To the previous working day. */
         BEFORE,
-        /** To the working day after. */
+        /** To the next working day. */
         AFTER,
-        /** It does not come at all. */
+        /** It is skipped. */
         SKIP
     }
 
     /**
-     * Times that come again and again.
+     * A recurring span of time.
      *
-     * @param rule    by RFC 5545, daily or rarer, such as {@code FREQ=MONTHLY;BYMONTHDAY=-1}
-     * @param first   the first day of the rule
-     * @param from    local time of the start
-     * @param to      local time of the end, on the next day if it is not after {@code from}
-     * @param shift   for days on which nobody works
-     * @param workday if not 0, the so-many-th working day of the rule's month instead of the rule's day; -1 is the last
-     * @param most    at most so many times
+     * @param rule           RFC 5545 rule, daily or less frequent, such as {@code FREQ=MONTHLY;BYMONTHDAY=-1}
+     * @param first          first day of the rule
+     * @param from           local start time
+     * @param to             local end time, on the next day if it is not after {@code from}
+     * @param shift          how occurrences on non-working days are shifted
+     * @param workday        if not 0, the n-th working day of the month replaces the rule's day; -1 is the last
+     * @param maxOccurrences maximum number of occurrences
      */
     public record Repeat(
-            String rule, LocalDate first, LocalTime from, LocalTime to, Shift shift, int workday, int most) {}
+            String rule, LocalDate first, LocalTime from, LocalTime to, Shift shift, int workday, int maxOccurrences) {}
 
-    /** One time: its day, and from when to when, epoch ms. */
+    /** One occurrence: its day, start and end, epoch ms. */
     public record Span(LocalDate day, long startMs, long endMs) {}
 
     private final Terms terms;
@@ -106,52 +106,52 @@
     private final Set<DayOfWeek> weekend;
     private final Set<LocalDate> closed;
     private final Map<HolidayManager, String[]> countries = new LinkedHashMap<>();
-    private final Map<Integer, Set<LocalDate>> holidays = new LinkedHashMap<>(); // by year, the oldest go
+    private final Map<Integer, Set<LocalDate>> holidays = new LinkedHashMap<>(); // by year, a bounded cache
 
-    /** One by its terms. */
+    /** Creates a calendar; throws {@link Fault.BadCalendar} for invalid terms. */
     public Calendar(Terms terms) {
         this.terms = terms;
         try {
             zone = ZoneId.of(terms.zone());
         } catch (DateTimeException e) {
-            throw bad("no time zone " + terms.zone());
+            throw badCalendar("unknown time zone " + terms.zone());
         }
         weekend = terms.weekend().isEmpty() ? EnumSet.noneOf(DayOfWeek.class) : EnumSet.copyOf(terms.weekend());
         if (weekend.size() == DayOfWeek.values().length) {
-            throw bad("nobody ever works");
+            throw badCalendar("has no working day in the week");
         }
-        if (terms.closed().size() > MOST_CLOSED) {
-            throw bad(MOST_CLOSED + " closing days at most");
+        if (terms.closed().size() > MAX_CLOSED_DAYS) {
+            throw badCalendar("at most " + MAX_CLOSED_DAYS + " closed days");
         }
         closed = new TreeSet<>(terms.closed());
-        if (!allDay() && minute(terms.closes(), true) <= minute(terms.opens(), false)) {
-            throw bad("closes before it opens");
+        if (!allDay() && minuteOfDay(terms.closes(), true) <= minuteOfDay(terms.opens(), false)) {
+            throw badCalendar("closes before it opens");
         }
         Set<String> codes = new TreeSet<>();
         HolidayManager.getSupportedCalendarCodes().forEach(c -> codes.add(c.toLowerCase(Locale.ROOT)));
         for (String country : terms.countries()) {
             String[] parts = country.toLowerCase(Locale.ROOT).split("-", -1);
             if (!codes.contains(parts[0])) {
-                throw bad("no holidays of country " + country);
+                throw badCalendar("no holiday data for country " + country);
             }
             HolidayManager manager = HolidayManager.getInstance(ManagerParameters.create(parts[0]));
             if (parts.length > 1
                     && (parts.length > 2
                             || !manager.getCalendarHierarchy().getChildren().containsKey(parts[1]))) {
-                throw bad("no part " + country + " of its country");
+                throw badCalendar("unknown subdivision " + country + " of its country");
             }
             countries.merge(manager, parts.length > 1 ? new String[] {parts[1]} : new String[0], (a, b) -> {
-                throw bad("country " + parts[0] + " is named twice");
+                throw badCalendar("country " + parts[0] + " is named twice");
             });
         }
     }
 
-    /** Its name. */
+    /** Name of the calendar. */
     public String name() {
         return terms.name();
     }
 
-    /** Whether it is a working day. */
+    /** Whether a date is a working day. */
     public boolean works(LocalDate day) {
         return !weekend.contains(day.getDayOfWeek())
                 && !closed.contains(day)
@@ -160,151 +160,152 @@
 
     private Set<LocalDate> holidays(int year) {
         if (year < FIRST_YEAR || year > LAST_YEAR) {
-            throw bad("the year " + year + " is too far away");
+            throw badCalendar("the year " + year + " is out of range");
         }
-        Set<LocalDate> known = holidays.get(year);
-        if (known == null) {
-            known = new TreeSet<>();
+        Set<LocalDate> days = holidays.get(year);
+        if (days == null) {
+            days = new TreeSet<>();
             for (Map.Entry<HolidayManager, String[]> e : countries.entrySet()) {
                 for (HolidayType type : List.of(HolidayType.PUBLIC_HOLIDAY, HolidayType.BANK_HOLIDAY)) {
-                    for (Holiday h : e.getKey().getHolidays(Year.of(year), type, e.getValue())) {
-                        known.add(h.getDate());
+                    for (Holiday holiday : e.getKey().getHolidays(Year.of(year), type, e.getValue())) {
+                        days.add(holiday.getDate());
                     }
                 }
             }
-            if (holidays.size() >= YEARS_KEPT) {
+            if (holidays.size() >= MAX_CACHED_YEARS) {
                 holidays.remove(holidays.keySet().iterator().next());
             }
-            holidays.put(year, known);
+            holidays.put(year, days);
         }
-        return known;
+        return days;
     }
 
-    /** The day itself if it is a working day, else the next one before it. */
-    public LocalDate onOrBefore(LocalDate day) {
-        return search(day, -1);
+    /** The day itself if it is a working day, otherwise the last one before it. */
+    public LocalDate workingDayOnOrBefore(LocalDate day) {
+        return nearestWorkingDay(day, -1);
     }
 
-    /** The day itself if it is a working day, else the next one after it. */
-    public LocalDate onOrAfter(LocalDate day) {
-        return search(day, 1);
+    /** The day itself if it is a working day, otherwise the first one after it. */
+    public LocalDate workingDayOnOrAfter(LocalDate day) {
+        return nearestWorkingDay(day, 1);
     }
 
-    private LocalDate search(LocalDate day, int step) {
-        for (int i = 0; i <= SEARCH_DAYS; i++) {
+    private LocalDate nearestWorkingDay(LocalDate day, int step) {
+        for (int i = 0; i <= MAX_SEARCH_DAYS; i++) {
             LocalDate d = day.plusDays((long) i * step);
             if (works(d)) {
                 return d;
             }
         }
-        throw bad("no working day within a year of " + day);
+        throw badCalendar("no working day within a year of " + day);
     }
 
     /** The n-th working day of a month; -1 is the last one. */
-    public LocalDate workday(YearMonth month, int n) {
-        int left = Math.abs(n);
+    public LocalDate nthWorkingDay(YearMonth month, int n) {
+        int remaining = Math.abs(n);
         for (int i = 1; i <= month.lengthOfMonth(); i++) {
             LocalDate d = month.atDay(n > 0 ? i : month.lengthOfMonth() + 1 - i);
-            if (works(d) && --left == 0) {
+            if (works(d) && --remaining == 0) {
                 return d;
             }
         }
-        throw bad("no working day " + n + " in " + month);
+        throw badCalendar("no working day " + n + " in " + month);
     }
 
     /** The last working day of a month. */
-    public LocalDate lastWorkday(YearMonth month) {
-        return workday(month, -1);
+    public LocalDate lastWorkingDay(YearMonth month) {
+        return nthWorkingDay(month, -1);
     }
 
-    /** Whether it is open at a moment, epoch ms. */
-    public boolean open(long ms) {
-        ZonedDateTime at = Instant.ofEpochMilli(ms).atZone(zone);
-        int minute = minute(at.toLocalTime(), false);
-        return works(at.toLocalDate())
-                && (allDay() || minute >= minute(terms.opens(), false) && minute < minute(terms.closes(), true));
+    /** Whether the location is open at an instant, epoch ms. */
+    public boolean isOpen(long ms) {
+        ZonedDateTime local = Instant.ofEpochMilli(ms).atZone(zone);
+        int minute = minuteOfDay(local.toLocalTime(), false);
+        return works(local.toLocalDate())
+                && (allDay()
+                        || minute >= minuteOfDay(terms.opens(), false) && minute < minuteOfDay(terms.closes(), true));
     }
 
-    /** The working day on which something that comes at a moment counts as come. */
-    public LocalDate countsOn(long ms) {
-        ZonedDateTime at = Instant.ofEpochMilli(ms).atZone(zone);
-        LocalDate day = at.toLocalDate();
-        return onOrAfter(at.toLocalTime().isBefore(terms.cutOff()) ? day : day.plusDays(1));
+    /** The working day on which a request received at an instant, epoch ms, counts as received. */
+    public LocalDate effectiveDay(long ms) {
+        ZonedDateTime local = Instant.ofEpochMilli(ms).atZone(zone);
+        LocalDate day = local.toLocalDate();
+        return workingDayOnOrAfter(local.toLocalTime().isBefore(terms.cutOff()) ? day : day.plusDays(1));
     }
 
     /**
-     * The times of a rule, in order: those whose day is after the one on which a request that comes now counts, at most
-     * two years ahead and as many as the rule says. Two that fall on one day are one.
+     * Occurrences of a rule, in order: those after the day on which a request received now counts, at most two years
+     * ahead and at most as many as requested. Occurrences that fall on the same day are merged.
      *
      * @param nowMs epoch ms
      */
     public List<Span> expand(Repeat repeat, long nowMs) {
-        check(repeat);
+        validate(repeat);
         LocalDate today = Instant.ofEpochMilli(nowMs).atZone(zone).toLocalDate();
-        LocalDate after = countsOn(nowMs);
-        LocalDate last = today.plusYears(AHEAD_YEARS);
-        if (repeat.first.isBefore(today.minusYears(AHEAD_YEARS)) || repeat.first.isAfter(last)) {
-            throw bad("the rule has to begin within two years of now");
+        LocalDate effective = effectiveDay(nowMs);
+        LocalDate last = today.plusYears(MAX_YEARS_AHEAD);
+        if (repeat.first.isBefore(today.minusYears(MAX_YEARS_AHEAD)) || repeat.first.isAfter(last)) {
+            throw badCalendar("the rule must begin within two years of now");
         }
         Map<LocalDate, Span> spans = new TreeMap<>();
-        for (LocalDate ruled : days(repeat, last)) {
-            LocalDate day = moved(repeat, ruled);
-            if (day != null && day.isAfter(after) && !day.isAfter(last)) {
+        for (LocalDate ruleDay : ruleDays(repeat, last)) {
+            LocalDate day = shifted(repeat, ruleDay);
+            if (day != null && day.isAfter(effective) && !day.isAfter(last)) {
                 LocalDate endDay = repeat.to.isAfter(repeat.from) ? day : day.plusDays(1);
                 spans.put(
                         day,
                         new Span(
                                 day,
-                                Zones.start(day.atTime(repeat.from), zone),
-                                Zones.end(endDay.atTime(repeat.to), zone)));
+                                Zones.startMs(day.atTime(repeat.from), zone),
+                                Zones.endMs(endDay.atTime(repeat.to), zone)));
             }
         }
         return spans.values().stream()
                 .filter(s -> s.endMs > s.startMs)
-                .limit(repeat.most)
+                .limit(repeat.maxOccurrences)
                 .toList();
     }
 
-    private LocalDate moved(Repeat repeat, LocalDate day) {
+    private LocalDate shifted(Repeat repeat, LocalDate day) {
         if (repeat.workday != 0) {
-            return workday(YearMonth.from(day), repeat.workday);
+            return nthWorkingDay(YearMonth.from(day), repeat.workday);
         }
         if (works(day)) {
             return day;
         }
         return switch (repeat.shift) {
-            case BEFORE -> onOrBefore(day);
-            case AFTER -> onOrAfter(day);
+            case BEFORE -> workingDayOnOrBefore(day);
+            case AFTER -> workingDayOnOrAfter(day);
             case SKIP -> null;
         };
     }
 
-    private void check(Repeat r) {
-        if (r.most < 1 || r.most > MOST_TIMES) {
-            throw bad("a rule may come 1 to " + MOST_TIMES + " times");
+    private void validate(Repeat repeat) {
+        if (repeat.maxOccurrences < 1 || repeat.maxOccurrences > MAX_OCCURRENCES) {
+            throw badCalendar("a rule must have 1 to " + MAX_OCCURRENCES + " occurrences");
         }
-        if (r.first.getYear() < FIRST_YEAR || r.first.getYear() > LAST_YEAR) {
-            throw bad("the rule begins too far away");
+        if (repeat.first.getYear() < FIRST_YEAR || repeat.first.getYear() > LAST_YEAR) {
+            throw badCalendar("the first day of the rule is out of range");
         }
         if (!allDay()
-                && (minute(r.from, false) < minute(terms.opens(), false)
-                        || minute(r.to, true) > minute(terms.closes(), true)
-                        || minute(r.to, true) <= minute(r.from, false))) {
-            throw bad("it is not open from " + r.from + " to " + r.to);
+                && (minuteOfDay(repeat.from, false) < minuteOfDay(terms.opens(), false)
+                        || minuteOfDay(repeat.to, true) > minuteOfDay(terms.closes(), true)
+                        || minuteOfDay(repeat.to, true) <= minuteOfDay(repeat.from, false))) {
+            throw badCalendar("not open from " + repeat.from + " to " + repeat.to);
         }
     }
 
-    private List<LocalDate> days(Repeat repeat, LocalDate last) {
+    private List<LocalDate> ruleDays(Repeat repeat, LocalDate last) {
         List<LocalDate> days = new ArrayList<>();
         try {
-            RecurrenceRule rule = parsed(repeat.rule);
+            RecurrenceRule rule = parseRule(repeat.rule);
             LocalDate first = repeat.first;
             RecurrenceRuleIterator all =
                     rule.iterator(new DateTime(first.getYear(), first.getMonthValue() - 1, first.getDayOfMonth()));
-            for (int i = 0; i < MOST_STEPS && all.hasNext(); i++) {
+            for (int i = 0; i < MAX_RULE_DAYS && all.hasNext(); i++) {
                 DateTime at = all.nextDateTime();
                 LocalDate day = LocalDate.of(at.getYear(), at.getMonth() + 1, at.getDayOfMonth());
-                if (day.isAfter(last.plusMonths(1))) { // one that is moved back may still be in time
+                if (day.isAfter(last.plusMonths(1))) { // a day shifted back may still be in range
                     break;
                 }
                 days.add(day);
@@ -315,28 +316,28 @@
                 | ArithmeticException
                 | DateTimeException
                 | IndexOutOfBoundsException e) {
-            throw bad("rule " + repeat.rule.substring(0, Math.min(repeat.rule.length(), MOST_RULE))
-                    + " cannot be used: " + e.getMessage());
+            throw badCalendar("rule " + repeat.rule.substring(0, Math.min(repeat.rule.length(), MAX_RULE_LENGTH))
+                    + " is invalid: " + e.getMessage());
         }
         return Collections.unmodifiableList(days);
     }
 
-    private RecurrenceRule parsed(String text) throws InvalidRecurrenceRuleException {
-        if (text.length() > MOST_RULE) {
-            throw bad("a rule of more than " + MOST_RULE + " characters");
+    private RecurrenceRule parseRule(String text) throws InvalidRecurrenceRuleException {
+        if (text.length() > MAX_RULE_LENGTH) {
+            throw badCalendar("the rule is longer than " + MAX_RULE_LENGTH + " characters");
         }
         RecurrenceRule rule = new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
-        Set<Freq> coarse = EnumSet.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
-        if (!coarse.contains(rule.getFreq())
-                || rule.getInterval() > MOST_INTERVAL
+        Set<Freq> allowed = EnumSet.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
+        if (!allowed.contains(rule.getFreq())
+                || rule.getInterval() > MAX_INTERVAL
                 || rule.hasPart(RecurrenceRule.Part.RSCALE)
                 || rule.hasPart(RecurrenceRule.Part.BYHOUR)
                 || rule.hasPart(RecurrenceRule.Part.BYMINUTE)
                 || rule.hasPart(RecurrenceRule.Part.BYSECOND)) {
-            throw bad("a rule has to say days: " + text);
+            throw badCalendar("the rule must select whole days: " + text);
         }
         if (rule.getUntil() != null && !rule.getUntil().isAllDay()) {
-            throw bad("UNTIL has to be a date: " + text);
+            throw badCalendar("UNTIL must be a date: " + text);
         }
         return rule;
     }
@@ -345,12 +346,12 @@
         return terms.opens().equals(terms.closes());
     }
 
-    private static int minute(LocalTime time, boolean end) {
-        int minute = time.toSecondOfDay() / MINUTE_SECONDS;
-        return end && minute == 0 ? DAY_MINUTES : minute;
+    private static int minuteOfDay(LocalTime time, boolean isEnd) {
+        int minute = time.toSecondOfDay() / SECONDS_PER_MINUTE;
+        return isEnd && minute == 0 ? MINUTES_PER_DAY : minute;
     }
 
-    private Fault bad(String why) {
+    private Fault badCalendar(String why) {
         return new Fault.BadCalendar(terms.name(), why);
     }
 }
--- a/src/main/java/firstair/fleet/booking/Change.java
+++ b/src/main/java/firstair/fleet/booking/Change.java
@@ -1,11 +1,11 @@
 package firstair.fleet.booking;
 
 /**
- * Something that happened to a booking.
+ * An event of a booking.
  *
- * @param from  its state before, null if it is new
- * @param to    its state now; the same as {@code from} if it was moved, extended, cut or begun
- * @param atMs  the ledger's time, epoch ms
- * @param cause for people
+ * @param from  previous state, null for a new booking
+ * @param to    new state; equal to {@code from} if the booking was moved, extended or cut, or its run began
+ * @param atMs  ledger time, epoch ms
+ * @param cause human-readable reason
  */
 public record Change(String id, State from, State to, long atMs, String cause) {}
--- a/src/main/java/firstair/fleet/booking/Destination.java
+++ b/src/main/java/firstair/fleet/booking/Destination.java
@@ -8,19 +8,19 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What is known of one destination. */
+/** Bookable capacity, bookings and waiting requests of a destination. */
 final class Destination {
     final int number;
-    final Steps steps;
-    long limit; // thousandths of a call a second
-    int bookable; // millionths of it
-    List<Closed> closed;
-    final Set<String> holding = new TreeSet<>(); // bookings that count in the steps
-    private final NavigableMap<Long, Set<String>> waiting = new TreeMap<>(); // by start
-
-    Destination(Operation.SetDestination set, Steps steps) {
+    final RateTimeline timeline;
+    long limit; // thousandths of a call per second
+    int bookable; // bookable share of the limit, millionths
+    List<ClosingHours> closed;
+    final Set<String> holdingIds = new TreeSet<>(); // ids of bookings counted in the timeline
+    private final NavigableMap<Long, Set<String>> waitingByStart = new TreeMap<>(); // ids by start time
+
+    Destination(Operation.SetDestination set, RateTimeline timeline) {
         this.number = set.destination();
-        this.steps = steps;
+        this.timeline = timeline;
         set(set);
     }
 
@@ -30,27 +30,27 @@
         closed = set.closed();
     }
 
-    /** What may be booked of it, thousandths of a call a second. */
+    /** Bookable rate, thousandths of a call per second. */
     long capacity() {
         return limit * bookable / Setup.WHOLE;
     }
 
-    void waits(long startMs, String id) {
-        waiting.computeIfAbsent(startMs, k -> new TreeSet<>()).add(id);
+    void addWaiting(long startMs, String id) {
+        waitingByStart.computeIfAbsent(startMs, k -> new TreeSet<>()).add(id);
     }
 
-    void waitsNoMore(long startMs, String id) {
-        Set<String> ids = waiting.get(startMs);
+    void removeWaiting(long startMs, String id) {
+        Set<String> ids = waitingByStart.get(startMs);
         if (ids != null && ids.remove(id) && ids.isEmpty()) {
-            waiting.remove(startMs);
+            waitingByStart.remove(startMs);
         }
     }
 
-    /** Those that wait and start in a span of time. */
-    List<String> waiting(long fromMs, long toMs) {
+    /** Ids of waiting requests that start within a span. */
+    List<String> waitingBetween(long fromMs, long toMs) {
         List<String> ids = new ArrayList<>();
         if (fromMs < toMs) {
-            waiting.subMap(fromMs, toMs).values().forEach(ids::addAll);
+            waitingByStart.subMap(fromMs, toMs).values().forEach(ids::addAll);
         }
         return ids;
     }
--- a/src/main/java/firstair/fleet/booking/Json.java
+++ b/src/main/java/firstair/fleet/booking/Json.java
@@ -6,33 +6,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parts of what is written. */
+/** Helpers that build JSON values. */
 final class Json {
     private Json() {}
 
-    /** Whole numbers by number. */
+    /** Object with whole numbers keyed by number. */
     static JsonObject numbers(Map<Integer, Long> map) {
-        JsonObject o = new JsonObject();
-        map.forEach((k, v) -> o.addProperty(k.toString(), v));
-        return o;
+        JsonObject object = new JsonObject();
+        map.forEach((k, v) -> object.addProperty(k.toString(), v));
+        return object;
     }
 
-    /** Rates in calls a second by destination. */
+    /** Rates in calls per second, keyed by destination. */
     static JsonObject calls(Map<Integer, Long> rates) {
-        JsonObject o = new JsonObject();
-        rates.forEach((k, v) -> o.addProperty(k.toString(), Rates.calls(v)));
-        return o;
+        JsonObject object = new JsonObject();
+        rates.forEach((k, v) -> object.addProperty(k.toString(), Rates.toCalls(v)));
+        return object;
     }
 
-    /** Texts. */
-    static JsonArray texts(List<String> texts) {
-        JsonArray a = new JsonArray();
-        texts.forEach(a::add);
-        return a;
+    /** Array of strings. */
+    static JsonArray strings(List<String> strings) {
+        JsonArray array = new JsonArray();
+        strings.forEach(array::add);
+        return array;
     }
 
-    /** A time, such as 2026-12-31T18:00:00Z. */
-    static String time(long ms) {
+    /** Timestamp such as 2026-12-31T18:00:00Z. */
+    static String timestamp(long ms) {
         return Instant.ofEpochMilli(ms).toString();
     }
 }
--- a/src/main/java/firstair/fleet/booking/Operation.java
+++ b/src/main/java/firstair/fleet/booking/Operation.java
@@ -7,186 +7,186 @@
 import java.util.SortedMap;
 
 /**
- * What the ledger agrees on. Rates and limits are thousandths of a call a second, times epoch ms. Each checks its own
- * values and raises {@link Fault.BadRequest} that names the field.
+ * An operation on bookings that the ledger agrees on. Rates and limits are thousandths of a call per second, times are
+ * epoch ms. Each operation validates its values and throws {@link Fault.BadRequest} that names the field.
  */
 public sealed interface Operation {
-    /** Longest name of a booking or a team. */
-    int MOST_NAME = 64;
-    /** Longest reason, characters. */
-    int MOST_REASON = 200;
-    /** Highest quota: calls of a month, thousandths. */
-    long MOST_QUOTA = 1_000_000_000_000_000_000L;
-    /** Last rank. */
-    int MOST_RANK = 1000;
-    /** Times are before the year 3000. */
-    long MOST_MS = 32_503_680_000_000L;
+    /** Maximum length of the name of a booking or a team, characters. */
+    int MAX_NAME_LENGTH = 64;
+    /** Maximum length of a reason, characters. */
+    int MAX_REASON_LENGTH = 200;
+    /** Maximum quota, thousandths of a call per month. */
+    long MAX_QUOTA = 1_000_000_000_000_000_000L;
+    /** Maximum rank. */
+    int MAX_RANK = 1000;
+    /** Latest time, epoch ms: the year 3000. */
+    long MAX_TIME_MS = 32_503_680_000_000L;
 
     /**
-     * Requests a booking. The same again changes nothing.
+     * Requests a booking. A repeated identical request changes nothing.
      *
-     * @param rank  in the waiting list; lower ones go first
-     * @param rates at each destination
-     * @param waits whether it waits where there is no room, else it is refused
+     * @param rank  priority on the waiting list; lower ranks are served first
+     * @param rates by destination
+     * @param waits whether the request joins the waiting list if there is not enough capacity; otherwise it is refused
      */
     record Put(
             String id, String team, int rank, SortedMap<Integer, Long> rates, long startMs, long endMs, boolean waits)
             implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public Put {
-            name("id", id);
-            name("team", team);
-            range("rank", rank, 0, MOST_RANK);
-            rates = Rates.checked(rates);
-            span(startMs, endMs);
+            checkName("id", id);
+            checkName("team", team);
+            checkRange("rank", rank, 0, MAX_RANK);
+            rates = Rates.validated(rates);
+            checkSpan(startMs, endMs);
         }
 
-        /** One with rates in any order. */
+        /** A request with rates in any order. */
         public static Put of(
                 String id, String team, int rank, Map<Integer, Long> rates, long startMs, long endMs, boolean waits) {
-            return new Put(id, team, rank, Rates.checked(rates), startMs, endMs, waits);
+            return new Put(id, team, rank, Rates.validated(rates), startMs, endMs, waits);
         }
     }
 
-    /** The team takes what was offered. */
+    /** The team confirms the booking that it was offered. */
     record Confirm(String id, String team) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public Confirm {
-            name("id", id);
-            name("team", team);
+            checkName("id", id);
+            checkName("team", team);
         }
     }
 
-    /** The team's run has begun. */
+    /** The team reports that its run has begun. */
     record ShowUp(String id, String team) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public ShowUp {
-            name("id", id);
-            name("team", team);
+            checkName("id", id);
+            checkName("team", team);
         }
     }
 
-    /** The team ends its running booking early, or gives up one that is not sealed. */
+    /** The team ends its running booking early, or cancels one that is not sealed yet. */
     record End(String id, String team, String reason) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public End {
-            name("id", id);
-            name("team", team);
-            reasoned(reason);
+            checkName("id", id);
+            checkName("team", team);
+            checkReason(reason);
         }
     }
 
-    /** The team needs its booking for longer. */
+    /** The team extends its booking. */
     record Extend(String id, String team, long endMs) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public Extend {
-            name("id", id);
-            name("team", team);
-            range("end", endMs, 0, MOST_MS);
+            checkName("id", id);
+            checkName("team", team);
+            checkRange("end", endMs, 0, MAX_TIME_MS);
         }
     }
 
-    /** Operators move a booking that is not sealed. */
+    /** Operators move a booking that is not sealed yet. */
     record Move(String id, long startMs, long endMs, String reason) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public Move {
-            name("id", id);
-            span(startMs, endMs);
-            reasoned(reason);
+            checkName("id", id);
+            checkSpan(startMs, endMs);
+            checkReason(reason);
         }
     }
 
-    /** Operators drop a booking that is not sealed. */
+    /** Operators drop a booking that is not sealed yet. */
     record Drop(String id, String reason) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public Drop {
-            name("id", id);
-            reasoned(reason);
+            checkName("id", id);
+            checkReason(reason);
         }
     }
 
-    /** A destination's limit is another one. */
+    /** Changes a destination's limit. */
     record Limit(int destination, long limit) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public Limit {
-            range("destination", destination, 0, Integer.MAX_VALUE);
-            range("limit", limit, 0, Rates.MOST);
+            checkRange("destination", destination, 0, Integer.MAX_VALUE);
+            checkRange("limit", limit, 0, Rates.MAX_RATE);
         }
     }
 
-    /** Time has passed. */
+    /** Only advances the time. */
     record Tick() implements Operation {}
 
     /**
-     * Sets a team.
+     * Adds a team or changes its settings.
      *
-     * @param quota calls that it may book in a calendar month, thousandths
-     * @param zone  whose months
+     * @param quota calls that it may book per calendar month, thousandths
+     * @param zone  time zone of the calendar months
      */
     record SetTeam(String team, long quota, String zone) implements Operation {
-        /** Checks it. */
+        /** Validates the values. */
         public SetTeam {
-            name("team", team);
-            range("quota", quota, 0, MOST_QUOTA);
-            Zones.named(zone, "zone");
+            checkName("team", team);
+            checkRange("quota", quota, 0, MAX_QUOTA);
+            Zones.parse(zone, "zone");
         }
     }
 
     /**
-     * Sets a destination.
+     * Adds a destination or changes its settings.
      *
-     * @param bookable what part of the limit can be booked, millionths
-     * @param closed   when nothing can be booked there
+     * @param bookable share of the limit that can be booked, millionths
+     * @param closed   when the destination cannot be booked
      */
-    record SetDestination(int destination, long limit, int bookable, List<Closed> closed) implements Operation {
-        private static final int MOST_CLOSED = 32;
+    record SetDestination(int destination, long limit, int bookable, List<ClosingHours> closed) implements Operation {
+        private static final int MAX_CLOSING_HOURS = 32;
 
-        /** Checks it. */
+        /** Validates the values. */
         public SetDestination {
-            range("destination", destination, 0, Integer.MAX_VALUE);
-            range("limit", limit, 0, Rates.MOST);
-            range("bookable", bookable, 0, Setup.WHOLE);
+            checkRange("destination", destination, 0, Integer.MAX_VALUE);
+            checkRange("limit", limit, 0, Rates.MAX_RATE);
+            checkRange("bookable", bookable, 0, Setup.WHOLE);
             closed = List.copyOf(closed);
-            range("closed", closed.size(), 0, MOST_CLOSED);
+            checkRange("closed", closed.size(), 0, MAX_CLOSING_HOURS);
         }
     }
 
-    /** Other rules hold from now on; what is sealed stays as it is. */
+    /** Replaces the rules; sealed bookings stay as they are. */
     record SetRules(Rules rules) implements Operation {}
 
-    private static void name(String field, String name) {
+    private static void checkName(String field, String name) {
         if (name == null
                 || name.isEmpty()
-                || name.length() > MOST_NAME
-                || !name.chars().allMatch(Operation::plain)) {
-            throw new Fault.BadRequest(field, "1 to " + MOST_NAME + " letters, digits or . _ : - are needed");
+                || name.length() > MAX_NAME_LENGTH
+                || !name.chars().allMatch(Operation::isNameCharacter)) {
+            throw new Fault.BadRequest(field, "1 to " + MAX_NAME_LENGTH + " letters, digits or . _ : - are required");
         }
     }
 
-    private static boolean plain(int c) {
+    private static boolean isNameCharacter(int c) {
         return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || "._:-".indexOf(c) >= 0;
     }
 
-    private static void reasoned(String reason) {
+    private static void checkReason(String reason) {
         if (reason == null
                 || reason.isBlank()
-                || reason.length() > MOST_REASON
+                || reason.length() > MAX_REASON_LENGTH
                 || reason.chars().anyMatch(c -> Character.isISOControl(c) || Character.isSurrogate((char) c))) {
-            throw new Fault.BadRequest("reason", "1 to " + MOST_REASON + " characters are needed");
+            throw new Fault.BadRequest("reason", "1 to " + MAX_REASON_LENGTH + " characters are required");
         }
     }
 
-    private static void range(String field, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new Fault.BadRequest(field, "has to be from " + least + " to " + most);
+    private static void checkRange(String field, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new Fault.BadRequest(field, "must be from " + min + " to " + max);
         }
     }
 
-    private static void span(long startMs, long endMs) {
-        range("start", startMs, 0, MOST_MS);
-        range("end", endMs, 0, MOST_MS);
+    private static void checkSpan(long startMs, long endMs) {
+        checkRange("start", startMs, 0, MAX_TIME_MS);
+        checkRange("end", endMs, 0, MAX_TIME_MS);
         if (endMs <= startMs) {
-            throw new Fault.BadRequest("end", "has to be after the start");
+            throw new Fault.BadRequest("end", "must be after the start");
         }
     }
 }
--- a/src/main/java/firstair/fleet/booking/Operations.java
+++ b/src/main/java/firstair/fleet/booking/Operations.java
@@ -18,266 +18,290 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Operations as JSON, for the ledger and for those who ask; docs/reservations.md has an example of each. */
+/** JSON form of operations, for the ledger and for clients; docs/reservations.md has an example of each. */
 public final class Operations {
-    private static final int MOST_BYTES = 256 * 1024;
-    private static final int DIGITS = 6;
-    private static final String LOCAL = "a local time such as 2026-12-31T18:00";
+    private static final int MAX_BYTES = 256 * 1024;
+    private static final int SHARE_DECIMALS = 6;
+    private static final String LOCAL_TIME_FORMAT = "a local time such as 2026-12-31T18:00";
 
     private Operations() {}
 
     /**
-     * Reads one operation. Raises {@link Fault.BadRequest} that names the field, {@link Fault.UnknownEntry} for a kind
-     * that this version does not know.
+     * Reads a single operation. Throws {@link Fault.BadRequest} that names the field, and {@link Fault.UnknownEntry}
+     * for a kind that this version does not know.
      */
     public static Operation read(byte[] bytes) {
-        Fields f = fields(bytes);
-        if (f.has("repeat")) {
-            throw new Fault.BadRequest("repeat", "has to be expanded by a calendar first");
+        JsonFields fields = parse(bytes);
+        if (fields.has("repeat")) {
+            throw new Fault.BadRequest("repeat", "must be expanded by a calendar first");
         }
-        return operation(f);
+        return operation(fields);
     }
 
     /**
-     * Reads what a team asks for: one operation, or a request that repeats by a calendar's rule, which becomes a
-     * request for each time that it comes. It is expanded here, by whoever hands it to the ledger, since calendars
-     * and their libraries may differ between voters.
+     * Reads what a client submits: a single operation, or a recurring request, which becomes one request for each
+     * occurrence. It is expanded before it is proposed to the ledger, because calendars and their libraries may differ
+     * between voters.
      *
      * @param calendars by name
-     * @param nowMs     epoch ms: only what a request that comes now can still ask for
+     * @param nowMs     epoch ms; only occurrences that can still be requested now are returned
      */
     public static List<Operation> readAll(byte[] bytes, Map<String, Calendar> calendars, long nowMs) {
-        Fields f = fields(bytes);
-        if (!f.has("repeat")) {
-            return List.of(operation(f));
+        JsonFields fields = parse(bytes);
+        if (!fields.has("repeat")) {
+            return List.of(operation(fields));
         }
-        if (!f.text("kind").equals("put")) {
-            throw new Fault.BadRequest("repeat", "is for requests only");
+        if (!fields.string("kind").equals("put")) {
+            throw new Fault.BadRequest("repeat", "is only allowed for kind put");
         }
-        Fields r = f.inner("repeat");
-        Calendar calendar = calendars.get(r.text("calendar"));
+        JsonFields repeatFields = fields.object("repeat");
+        Calendar calendar = calendars.get(repeatFields.string("calendar"));
         if (calendar == null) {
-            throw new Fault.BadCalendar(r.text("calendar"), "is not among the settings");
+            throw new Fault.BadCalendar(repeatFields.string("calendar"), "is not configured");
         }
         Calendar.Repeat repeat = new Calendar.Repeat(
-                r.text("rule"),
-                r.parsed("first", "a date such as 2026-12-31", LocalDate::parse),
-                r.parsed("from", "a time such as 18:00", LocalTime::parse),
-                r.parsed("to", "a time such as 20:00", LocalTime::parse),
-                r.parsed("shift", "before, after or skip", t -> Calendar.Shift.valueOf(t.toUpperCase(Locale.ROOT))),
-                r.has("workday") ? r.number("workday") : 0,
-                r.number("most"));
-        r.done();
-        String id = f.text("id");
-        String team = f.text("team");
-        int rank = f.number("rank");
-        Map<Integer, Long> rates = f.callsEach("calls");
-        boolean wait = f.flag("wait");
-        f.done();
+                repeatFields.string("rule"),
+                repeatFields.parsed("first", "a date such as 2026-12-31", LocalDate::parse),
+                repeatFields.parsed("from", "a time such as 18:00", LocalTime::parse),
+                repeatFields.parsed("to", "a time such as 20:00", LocalTime::parse),
+                repeatFields.parsed(
+                        "shift", "before, after or skip", t -> Calendar.Shift.valueOf(t.toUpperCase(Locale.ROOT))),
+                repeatFields.has("workday") ? repeatFields.intValue("workday") : 0,
+                repeatFields.intValue("most"));
+        repeatFields.rejectUnread();
+        String id = fields.string("id");
+        String team = fields.string("team");
+        int rank = fields.intValue("rank");
+        Map<Integer, Long> rates = fields.thousandthsByNumber("calls");
+        boolean waits = fields.optionalBoolean("wait");
+        fields.rejectUnread();
         List<Operation> all = new ArrayList<>();
         for (Calendar.Span span : calendar.expand(repeat, nowMs)) {
-            all.add(Operation.Put.of(id + "." + span.day(), team, rank, rates, span.startMs(), span.endMs(), wait));
+            all.add(Operation.Put.of(id + "." + span.day(), team, rank, rates, span.startMs(), span.endMs(), waits));
         }
         return all;
     }
 
-    private static Fields fields(byte[] bytes) {
-        if (bytes.length > MOST_BYTES) {
-            throw new Fault.BadRequest("body", MOST_BYTES + " bytes at most");
+    private static JsonFields parse(byte[] bytes) {
+        if (bytes.length > MAX_BYTES) {
+            throw new Fault.BadRequest("body", "at most " + MAX_BYTES + " bytes");
         }
-        return Fields.of(new String(bytes, StandardCharsets.UTF_8));
+        return JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
     }
 
-    static Operation operation(Fields f) {
-        String kind = f.text("kind");
+    static Operation operation(JsonFields fields) {
+        String kind = fields.string("kind");
         Operation read =
                 switch (kind) {
-                    case "put" -> put(f);
-                    case "confirm" -> new Operation.Confirm(f.text("id"), f.text("team"));
-                    case "show-up" -> new Operation.ShowUp(f.text("id"), f.text("team"));
-                    case "end" -> new Operation.End(f.text("id"), f.text("team"), f.text("reason"));
-                    case "extend" -> new Operation.Extend(f.text("id"), f.text("team"), f.time("end"));
-                    case "move" -> new Operation.Move(f.text("id"), f.time("start"), f.time("end"), f.text("reason"));
-                    case "drop" -> new Operation.Drop(f.text("id"), f.text("reason"));
-                    case "limit" -> new Operation.Limit(f.number("destination"), f.calls("limit"));
+                    case "put" -> put(fields);
+                    case "confirm" -> new Operation.Confirm(fields.string("id"), fields.string("team"));
+                    case "show-up" -> new Operation.ShowUp(fields.string("id"), fields.string("team"));
+                    case "end" ->
+                        new Operation.End(fields.string("id"), fields.string("team"), fields.string("reason"));
+                    case "extend" ->
+                        new Operation.Extend(fields.string("id"), fields.string("team"), fields.epochMs("end"));
+                    case "move" ->
+                        new Operation.Move(
+                                fields.string("id"),
+                                fields.epochMs("start"),
+                                fields.epochMs("end"),
+                                fields.string("reason"));
+                    case "drop" -> new Operation.Drop(fields.string("id"), fields.string("reason"));
+                    case "limit" -> new Operation.Limit(fields.intValue("destination"), fields.thousandths("limit"));
                     case "tick" -> new Operation.Tick();
-                    case "set-team" -> new Operation.SetTeam(f.text("team"), f.calls("quota"), f.text("zone"));
+                    case "set-team" ->
+                        new Operation.SetTeam(
+                                fields.string("team"), fields.thousandths("quota"), fields.string("zone"));
                     case "set-destination" ->
                         new Operation.SetDestination(
-                                f.number("destination"), f.calls("limit"), millionths(f), closed(f));
-                    case "set-rules" -> new Operation.SetRules(rules(f));
+                                fields.intValue("destination"),
+                                fields.thousandths("limit"),
+                                bookableShare(fields),
+                                closingHours(fields));
+                    case "set-rules" -> new Operation.SetRules(rules(fields));
                     default ->
                         throw new Fault.UnknownEntry(
-                                kind.length() > Operation.MOST_NAME ? kind.substring(0, Operation.MOST_NAME) : kind);
+                                kind.length() > Operation.MAX_NAME_LENGTH
+                                        ? kind.substring(0, Operation.MAX_NAME_LENGTH)
+                                        : kind);
                 };
-        f.done();
+        fields.rejectUnread();
         return read;
     }
 
-    /** Times with their offset, or local ones with a zone. */
-    private static Operation.Put put(Fields f) {
+    /** A request; its times have an offset, or are local with a separate zone. */
+    private static Operation.Put put(JsonFields fields) {
         long start;
         long end;
-        if (f.has("zone")) {
-            ZoneId zone = Zones.named(f.text("zone"), "zone");
-            start = f.parsed("start", LOCAL, t -> Zones.start(LocalDateTime.parse(t), zone));
-            end = f.parsed("end", LOCAL, t -> Zones.end(LocalDateTime.parse(t), zone));
+        if (fields.has("zone")) {
+            ZoneId zone = Zones.parse(fields.string("zone"), "zone");
+            start = fields.parsed("start", LOCAL_TIME_FORMAT, t -> Zones.startMs(LocalDateTime.parse(t), zone));
+            end = fields.parsed("end", LOCAL_TIME_FORMAT, t -> Zones.endMs(LocalDateTime.parse(t), zone));
         } else {
-            start = f.time("start");
-            end = f.time("end");
+            start = fields.epochMs("start");
+            end = fields.epochMs("end");
         }
         return Operation.Put.of(
-                f.text("id"), f.text("team"), f.number("rank"), f.callsEach("calls"), start, end, f.flag("wait"));
+                fields.string("id"),
+                fields.string("team"),
+                fields.intValue("rank"),
+                fields.thousandthsByNumber("calls"),
+                start,
+                end,
+                fields.optionalBoolean("wait"));
     }
 
-    private static int millionths(Fields f) {
-        long parts = f.millionths("bookable");
+    private static int bookableShare(JsonFields fields) {
+        long parts = fields.millionths("bookable");
         if (parts < 0 || parts > Setup.WHOLE) {
-            throw new Fault.BadRequest("bookable", "has to be from 0 to 1");
+            throw new Fault.BadRequest("bookable", "must be from 0 to 1");
         }
         return (int) parts;
     }
 
-    private static List<Closed> closed(Fields f) {
-        List<Closed> all = new ArrayList<>();
-        for (Fields c : f.has("closed") ? f.list("closed") : List.<Fields>of()) {
-            Set<DayOfWeek> days = new HashSet<>(
-                    c.parsedList("days", "days such as monday", t -> DayOfWeek.valueOf(t.toUpperCase(Locale.ROOT))));
-            all.add(new Closed(
-                    c.text("zone"),
+    private static List<ClosingHours> closingHours(JsonFields fields) {
+        List<ClosingHours> all = new ArrayList<>();
+        for (JsonFields entry : fields.has("closed") ? fields.objects("closed") : List.<JsonFields>of()) {
+            Set<DayOfWeek> days = new HashSet<>(entry.parsedList(
+                    "days", "days such as monday", text -> DayOfWeek.valueOf(text.toUpperCase(Locale.ROOT))));
+            all.add(new ClosingHours(
+                    entry.string("zone"),
                     days,
-                    c.parsed("from", "a time such as 18:00", LocalTime::parse),
-                    c.parsed("to", "a time such as 20:00", LocalTime::parse),
-                    c.has("dates") ? c.parsedList("dates", "dates such as 2026-12-31", LocalDate::parse) : List.of()));
-            c.done();
+                    entry.parsed("from", "a time such as 18:00", LocalTime::parse),
+                    entry.parsed("to", "a time such as 20:00", LocalTime::parse),
+                    entry.has("dates")
+                            ? entry.parsedList("dates", "dates such as 2026-12-31", LocalDate::parse)
+                            : List.of()));
+            entry.rejectUnread();
         }
         return all;
     }
 
-    private static Rules rules(Fields f) {
+    private static Rules rules(JsonFields fields) {
         try {
             return new Rules(
-                    f.whole("sealBeforeMs"),
-                    f.whole("leadMs"),
-                    f.whole("longestMs"),
-                    f.whole("aheadMs"),
-                    f.whole("holdMs"),
-                    f.whole("showUpMs"),
-                    f.whole("forgetMs"),
-                    f.number("most"));
+                    fields.longValue("sealBeforeMs"),
+                    fields.longValue("leadMs"),
+                    fields.longValue("longestMs"),
+                    fields.longValue("aheadMs"),
+                    fields.longValue("holdMs"),
+                    fields.longValue("showUpMs"),
+                    fields.longValue("forgetMs"),
+                    fields.intValue("most"));
         } catch (Fault.BadSetup e) {
             throw new Fault.BadRequest("rules", e.getMessage());
         }
     }
 
-    /** An operation as JSON, the same bytes for the same operation. */
+    /** JSON of an operation, identical for equal operations. */
     public static byte[] write(Operation operation) {
-        JsonObject o = new JsonObject();
+        JsonObject json = new JsonObject();
         if (operation instanceof Operation.Put p) {
-            put(o, p);
+            put(json, p);
         } else if (operation instanceof Operation.Confirm c) {
-            named(o, "confirm", c.id()).addProperty("team", c.team());
+            addKindAndId(json, "confirm", c.id()).addProperty("team", c.team());
         } else if (operation instanceof Operation.ShowUp s) {
-            named(o, "show-up", s.id()).addProperty("team", s.team());
+            addKindAndId(json, "show-up", s.id()).addProperty("team", s.team());
         } else if (operation instanceof Operation.End e) {
-            named(o, "end", e.id()).addProperty("team", e.team());
-            o.addProperty("reason", e.reason());
+            addKindAndId(json, "end", e.id()).addProperty("team", e.team());
+            json.addProperty("reason", e.reason());
         } else if (operation instanceof Operation.Extend e) {
-            named(o, "extend", e.id()).addProperty("team", e.team());
-            o.addProperty("end", Json.time(e.endMs()));
+            addKindAndId(json, "extend", e.id()).addProperty("team", e.team());
+            json.addProperty("end", Json.timestamp(e.endMs()));
         } else if (operation instanceof Operation.Move m) {
-            named(o, "move", m.id()).addProperty("start", Json.time(m.startMs()));
-            o.addProperty("end", Json.time(m.endMs()));
-            o.addProperty("reason", m.reason());
+            addKindAndId(json, "move", m.id()).addProperty("start", Json.timestamp(m.startMs()));
+            json.addProperty("end", Json.timestamp(m.endMs()));
+            json.addProperty("reason", m.reason());
         } else if (operation instanceof Operation.Drop d) {
-            named(o, "drop", d.id()).addProperty("reason", d.reason());
+            addKindAndId(json, "drop", d.id()).addProperty("reason", d.reason());
         } else if (operation instanceof Operation.Limit l) {
-            o.addProperty("kind", "limit");
-            o.addProperty("destination", l.destination());
-            o.addProperty("limit", Rates.calls(l.limit()));
+            json.addProperty("kind", "limit");
+            json.addProperty("destination", l.destination());
+            json.addProperty("limit", Rates.toCalls(l.limit()));
         } else if (operation instanceof Operation.Tick) {
-            o.addProperty("kind", "tick");
+            json.addProperty("kind", "tick");
         } else if (operation instanceof Operation.SetTeam t) {
-            o.addProperty("kind", "set-team");
-            o.addProperty("team", t.team());
-            o.addProperty("quota", Rates.calls(t.quota()));
-            o.addProperty("zone", t.zone());
+            json.addProperty("kind", "set-team");
+            json.addProperty("team", t.team());
+            json.addProperty("quota", Rates.toCalls(t.quota()));
+            json.addProperty("zone", t.zone());
         } else if (operation instanceof Operation.SetDestination d) {
-            destination(o, d);
+            destination(json, d);
         } else if (operation instanceof Operation.SetRules r) {
-            o.addProperty("kind", "set-rules");
-            rules(o, r.rules());
+            json.addProperty("kind", "set-rules");
+            rules(json, r.rules());
         }
-        return o.toString().getBytes(StandardCharsets.UTF_8);
+        return json.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static JsonObject named(JsonObject o, String kind, String id) {
-        o.addProperty("kind", kind);
-        o.addProperty("id", id);
-        return o;
+    private static JsonObject addKindAndId(JsonObject json, String kind, String id) {
+        json.addProperty("kind", kind);
+        json.addProperty("id", id);
+        return json;
     }
 
-    private static void put(JsonObject o, Operation.Put p) {
-        named(o, "put", p.id()).addProperty("team", p.team());
-        o.addProperty("rank", p.rank());
-        o.add("calls", Json.calls(p.rates()));
-        o.addProperty("start", Json.time(p.startMs()));
-        o.addProperty("end", Json.time(p.endMs()));
-        o.addProperty("wait", p.waits());
+    private static void put(JsonObject json, Operation.Put p) {
+        addKindAndId(json, "put", p.id()).addProperty("team", p.team());
+        json.addProperty("rank", p.rank());
+        json.add("calls", Json.calls(p.rates()));
+        json.addProperty("start", Json.timestamp(p.startMs()));
+        json.addProperty("end", Json.timestamp(p.endMs()));
+        json.addProperty("wait", p.waits());
     }
 
-    private static void destination(JsonObject o, Operation.SetDestination d) {
-        o.addProperty("kind", "set-destination");
-        o.addProperty("destination", d.destination());
-        o.addProperty("limit", Rates.calls(d.limit()));
-        BigDecimal share = BigDecimal.valueOf(d.bookable(), DIGITS).stripTrailingZeros();
-        o.addProperty("bookable", share.scale() < 0 ? share.setScale(0) : share);
-        JsonArray closed = new JsonArray();
-        for (Closed c : d.closed()) {
+    private static void destination(JsonObject json, Operation.SetDestination d) {
+        json.addProperty("kind", "set-destination");
+        json.addProperty("destination", d.destination());
+        json.addProperty("limit", Rates.toCalls(d.limit()));
+        BigDecimal share = BigDecimal.valueOf(d.bookable(), SHARE_DECIMALS).stripTrailingZeros();
+        json.addProperty("bookable", share.scale() < 0 ? share.setScale(0) : share);
+        JsonArray closedArray = new JsonArray();
+        for (ClosingHours closing : d.closed()) {
             JsonObject hours = new JsonObject();
-            hours.addProperty("zone", c.zone());
+            hours.addProperty("zone", closing.zone());
             hours.add(
                     "days",
-                    Json.texts(c.days().stream()
-                            .map(v -> v.name().toLowerCase(Locale.ROOT))
+                    Json.strings(closing.days().stream()
+                            .map(day -> day.name().toLowerCase(Locale.ROOT))
                             .toList()));
-            hours.addProperty("from", c.from().toString());
-            hours.addProperty("to", c.to().toString());
+            hours.addProperty("from", closing.from().toString());
+            hours.addProperty("to", closing.to().toString());
             hours.add(
                     "dates",
-                    Json.texts(c.dates().stream().map(LocalDate::toString).toList()));
-            closed.add(hours);
+                    Json.strings(
+                            closing.dates().stream().map(LocalDate::toString).toList()));
+            closedArray.add(hours);
         }
-        o.add("closed", closed);
+        json.add("closed", closedArray);
     }
 
-    private static void rules(JsonObject o, Rules r) {
-        o.addProperty("sealBeforeMs", r.sealBeforeMs());
-        o.addProperty("leadMs", r.leadMs());
-        o.addProperty("longestMs", r.longestMs());
-        o.addProperty("aheadMs", r.aheadMs());
-        o.addProperty("holdMs", r.holdMs());
-        o.addProperty("showUpMs", r.showUpMs());
-        o.addProperty("forgetMs", r.forgetMs());
-        o.addProperty("most", r.most());
+    private static void rules(JsonObject json, Rules rules) {
+        json.addProperty("sealBeforeMs", rules.sealBeforeMs());
+        json.addProperty("leadMs", rules.leadMs());
+        json.addProperty("longestMs", rules.longestMs());
+        json.addProperty("aheadMs", rules.aheadMs());
+        json.addProperty("holdMs", rules.holdMs());
+        json.addProperty("showUpMs", rules.showUpMs());
+        json.addProperty("forgetMs", rules.forgetMs());
+        json.addProperty("most", rules.maxBookings());
     }
 
-    /** A booking as JSON for those who ask. */
-    public static byte[] show(Booking b) {
-        JsonObject o = new JsonObject();
-        o.addProperty("id", b.id());
-        o.addProperty("team", b.team());
-        o.addProperty("state", b.state().word());
-        o.addProperty("since", Json.time(b.sinceMs()));
-        o.addProperty("cause", b.cause());
-        o.addProperty("rank", b.request().rank());
-        o.add("asked", Json.calls(b.request().rates()));
-        o.add("calls", Json.calls(b.rates()));
-        o.addProperty("start", Json.time(b.startMs()));
-        o.addProperty("end", Json.time(b.endMs()));
-        if (b.state() == State.HELD) {
-            o.addProperty("confirmBefore", Json.time(b.holdToMs()));
+    /** JSON of a booking, as clients receive it. */
+    public static byte[] show(Booking booking) {
+        JsonObject json = new JsonObject();
+        json.addProperty("id", booking.id());
+        json.addProperty("team", booking.team());
+        json.addProperty("state", booking.state().word());
+        json.addProperty("since", Json.timestamp(booking.sinceMs()));
+        json.addProperty("cause", booking.cause());
+        json.addProperty("rank", booking.request().rank());
+        json.add("asked", Json.calls(booking.request().rates()));
+        json.add("calls", Json.calls(booking.rates()));
+        json.addProperty("start", Json.timestamp(booking.startMs()));
+        json.addProperty("end", Json.timestamp(booking.endMs()));
+        if (booking.state() == State.HELD) {
+            json.addProperty("confirmBefore", Json.timestamp(booking.confirmByMs()));
         }
-        return o.toString().getBytes(StandardCharsets.UTF_8);
+        return json.toString().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/firstair/fleet/booking/Steps.java
+++ b/src/main/java/firstair/fleet/booking/RateTimeline.java
@@ -4,11 +4,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What is booked at one destination over time, as steps. Asking costs what lies in the span, not all there is. */
-class Steps {
-    private final TreeMap<Long, Long> levels = new TreeMap<>(); // from then on, until the next one
+/**
+ * Total booked rate of one destination over time, as a step function. The cost of a query is proportional to the steps
+ * inside its span, not to all steps.
+ */
+class RateTimeline {
+    private final TreeMap<Long, Long> levels = new TreeMap<>(); // rate by start time, valid until the next entry
 
-    /** Adds a rate to a span, or takes it away if it is negative. */
+    /** Adds a rate over a span; a negative rate subtracts. */
     final void add(long fromMs, long toMs, long rate) {
         if (rate == 0 || toMs <= fromMs) {
             return;
@@ -18,7 +21,7 @@
         for (Map.Entry<Long, Long> e : levels.subMap(fromMs, toMs).entrySet()) {
             e.setValue(e.getValue() + rate);
         }
-        for (long edge : List.of(fromMs, toMs)) { // an edge without a step goes, so that what is over leaves nothing
+        for (long edge : List.of(fromMs, toMs)) { // drops redundant entries: past bookings leave no residue
             Map.Entry<Long, Long> before = levels.lowerEntry(edge);
             if (levels.get(edge) == (before == null ? 0L : before.getValue())) {
                 levels.remove(edge);
@@ -26,22 +29,22 @@
         }
     }
 
-    /** What is booked at a moment. */
+    /** Booked rate at an instant. */
     final long at(long ms) {
         Map.Entry<Long, Long> e = levels.floorEntry(ms);
         return e == null ? 0 : e.getValue();
     }
 
-    /** The most that is booked at any moment of a span. */
-    long most(long fromMs, long toMs) {
-        long most = at(fromMs);
+    /** Maximum booked rate at any instant of a span. */
+    long max(long fromMs, long toMs) {
+        long max = at(fromMs);
         for (long level : levels.subMap(fromMs, toMs).values()) {
-            most = Math.max(most, level);
+            max = Math.max(max, level);
         }
-        return most;
+        return max;
     }
 
-    /** How many steps there are. */
+    /** Number of steps. */
     final int size() {
         return levels.size();
     }
--- a/src/main/java/firstair/fleet/booking/Rates.java
+++ b/src/main/java/firstair/fleet/booking/Rates.java
@@ -7,43 +7,44 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Rates are thousandths of a call a second, whole numbers, so that sums are exact. */
+/** Rates as whole thousandths of a call per second, so that sums are exact. */
 final class Rates {
-    /** Parts of a call a second that a rate counts in. */
-    static final int PARTS = 1000;
-    /** Highest rate and limit: 100,000 calls a second. */
-    static final long MOST = 100_000L * PARTS;
-    /** Most destinations of one booking. */
-    static final int MOST_DESTINATIONS = 1000;
-    /** Decimals of a rate. */
-    static final int DIGITS = 3;
+    /** Units of a rate per call: rates count thousandths. */
+    static final int PARTS_PER_CALL = 1000;
+    /** Maximum rate and limit, in thousandths: 100,000 calls per second. */
+    static final long MAX_RATE = 100_000L * PARTS_PER_CALL;
+    /** Maximum number of destinations of a booking. */
+    static final int MAX_DESTINATIONS = 1000;
+    /** Decimal places of a rate in calls per second. */
+    static final int DECIMALS = 3;
 
     private Rates() {}
 
-    /** A copy that nobody changes, in the order of destinations. */
+    /** Unmodifiable copy, sorted by destination. */
     static SortedMap<Integer, Long> copy(Map<Integer, Long> rates) {
         return Collections.unmodifiableSortedMap(new TreeMap<>(rates));
     }
 
-    /** The rates of a request, checked. */
-    static SortedMap<Integer, Long> checked(Map<Integer, Long> rates) {
-        if (rates == null || rates.isEmpty() || rates.size() > MOST_DESTINATIONS) {
-            throw new Fault.BadRequest("calls", "1 to " + MOST_DESTINATIONS + " destinations are needed");
+    /** The rates of a request after validation; throws {@link Fault.BadRequest}. */
+    static SortedMap<Integer, Long> validated(Map<Integer, Long> rates) {
+        if (rates == null || rates.isEmpty() || rates.size() > MAX_DESTINATIONS) {
+            throw new Fault.BadRequest("calls", "1 to " + MAX_DESTINATIONS + " destinations are required");
         }
         for (Map.Entry<Integer, Long> e : rates.entrySet()) {
             if (e.getKey() == null || e.getKey() < 0) {
-                throw new Fault.BadRequest("calls", "a destination is a number from 0 on");
+                throw new Fault.BadRequest("calls", "a destination must be a number, 0 or greater");
             }
-            if (e.getValue() == null || e.getValue() <= 0 || e.getValue() > MOST) {
-                throw new Fault.BadRequest("calls." + e.getKey(), "0.001 to " + MOST / PARTS + " calls a second");
+            if (e.getValue() == null || e.getValue() <= 0 || e.getValue() > MAX_RATE) {
+                throw new Fault.BadRequest(
+                        "calls." + e.getKey(), "must be 0.001 to " + MAX_RATE / PARTS_PER_CALL + " calls per second");
             }
         }
         return copy(rates);
     }
 
-    /** Calls a second, for JSON and for people. */
-    static BigDecimal calls(long thousandths) {
-        BigDecimal calls = BigDecimal.valueOf(thousandths, DIGITS).stripTrailingZeros();
+    /** Thousandths of a call as a decimal number of calls, for JSON and for messages. */
+    static BigDecimal toCalls(long thousandths) {
+        BigDecimal calls = BigDecimal.valueOf(thousandths, DECIMALS).stripTrailingZeros();
         return calls.scale() < 0 ? calls.setScale(0) : calls;
     }
 }
--- a/src/main/java/firstair/fleet/booking/Result.java
+++ b/src/main/java/firstair/fleet/booking/Result.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What came of an operation.
+ * Outcome of an operation.
  *
- * @param booking the one that it names as it stands now, null if there is none
- * @param changes all that happened to any booking, in order, also because time has passed
- * @param fault   why the operation was not carried out, null if it was
+ * @param booking current state of the booking that the operation names, null if there is none
+ * @param changes all events of all bookings, in order, including those caused by the passing of time
+ * @param fault   why the operation was rejected, null if it was carried out
  */
 public record Result(Booking booking, List<Change> changes, Fault fault) {
-    /** Itself if it was carried out; throws its fault otherwise. */
+    /** Returns this result if the operation was carried out; throws its fault otherwise. */
     public Result orThrow() {
         if (fault != null) {
             throw fault;
--- a/src/main/java/firstair/fleet/booking/Rules.java
+++ b/src/main/java/firstair/fleet/booking/Rules.java
@@ -3,16 +3,18 @@
 import firstair.fleet.fault.Fault;
 
 /**
- * What holds for all bookings, ms; agreed like the bookings themselves, so that all voters have the same.
+ * Rules for all bookings; durations in ms. The ledger agrees on them like on the bookings, so all voters apply the
+ * same rules.
  *
- * @param sealBeforeMs so long before its start a booking is sealed; also how long what ends early stays booked
- * @param leadMs       so long before its start a booking has to be asked for, {@code sealBeforeMs} at least
- * @param longestMs    longest span of a booking
+ * @param sealBeforeMs how long before its start a booking is sealed; also how long the capacity of a booking that ends
+ *                     early stays booked
+ * @param leadMs       how long before its start a booking must be requested, at least {@code sealBeforeMs}
+ * @param longestMs    maximum duration of a booking
  * @param aheadMs      how far ahead a booking may start
- * @param holdMs       so long an offer waits for its team
- * @param showUpMs     so long after its start a booking waits for its run
- * @param forgetMs     so long a booking that is over can still be asked for
- * @param most         bookings kept at a time
+ * @param holdMs       how long a team has to confirm an offered booking
+ * @param showUpMs     how long after its start a booking is kept if its run has not begun
+ * @param forgetMs     how long a finished booking can still be queried
+ * @param maxBookings  maximum number of bookings stored at a time
  */
 public record Rules(
         long sealBeforeMs,
@@ -22,38 +24,39 @@
         long holdMs,
         long showUpMs,
         long forgetMs,
-        int most) {
-    /** Longest span that the rules may allow: 31 days. */
-    static final long MOST_SPAN_MS = 31L * 86_400_000;
-    /** Furthest that the rules may allow to book ahead: two years. */
-    static final long MOST_AHEAD_MS = 731L * 86_400_000;
+        int maxBookings) {
+    /** Upper bound of {@code longestMs}: 31 days. */
+    static final long MAX_SPAN_MS = 31L * 86_400_000;
+    /** Upper bound of {@code aheadMs}: two years. */
+    static final long MAX_AHEAD_MS = 731L * 86_400_000;
 
-    private static final long MOST_FORGET_MS = 100L * 86_400_000;
-    private static final int MOST_BOOKINGS = 100_000;
+    private static final long MAX_FORGET_MS = 100L * 86_400_000;
+    private static final int MAX_BOOKINGS = 100_000;
 
-    /** Checks them; raises {@link Fault.BadSetup}. */
+    /** Validates the rules; throws {@link Fault.BadSetup}. */
     public Rules {
         check("seal_before", sealBeforeMs, 1000, 86_400_000);
-        check("lead", leadMs, sealBeforeMs, MOST_AHEAD_MS);
-        check("longest", longestMs, 1000, MOST_SPAN_MS);
-        check("ahead", aheadMs, leadMs, MOST_AHEAD_MS);
-        check("hold", holdMs, 1000, MOST_SPAN_MS);
-        check("show_up", showUpMs, 1000, MOST_SPAN_MS);
-        check("forget", forgetMs, 1000, MOST_FORGET_MS);
-        check("most", most, 1, MOST_BOOKINGS);
+        check("lead", leadMs, sealBeforeMs, MAX_AHEAD_MS);
+        check("longest", longestMs, 1000, MAX_SPAN_MS);
+        check("ahead", aheadMs, leadMs, MAX_AHEAD_MS);
+        check("hold", holdMs, 1000, MAX_SPAN_MS);
+        check("show_up", showUpMs, 1000, MAX_SPAN_MS);
+        check("forget", forgetMs, 1000, MAX_FORGET_MS);
+        check("most", maxBookings, 1, MAX_BOOKINGS);
     }
 
     /**
-     * Sealed 15 min before the start, asked for an hour ahead, a day long, two years ahead, a day to confirm, 15 min to
-     * show up, forgotten after 30 days, ten thousand at a time.
+     * Default rules: sealed 15 min before the start, requested 1 h ahead at the latest and two years ahead at the
+     * earliest, at most a day long, a day to confirm, 15 min to begin the run, forgotten after 30 days, at most 10,000
+     * bookings.
      */
     public static Rules usual() {
-        return new Rules(900_000, 3_600_000, 86_400_000, MOST_AHEAD_MS, 86_400_000, 900_000, 30L * 86_400_000, 10_000);
+        return new Rules(900_000, 3_600_000, 86_400_000, MAX_AHEAD_MS, 86_400_000, 900_000, 30L * 86_400_000, 10_000);
     }
 
-    private static void check(String field, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new Fault.BadSetup("fleet.bookings." + field, "has to be from " + least + " to " + most);
+    private static void check(String field, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new Fault.BadSetup("fleet.bookings." + field, "must be from " + min + " to " + max);
         }
     }
 }
--- a/src/main/java/firstair/fleet/booking/Snapshot.java
+++ b/src/main/java/firstair/fleet/booking/Snapshot.java
@@ -8,7 +8,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** All bookings as bytes: JSON, so that people can read it, with everything in a fixed order. */
+/** Snapshot of all bookings as JSON, human-readable and in a fixed order. */
 record Snapshot(
         Rules rules,
         long time,
@@ -18,32 +18,32 @@
         SortedMap<String, Team> teams,
         SortedMap<Integer, Destination> destinations,
         SortedMap<String, Booking> bookings) {
-    private static final String FORM = "bookings-1";
+    private static final String FORMAT = "bookings-1";
 
     byte[] bytes() {
-        JsonObject all = new JsonObject();
-        all.addProperty("form", FORM);
-        all.add("rules", json(new Operation.SetRules(rules)));
-        all.addProperty("time", time);
-        all.addProperty("horizon", horizon);
-        all.addProperty("version", version);
-        all.addProperty("next", nextNumber);
-        JsonArray list = new JsonArray();
-        teams.forEach((name, t) -> {
-            JsonObject o = new JsonObject();
-            o.add("set", json(new Operation.SetTeam(name, t.quota, t.zone.getId())));
-            o.add("used", Json.numbers(t.used));
-            list.add(o);
+        JsonObject root = new JsonObject();
+        root.addProperty("form", FORMAT);
+        root.add("rules", json(new Operation.SetRules(rules)));
+        root.addProperty("time", time);
+        root.addProperty("horizon", horizon);
+        root.addProperty("version", version);
+        root.addProperty("next", nextNumber);
+        JsonArray teamArray = new JsonArray();
+        teams.forEach((name, team) -> {
+            JsonObject object = new JsonObject();
+            object.add("set", json(new Operation.SetTeam(name, team.quota, team.zone.getId())));
+            object.add("used", Json.numbers(team.used));
+            teamArray.add(object);
         });
-        all.add("teams", list);
-        JsonArray places = new JsonArray();
+        root.add("teams", teamArray);
+        JsonArray destinationArray = new JsonArray();
         destinations.forEach(
-                (n, d) -> places.add(json(new Operation.SetDestination(n, d.limit, d.bookable, d.closed))));
-        all.add("destinations", places);
-        JsonArray each = new JsonArray();
-        bookings.values().forEach(b -> each.add(json(b)));
-        all.add("bookings", each);
-        return all.toString().getBytes(StandardCharsets.UTF_8);
+                (n, d) -> destinationArray.add(json(new Operation.SetDestination(n, d.limit, d.bookable, d.closed))));
+        root.add("destinations", destinationArray);
+        JsonArray bookingArray = new JsonArray();
+        bookings.values().forEach(b -> bookingArray.add(json(b)));
+        root.add("bookings", bookingArray);
+        return root.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     private static JsonObject json(Operation operation) {
@@ -51,88 +51,88 @@
                 .getAsJsonObject();
     }
 
-    private static JsonObject json(Booking b) {
-        JsonObject o = new JsonObject();
-        o.add("put", json(b.request()));
-        o.addProperty("number", b.number());
-        o.add("rates", Json.numbers(b.rates()));
-        o.addProperty("start", b.startMs());
-        o.addProperty("end", b.endMs());
-        o.addProperty("bookedTo", b.bookedToMs());
-        o.add("before", Json.numbers(b.before()));
-        o.addProperty("beforeTo", b.beforeToMs());
-        o.addProperty("state", b.state().name());
-        o.addProperty("since", b.sinceMs());
-        o.addProperty("cause", b.cause());
-        o.addProperty("holdTo", b.holdToMs());
-        o.addProperty("shown", b.shown());
-        o.add("charged", Json.numbers(b.charged()));
-        return o;
+    private static JsonObject json(Booking booking) {
+        JsonObject object = new JsonObject();
+        object.add("put", json(booking.request()));
+        object.addProperty("number", booking.number());
+        object.add("rates", Json.numbers(booking.rates()));
+        object.addProperty("start", booking.startMs());
+        object.addProperty("end", booking.endMs());
+        object.addProperty("bookedTo", booking.bookedToMs());
+        object.add("before", Json.numbers(booking.uncutRates()));
+        object.addProperty("beforeTo", booking.uncutUntilMs());
+        object.addProperty("state", booking.state().name());
+        object.addProperty("since", booking.sinceMs());
+        object.addProperty("cause", booking.cause());
+        object.addProperty("holdTo", booking.confirmByMs());
+        object.addProperty("shown", booking.runStarted());
+        object.add("charged", Json.numbers(booking.charged()));
+        return object;
     }
 
     static Snapshot read(byte[] bytes) {
         try {
-            Fields f = Fields.of(new String(bytes, StandardCharsets.UTF_8));
-            if (!FORM.equals(f.text("form"))) {
-                throw new Fault.UnknownEntry("snapshot " + f.text("form"));
+            JsonFields fields = JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
+            if (!FORMAT.equals(fields.string("form"))) {
+                throw new Fault.UnknownEntry("snapshot " + fields.string("form"));
             }
             SortedMap<String, Team> teams = new TreeMap<>();
-            for (Fields t : f.list("teams")) {
-                Operation.SetTeam set = (Operation.SetTeam) Operations.operation(t.inner("set"));
+            for (JsonFields teamFields : fields.objects("teams")) {
+                Operation.SetTeam set = (Operation.SetTeam) Operations.operation(teamFields.object("set"));
                 Team team = new Team(set);
-                team.used.putAll(t.numbers("used"));
+                team.used.putAll(teamFields.longsByNumber("used"));
                 teams.put(set.team(), team);
             }
             SortedMap<Integer, Destination> destinations = new TreeMap<>();
-            for (Fields d : f.list("destinations")) {
-                Operation.SetDestination set = (Operation.SetDestination) Operations.operation(d);
-                destinations.put(set.destination(), new Destination(set, new Steps()));
+            for (JsonFields destinationFields : fields.objects("destinations")) {
+                Operation.SetDestination set = (Operation.SetDestination) Operations.operation(destinationFields);
+                destinations.put(set.destination(), new Destination(set, new RateTimeline()));
             }
             SortedMap<String, Booking> bookings = new TreeMap<>();
-            for (Fields b : f.list("bookings")) {
-                Booking booking = booking(b);
+            for (JsonFields bookingFields : fields.objects("bookings")) {
+                Booking booking = booking(bookingFields);
                 if (!teams.containsKey(booking.team())
                         || !destinations.keySet().containsAll(booking.rates().keySet())
                         || !booking.rates()
                                 .keySet()
                                 .equals(booking.request().rates().keySet())) {
-                    throw torn();
+                    throw damaged();
                 }
                 bookings.put(booking.id(), booking);
             }
             return new Snapshot(
-                    ((Operation.SetRules) Operations.operation(f.inner("rules"))).rules(),
-                    f.whole("time"),
-                    f.whole("horizon"),
-                    f.whole("version"),
-                    f.whole("next"),
+                    ((Operation.SetRules) Operations.operation(fields.object("rules"))).rules(),
+                    fields.longValue("time"),
+                    fields.longValue("horizon"),
+                    fields.longValue("version"),
+                    fields.longValue("next"),
                     teams,
                     destinations,
                     bookings);
         } catch (Fault.BadRequest | ClassCastException e) {
-            throw torn();
+            throw damaged();
         }
     }
 
-    private static Booking booking(Fields f) {
+    private static Booking booking(JsonFields fields) {
         return new Booking(
-                (Operation.Put) Operations.operation(f.inner("put")),
-                f.whole("number"),
-                f.numbers("rates"),
-                f.whole("start"),
-                f.whole("end"),
-                f.whole("bookedTo"),
-                f.numbers("before"),
-                f.whole("beforeTo"),
-                f.parsed("state", "a state", State::valueOf),
-                f.whole("since"),
-                f.text("cause"),
-                f.whole("holdTo"),
-                f.flag("shown"),
-                f.numbers("charged"));
+                (Operation.Put) Operations.operation(fields.object("put")),
+                fields.longValue("number"),
+                fields.longsByNumber("rates"),
+                fields.longValue("start"),
+                fields.longValue("end"),
+                fields.longValue("bookedTo"),
+                fields.longsByNumber("before"),
+                fields.longValue("beforeTo"),
+                fields.parsed("state", "a state", State::valueOf),
+                fields.longValue("since"),
+                fields.string("cause"),
+                fields.longValue("holdTo"),
+                fields.optionalBoolean("shown"),
+                fields.longsByNumber("charged"));
     }
 
-    private static Fault torn() {
+    private static Fault damaged() {
         return new Fault.TornLedger("snapshot of bookings", 0);
     }
 }
--- a/src/main/java/firstair/fleet/booking/State.java
+++ b/src/main/java/firstair/fleet/booking/State.java
@@ -4,28 +4,28 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** How a booking stands, and what it may become. */
+/** State of a booking and its allowed transitions. */
 public enum State {
-    /** Waits in the list: not all of its destinations have room. */
+    /** On the waiting list: not all of its destinations have enough capacity. */
     REQUESTED,
-    /** Offered to its team, which has to confirm it in time. */
+    /** Offered to its team, which must confirm it in time. */
     HELD,
-    /** Taken by its team. */
+    /** Confirmed by its team. */
     CONFIRMED,
-    /** Unchangeable: relays may have been told of it. */
+    /** Unchangeable, because relays may already have received it. */
     SEALED,
     /** Between its start and its end. */
     RUNNING,
-    /** Over: its end came, or its team ended it early. */
+    /** Finished: its end was reached, or its team ended it early. */
     ENDED,
-    /** Given up by its team, dropped by operators, or nobody showed up. */
+    /** Cancelled by its team, dropped by operators, or its run did not begin in time. */
     RELEASED,
-    /** Not confirmed in time, or still in the list when its start was too near. */
+    /** Not confirmed in time, or still on the waiting list when its start was too near. */
     LAPSED,
     /** Never granted. */
     REFUSED;
 
-    /** Whether a booking may go from here to there. */
+    /** Whether a booking in this state may change to another state. */
     public boolean may(State to) {
         return next().contains(to);
     }
@@ -41,17 +41,17 @@
         };
     }
 
-    /** Whether nothing comes after it. */
+    /** Whether the state is final. */
     public boolean over() {
         return next().isEmpty();
     }
 
-    /** Whether it is sealed or running, so that relays are told of it. */
-    boolean told() {
+    /** Whether the booking is sealed or running, and thus part of the set that relays receive. */
+    boolean knownToRelays() {
         return this == SEALED || this == RUNNING;
     }
 
-    /** As it stands in JSON and in messages. */
+    /** The name used in JSON and in messages. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/firstair/fleet/booking/Team.java
+++ b/src/main/java/firstair/fleet/booking/Team.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What is known of one team. */
+/** Quota, quota usage and waiting requests of a team. */
 final class Team {
-    private static final int YEAR_MONTHS = 12;
+    private static final int MONTHS_PER_YEAR = 12;
 
-    long quota; // thousandths of a call in a month
+    long quota; // thousandths of a call per month
     ZoneId zone;
-    final SortedMap<Integer, Long> used = new TreeMap<>(); // by month
-    final Set<String> waiting = new TreeSet<>();
+    final SortedMap<Integer, Long> used = new TreeMap<>(); // thousandths of a call by month
+    final Set<String> waitingIds = new TreeSet<>();
 
     Team(Operation.SetTeam set) {
         set(set);
@@ -26,61 +26,62 @@
         zone = ZoneId.of(set.zone());
     }
 
-    /** How many thousandths of a call rates are over a span, by month; parts of one count as one. */
+    /** Quota cost of rates over a span by month, in thousandths of a call; each rate is rounded up. */
     SortedMap<Integer, Long> cost(SortedMap<Integer, Long> rates, long startMs, long endMs) {
         SortedMap<Integer, Long> cost = new TreeMap<>();
         long from = startMs;
         while (from < endMs) {
             YearMonth month = YearMonth.from(Instant.ofEpochMilli(from).atZone(zone));
-            long next = Zones.start(month.plusMonths(1).atDay(1).atStartOfDay(), zone);
-            long to = Math.min(endMs, next > from ? next : endMs); // the clocks' ways never make a month empty
+            long next = Zones.startMs(month.plusMonths(1).atDay(1).atStartOfDay(), zone);
+            long to = Math.min(endMs, next > from ? next : endMs); // guards against an empty month at a zone transition
             long sum = 0;
             for (long rate : rates.values()) {
-                sum += (rate * (to - from) + Rates.PARTS - 1) / Rates.PARTS;
+                sum += (rate * (to - from) + Rates.PARTS_PER_CALL - 1) / Rates.PARTS_PER_CALL;
             }
-            cost.merge(month.getYear() * YEAR_MONTHS + month.getMonthValue() - 1, sum, Long::sum);
+            cost.merge(month.getYear() * MONTHS_PER_YEAR + month.getMonthValue() - 1, sum, Long::sum);
             from = to;
         }
         return cost;
     }
 
-    /** The first month for which there is not enough left beside what is given back, or -1. */
-    int lacking(SortedMap<Integer, Long> cost, SortedMap<Integer, Long> back) {
+    /** The first month whose remaining quota plus refund does not cover the cost, or -1. */
+    int firstMonthOverQuota(SortedMap<Integer, Long> cost, SortedMap<Integer, Long> refund) {
         for (var e : cost.entrySet()) {
-            if (e.getValue() > left(e.getKey()) + back.getOrDefault(e.getKey(), 0L)) {
+            if (e.getValue() > remaining(e.getKey()) + refund.getOrDefault(e.getKey(), 0L)) {
                 return e.getKey();
             }
         }
         return -1;
     }
 
-    /** What is left of a month, thousandths of a call. */
-    long left(int month) {
+    /** Remaining quota of a month, thousandths of a call. */
+    long remaining(int month) {
         return quota - used.getOrDefault(month, 0L);
     }
 
     void charge(SortedMap<Integer, Long> cost, int sign) {
         cost.forEach((month, calls) -> {
-            long now = used.getOrDefault(month, 0L) + sign * calls;
-            if (now == 0) {
+            long total = used.getOrDefault(month, 0L) + sign * calls;
+            if (total == 0) {
                 used.remove(month);
             } else {
-                used.put(month, now);
+                used.put(month, total);
             }
         });
     }
 
-    /** Months before this one can be booked no more. */
-    void forgetBefore(int month) {
+    /** Discards the usage of earlier months, which can no longer be booked. */
+    void removeMonthsBefore(int month) {
         used.headMap(month).clear();
     }
 
     static int month(long ms, ZoneId zone) {
         YearMonth month = YearMonth.from(Instant.ofEpochMilli(ms).atZone(zone));
-        return month.getYear() * YEAR_MONTHS + month.getMonthValue() - 1;
+        return month.getYear() * MONTHS_PER_YEAR + month.getMonthValue() - 1;
     }
 
-    static String named(int month) {
-        return YearMonth.of(month / YEAR_MONTHS, month % YEAR_MONTHS + 1).toString();
+    static String monthText(int month) {
+        return YearMonth.of(month / MONTHS_PER_YEAR, month % MONTHS_PER_YEAR + 1)
+                .toString();
     }
 }
--- a/src/main/java/firstair/fleet/booking/Zones.java
+++ b/src/main/java/firstair/fleet/booking/Zones.java
@@ -9,40 +9,42 @@
 import java.util.List;
 
 /**
- * Local times as instants. A time that never comes becomes the first instant after the gap. A time that comes twice is
- * its first coming where something starts, and its last where something ends: a span holds all that it can mean.
+ * Converts local times to instants. A local time inside a daylight-saving gap becomes the first instant after the gap.
+ * An ambiguous local time is taken as the earlier instant for a start and as the later one for an end, so that a span
+ * covers every possible meaning.
  */
 final class Zones {
     private Zones() {}
 
-    /** A zone by name; raises {@link Fault.BadRequest} for a field. */
-    static ZoneId named(String name, String field) {
+    /** Parses a time zone; throws {@link Fault.BadRequest} that names the field. */
+    static ZoneId parse(String name, String field) {
         try {
             if (name != null && !name.isEmpty()) {
                 return ZoneId.of(name);
             }
         } catch (DateTimeException e) {
-            throw new Fault.BadRequest(field, "no time zone of this name");
+            throw new Fault.BadRequest(field, "unknown time zone");
         }
-        throw new Fault.BadRequest(field, "a time zone is needed");
+        throw new Fault.BadRequest(field, "a time zone is required");
     }
 
-    /** When something starts, epoch ms. */
-    static long start(LocalDateTime at, ZoneId zone) {
-        return instant(at, zone, 0);
+    /** The instant of a start, epoch ms. */
+    static long startMs(LocalDateTime local, ZoneId zone) {
+        return toEpochMs(local, zone, 0);
     }
 
-    /** When something ends, epoch ms. */
-    static long end(LocalDateTime at, ZoneId zone) {
-        return instant(at, zone, 1);
+    /** The instant of an end, epoch ms. */
+    static long endMs(LocalDateTime local, ZoneId zone) {
+        return toEpochMs(local, zone, 1);
     }
 
-    private static long instant(LocalDateTime at, ZoneId zone, int which) {
-        List<ZoneOffset> offsets = zone.getRules().getValidOffsets(at);
+    private static long toEpochMs(LocalDateTime local, ZoneId zone, int offsetIndex) {
+        List<ZoneOffset> offsets = zone.getRules().getValidOffsets(local);
         if (offsets.isEmpty()) {
-            ZoneOffsetTransition gap = zone.getRules().getTransition(at);
+            ZoneOffsetTransition gap = zone.getRules().getTransition(local);
             return gap.getInstant().toEpochMilli();
         }
-        return at.toInstant(offsets.get(Math.min(which, offsets.size() - 1))).toEpochMilli();
+        return local.toInstant(offsets.get(Math.min(offsetIndex, offsets.size() - 1)))
+                .toEpochMilli();
     }
 }
--- a/src/main/java/firstair/fleet/booking/package-info.java
+++ b/src/main/java/firstair/fleet/booking/package-info.java
@@ -1,2 +1,2 @@
-/** Capacity booked for batch runs. */
+/** Booking of destination capacity for batch runs. */
 package firstair.fleet.booking;
--- a/src/test/java/firstair/fleet/booking/BookedTest.java
+++ b/src/test/java/firstair/fleet/booking/BookedTest.java
@@ -1,8 +1,8 @@
 package firstair.fleet.booking;
 
-import static firstair.fleet.booking.Given.at;
-import static firstair.fleet.booking.Given.put;
-import static firstair.fleet.booking.Given.running;
+import static firstair.fleet.booking.BookingFixtures.at;
+import static firstair.fleet.booking.BookingFixtures.put;
+import static firstair.fleet.booking.BookingFixtures.startRunning;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 class BookedTest {
-    private static final double SKEW = 1000;
+    private static final double SKEW_MS = 1000;
     private static final int HALF = Setup.WHOLE / 2;
-    private final Bookings bookings = Given.bookings();
-    private final Booked booked = new Booked(SKEW);
+    private final Bookings bookings = BookingFixtures.bookings();
+    private final Booked booked = new Booked(SKEW_MS);
 
     private double rate(long wallMs) {
         return booked.rate(wallMs, "x", "a", 1, HALF);
@@ -29,21 +29,21 @@
     }
 
     @Test
-    void withoutASetNothingGoesOnBookingsAndAllThatCanBeBookedIsLeftAlone() {
+    void withoutASetNoBookingIsUsedAndAllBookableCapacityIsReserved() {
         assertThat(rate(at(10))).isZero();
         assertThat(ordinary(at(10))).isEqualTo(50);
         assertThat(booked.borrowed(0, at(10), 1, id -> Setup.WHOLE)).isZero();
-        running(bookings, "x", "a", 30, 10, 12);
+        startRunning(bookings, "x", "a", 30, 10, 12);
         booked.agreed(bookings.sealedSet(at(10)));
         assertThat(rate(at(10.2))).isEqualTo(15);
         assertThat(ordinary(at(10.2))).isEqualTo(70);
-        assertThat(rate(at(10.25))).isZero(); // told through here, and the clock may be late
+        assertThat(rate(at(10.25))).isZero(); // the set ends here, and the clock may be slow
         assertThat(ordinary(at(10.25))).isEqualTo(50);
     }
 
     @Test
-    void aroundStartAndEndTheClockMayBeOffEitherWay() {
-        running(bookings, "x", "a", 30, 10, 10.1);
+    void clockErrorInEitherDirectionIsToleratedAroundStartAndEnd() {
+        startRunning(bookings, "x", "a", 30, 10, 10.1);
         booked.agreed(bookings.sealedSet(at(10)));
         assertThat(ordinary(at(10) - 1001)).isEqualTo(100);
         assertThat(ordinary(at(10) - 1000)).isEqualTo(70);
@@ -53,12 +53,12 @@
         assertThat(rate(at(10.1) - 999)).isZero();
         assertThat(ordinary(at(10.1) + 1000)).isEqualTo(70);
         assertThat(ordinary(at(10.1) + 1001)).isEqualTo(100);
-        assertThat(ordinary(at(8))).isEqualTo(50); // a clock that jumped back before all that the set tells
+        assertThat(ordinary(at(8))).isEqualTo(50); // the clock jumped back to before the set
     }
 
     @Test
-    void nobodyElsesAndNoneThatIsNotThere() {
-        running(bookings, "x", "a", 30, 10, 12);
+    void rejectsBookingsOfOtherTeamsAndUnknownBookings() {
+        startRunning(bookings, "x", "a", 30, 10, 12);
         booked.agreed(bookings.sealedSet(at(10)));
         assertThatThrownBy(() -> booked.rate(at(10.1), "x", "b", 1, HALF)).isInstanceOf(Fault.NotYours.class);
         assertThatThrownBy(() -> booked.rate(at(10.1), "y", "b", 1, HALF)).isInstanceOf(Fault.UnknownBooking.class);
@@ -66,17 +66,17 @@
     }
 
     @Test
-    void anOlderSetChangesNothing() {
-        Sealed old = bookings.sealedSet(at(9));
-        running(bookings, "x", "a", 30, 10, 12);
+    void ignoresAnOlderSet() {
+        SealedBookings older = bookings.sealedSet(at(9));
+        startRunning(bookings, "x", "a", 30, 10, 12);
         assertThat(booked.agreed(bookings.sealedSet(at(10)))).isTrue();
-        assertThat(booked.agreed(old)).isFalse();
+        assertThat(booked.agreed(older)).isFalse();
         assertThat(rate(at(10.1))).isEqualTo(15);
     }
 
     @Test
-    void unusedCapacityIsBorrowedAndBackWithinASecond() {
-        running(bookings, "x", "a", 30, 10, 12);
+    void borrowsUnusedCapacityAndReturnsItWithinASecond() {
+        startRunning(bookings, "x", "a", 30, 10, 12);
         booked.agreed(bookings.sealedSet(at(10)));
         assertThat(booked.borrowed(0, at(10.1), 1, id -> HALF)).isEqualTo(15);
         double now = 500_000;
@@ -91,8 +91,8 @@
     }
 
     @Test
-    void aLimitThatTheLedgerDoesNotKnowYetCutsInProportionHere() {
-        running(bookings, "x", "a", 30, 10, 12);
+    void aLowerLocalLimitCutsBookingsInProportion() {
+        startRunning(bookings, "x", "a", 30, 10, 12);
         booked.agreed(bookings.sealedSet(at(10)));
         assertThat(booked.ordinary(at(10.1), 1, 40, 0.5)).isEqualTo(20);
         assertThat(rate(at(10.1))).isEqualTo(10);
@@ -100,68 +100,70 @@
     }
 
     @Test
-    void aSetIsReadAsItWasWritten() {
-        running(bookings, "x", "a", 30, 10, 12);
+    void setsSurviveARoundTrip() {
+        startRunning(bookings, "x", "a", 30, 10, 12);
         bookings.apply(at(10.1), new Operation.Limit(1, 50_000));
-        Sealed set = bookings.sealedSet(at(10.1));
-        assertThat(Sealed.read(set.bytes())).isEqualTo(set);
-        assertThatThrownBy(() -> Sealed.read("{}".getBytes(StandardCharsets.UTF_8)))
+        SealedBookings set = bookings.sealedSet(at(10.1));
+        assertThat(SealedBookings.read(set.bytes())).isEqualTo(set);
+        assertThatThrownBy(() -> SealedBookings.read("{}".getBytes(StandardCharsets.UTF_8)))
                 .isInstanceOf(Fault.Unreadable.class);
     }
 
     @Test
-    void theFleetStaysWithinTheLimitWhateverSetEachHas() {
-        fleet(SKEW);
+    void fleetStaysWithinTheLimitWhateverSetEachRelayHas() {
+        checkFleet(SKEW_MS);
     }
 
     @Test
-    void relaysThatTrustTheirClocksAreCaught() {
-        assertThatThrownBy(() -> fleet(0)).isInstanceOf(AssertionError.class).hasMessageContaining("within the limit");
+    void detectsRelaysThatIgnoreClockError() {
+        assertThatThrownBy(() -> checkFleet(0))
+                .isInstanceOf(AssertionError.class)
+                .hasMessageContaining("within the limit");
     }
 
-    /** Relays with sets of any age and clocks that are off, while bookings end early and the limit is halved. */
-    private static void fleet(double believedSkew) {
+    /** Checks relays with sets of different ages and clock errors, while bookings end early and the limit is halved. */
+    private static void checkFleet(double assumedSkewMs) {
         for (long seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             double halvedAt = 1 + random.nextDouble() * 4;
             double agreedAt = halvedAt + random.nextDouble() / 2;
-            Bookings all = Given.bookings();
+            Bookings bookings = BookingFixtures.bookings();
             List<Booked> relays = new ArrayList<>();
-            List<Double> off = new ArrayList<>();
+            List<Double> clockErrors = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                relays.add(new Booked(believedSkew));
-                off.add((random.nextDouble() * 2 - 1) * SKEW);
+                relays.add(new Booked(assumedSkewMs));
+                clockErrors.add((random.nextDouble() * 2 - 1) * SKEW_MS);
             }
             for (int i = 0; i < 8; i++) {
                 double start = 1.1 + random.nextDouble();
-                all.apply(
-                        all.time(),
+                bookings.apply(
+                        bookings.time(),
                         put("x" + i, "a", 5, 1 + random.nextInt(30), start, start + random.nextDouble() + 0.1));
-                all.apply(all.time(), new Operation.Confirm("x" + i, "a"));
+                bookings.apply(bookings.time(), new Operation.Confirm("x" + i, "a"));
             }
             double[] parts = {0.1, 0.2, 0.3, 0.4};
-            double[] bookedParts = {0.7, 0.1, 0.1, 0.1};
+            double[] bookingParts = {0.7, 0.1, 0.1, 0.1};
             for (double hour = 0.9; hour < 3; hour += 0.02) {
                 String id = "x" + random.nextInt(8);
                 double limit = hour < halvedAt ? 100 : 50;
                 if (hour >= agreedAt) {
-                    all.apply(at(hour), new Operation.Limit(1, 50_000));
+                    bookings.apply(at(hour), new Operation.Limit(1, 50_000));
                 }
-                all.apply(
+                bookings.apply(
                         at(hour),
                         random.nextInt(6) == 0 ? new Operation.End(id, "a", "done") : new Operation.ShowUp(id, "a"));
-                Sealed set = all.sealedSet(all.time());
+                SealedBookings set = bookings.sealedSet(bookings.time());
                 double sum = 0;
                 for (int i = 0; i < 4; i++) {
                     Booked relay = relays.get(i);
                     if (random.nextInt(5) == 0) {
                         relay.agreed(set);
                     }
-                    long wall = at(hour) + Math.round(off.get(i));
+                    long wall = at(hour) + Math.round(clockErrors.get(i));
                     sum += parts[i] * relay.ordinary(wall, 1, limit, 0.5);
-                    for (Booking b : all.all()) {
+                    for (Booking b : bookings.all()) {
                         try {
-                            sum += relay.rate(wall, b.id(), "a", 1, (int) (bookedParts[i] * Setup.WHOLE));
+                            sum += relay.rate(wall, b.id(), "a", 1, (int) (bookingParts[i] * Setup.WHOLE));
                         } catch (Fault.UnknownBooking e) {
                             assertThat(relay.covers(wall)).isTrue();
                         }
--- a/src/test/java/firstair/fleet/booking/Given.java
+++ b/src/test/java/firstair/fleet/booking/BookingFixtures.java
@@ -6,31 +6,31 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Bookings to try things with: destinations 1 to 3 of 100 calls a second, half of it bookable; teams a, b and c. */
-final class Given {
+/** Test data: destinations 1 to 3 with a limit of 100 calls per second, half of it bookable; teams a, b and c. */
+final class BookingFixtures {
     static final long MINUTE = 60_000;
     static final long HOUR = 60 * MINUTE;
     static final long DAY = 24 * HOUR;
     static final long NOW = Instant.parse("2026-03-02T00:00:00Z").toEpochMilli();
     static final long QUOTA = 10_000_000_000L;
 
-    private Given() {}
+    private BookingFixtures() {}
 
     static Bookings bookings() {
-        return filled(new Bookings(Rules.usual()));
+        return withSetup(new Bookings(Rules.usual()));
     }
 
-    static Bookings filled(Bookings to) {
+    static Bookings withSetup(Bookings bookings) {
         for (int d = 1; d <= 3; d++) {
-            to.apply(NOW, new Operation.SetDestination(d, 100_000, 500_000, List.of()));
+            bookings.apply(NOW, new Operation.SetDestination(d, 100_000, 500_000, List.of()));
         }
         for (String team : List.of("a", "b", "c")) {
-            to.apply(NOW, new Operation.SetTeam(team, QUOTA, "Europe/Berlin"));
+            bookings.apply(NOW, new Operation.SetTeam(team, QUOTA, "Europe/Berlin"));
         }
-        return to;
+        return bookings;
     }
 
-    /** A request of so many calls a second at destination 1, hours after {@link #NOW}. */
+    /** A request for a rate in calls per second at destination 1; times are hours after {@link #NOW}. */
     static Operation.Put put(String id, String team, int rank, long calls, double fromHour, double toHour) {
         return put(id, team, rank, Map.of(1, calls * 1000), fromHour, toHour);
     }
@@ -39,7 +39,7 @@
         return Operation.Put.of(id, team, rank, rates, at(from), at(to), true);
     }
 
-    static Operation.Put unwaiting(Operation.Put p) {
+    static Operation.Put withoutWaiting(Operation.Put p) {
         return new Operation.Put(p.id(), p.team(), p.rank(), p.rates(), p.startMs(), p.endMs(), false);
     }
 
@@ -47,20 +47,20 @@
         return NOW + (long) (hour * HOUR);
     }
 
-    /** A booking that is running and whose team has shown up. */
-    static void running(Bookings to, String id, String team, long calls, double from, double until) {
-        to.apply(to.time(), put(id, team, 5, calls, from, until)).orThrow();
-        to.apply(to.time(), new Operation.Confirm(id, team)).orThrow();
-        to.apply(at(from), new Operation.ShowUp(id, team)).orThrow();
+    /** Makes a booking that is running and whose run has begun. */
+    static void startRunning(Bookings bookings, String id, String team, long calls, double from, double until) {
+        bookings.apply(bookings.time(), put(id, team, 5, calls, from, until)).orThrow();
+        bookings.apply(bookings.time(), new Operation.Confirm(id, team)).orThrow();
+        bookings.apply(at(from), new Operation.ShowUp(id, team)).orThrow();
     }
 
-    static String told(Result r) {
+    static String changesOf(Result r) {
         return r.changes().stream()
                 .map(c -> c.id() + " " + (c.from() == null ? "" : c.from().word() + ">") + c.to().word())
                 .collect(Collectors.joining(", "));
     }
 
-    static Class<? extends Fault> fault(Result r) {
+    static Class<? extends Fault> faultOf(Result r) {
         return r.fault() == null ? null : r.fault().getClass();
     }
 }
