--- a/src/test/java/firstair/fleet/booking/BookingsTest.java
+++ b/src/test/java/firstair/fleet/booking/BookingsTest.java
@@ -1,15 +1,15 @@
 package firstair.fleet.booking;
 
-import static firstair.fleet.booking.Given.DAY;
-import static firstair.fleet.booking.Given.HOUR;
-import static firstair.fleet.booking.Given.MINUTE;
-import static firstair.fleet.booking.Given.NOW;
-import static firstair.fleet.booking.Given.at;
-import static firstair.fleet.booking.Given.fault;
-import static firstair.fleet.booking.Given.put;
-import static firstair.fleet.booking.Given.running;
-import static firstair.fleet.booking.Given.told;
-import static firstair.fleet.booking.Given.unwaiting;
+import static firstair.fleet.booking.BookingFixtures.DAY;
+import static firstair.fleet.booking.BookingFixtures.HOUR;
+import static firstair.fleet.booking.BookingFixtures.MINUTE;
+import static firstair.fleet.booking.BookingFixtures.NOW;
+import static firstair.fleet.booking.BookingFixtures.at;
+import static firstair.fleet.booking.BookingFixtures.changesOf;
+import static firstair.fleet.booking.BookingFixtures.faultOf;
+import static firstair.fleet.booking.BookingFixtures.put;
+import static firstair.fleet.booking.BookingFixtures.startRunning;
+import static firstair.fleet.booking.BookingFixtures.withoutWaiting;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -30,9 +30,9 @@
 import org.junit.jupiter.api.Test;
 
 class BookingsTest {
-    private final Bookings bookings = Given.bookings();
+    private final Bookings bookings = BookingFixtures.bookings();
 
-    private Result now(Operation o) {
+    private Result apply(Operation o) {
         return bookings.apply(bookings.time(), o);
     }
 
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void theTableOfStatesIsTheOneInTheOperatorsPage() throws IOException {
+    void transitionsMatchTheTableInTheOperatorsPage() throws IOException {
         List<String> page = Files.readAllLines(Path.of("docs/reservations.md"));
         for (State from : State.values()) {
             String row = page.stream()
@@ -59,15 +59,15 @@
     }
 
     @Test
-    void aBookingGoesItsWayAndTellsEachStep() {
-        assertThat(told(now(put("x", "a", 5, 30, 10, 12)))).isEqualTo("x requested, x requested>held");
-        assertThat(told(now(new Operation.Confirm("x", "a")))).isEqualTo("x held>confirmed");
-        assertThat(now(new Operation.Confirm("x", "a")).changes()).isEmpty();
-        assertThat(fault(now(new Operation.ShowUp("x", "a")))).isEqualTo(Fault.IllegalChange.class);
+    void aBookingPassesThroughItsStatesAndReportsEachChange() {
+        assertThat(changesOf(apply(put("x", "a", 5, 30, 10, 12)))).isEqualTo("x requested, x requested>held");
+        assertThat(changesOf(apply(new Operation.Confirm("x", "a")))).isEqualTo("x held>confirmed");
+        assertThat(apply(new Operation.Confirm("x", "a")).changes()).isEmpty();
+        assertThat(faultOf(apply(new Operation.ShowUp("x", "a")))).isEqualTo(Fault.IllegalChange.class);
         assertThat(bookings.nextMs()).isEqualTo(at(9.75));
-        assertThat(told(bookings.apply(at(9.75), new Operation.Tick()))).isEqualTo("x confirmed>sealed");
-        assertThat(told(bookings.apply(at(10), new Operation.Tick()))).isEqualTo("x sealed>running");
-        assertThat(told(now(new Operation.ShowUp("x", "a")))).isEqualTo("x running>running");
+        assertThat(changesOf(bookings.apply(at(9.75), new Operation.Tick()))).isEqualTo("x confirmed>sealed");
+        assertThat(changesOf(bookings.apply(at(10), new Operation.Tick()))).isEqualTo("x sealed>running");
+        assertThat(changesOf(apply(new Operation.ShowUp("x", "a")))).isEqualTo("x running>running");
         Result end = bookings.apply(at(12), new Operation.Tick());
         assertThat(end.changes())
                 .containsExactly(new Change("x", State.RUNNING, State.ENDED, at(12), "its end has come"));
@@ -76,20 +76,21 @@
     }
 
     @Test
-    void ofTwoTeamsOneGetsTheLastCapacityAndTheOtherIsRefusedOrWaits() {
-        now(put("x", "a", 5, 30, 10, 12)).orThrow();
-        assertThat(fault(now(unwaiting(put("y", "b", 1, 21, 11, 13))))).isEqualTo(Fault.NoRoom.class);
+    void withoutCapacityARequestIsRefusedOrWaits() {
+        apply(put("x", "a", 5, 30, 10, 12)).orThrow();
+        assertThat(faultOf(apply(withoutWaiting(put("y", "b", 1, 21, 11, 13))))).isEqualTo(Fault.NoRoom.class);
         assertThat(state("y")).isEqualTo(State.REFUSED);
-        assertThat(told(now(put("z", "b", 1, 21, 11, 13)))).isEqualTo("z requested");
-        assertThat(told(now(put("w", "b", 1, 20, 11, 13)))).endsWith("held");
+        assertThat(changesOf(apply(put("z", "b", 1, 21, 11, 13)))).isEqualTo("z requested");
+        assertThat(changesOf(apply(put("w", "b", 1, 20, 11, 13)))).endsWith("held");
         assertThat(bookings.left(1, at(11), at(12))).isZero();
-        assertThat(fault(now(put("v", "b", 1, 51, 20, 21)))).isEqualTo(Fault.NoRoom.class); // never any room for it
+        // exceeds the full capacity, so it does not wait
+        assertThat(faultOf(apply(put("v", "b", 1, 51, 20, 21)))).isEqualTo(Fault.NoRoom.class);
     }
 
     @Test
-    void allDestinationsOrNone() {
-        now(put("x", "a", 5, Map.of(2, 50_000L), 10, 12)).orThrow();
-        Result r = now(unwaiting(put("y", "b", 5, Map.of(1, 1L, 2, 1L, 3, 1L), 9, 11)));
+    void aRequestIsGrantedForAllDestinationsOrNone() {
+        apply(put("x", "a", 5, Map.of(2, 50_000L), 10, 12)).orThrow();
+        Result r = apply(withoutWaiting(put("y", "b", 5, Map.of(1, 1L, 2, 1L, 3, 1L), 9, 11)));
         assertThat(r.fault().line())
                 .isEqualTo("F404: booking y: destination 2 has 0 calls a second left; "
                         + "book less, another time, or wait in the list");
@@ -97,47 +98,49 @@
     }
 
     @Test
-    void theSameRequestTwiceIsOneAndAnotherUnderItsNameIsNone() {
-        now(put("x", "a", 5, 30, 10, 12)).orThrow();
-        assertThat(now(put("x", "a", 5, 30, 10, 12)).orThrow().changes()).isEmpty();
+    void aRepeatedRequestIsIgnoredAndADifferentOneWithTheSameIdRejected() {
+        apply(put("x", "a", 5, 30, 10, 12)).orThrow();
+        assertThat(apply(put("x", "a", 5, 30, 10, 12)).orThrow().changes()).isEmpty();
         assertThat(bookings.left(1, at(10), at(12))).isEqualTo(20_000);
-        assertThatThrownBy(() -> now(put("x", "a", 5, 29, 10, 12)).orThrow()).isInstanceOf(Fault.BadRequest.class);
-        now(unwaiting(put("y", "b", 5, 30, 10, 12)));
-        now(new Operation.Drop("x", "makes room"));
-        assertThat(told(now(unwaiting(put("y", "b", 5, 30, 10, 12))))).endsWith("held"); // refused ones may try again
+        assertThatThrownBy(() -> apply(put("x", "a", 5, 29, 10, 12)).orThrow()).isInstanceOf(Fault.BadRequest.class);
+        apply(withoutWaiting(put("y", "b", 5, 30, 10, 12)));
+        apply(new Operation.Drop("x", "makes room"));
+        // refused requests may be repeated
+        assertThat(changesOf(apply(withoutWaiting(put("y", "b", 5, 30, 10, 12)))))
+                .endsWith("held");
     }
 
     @Test
-    void rulesOfTimeHaveFaultsOfTheirOwn() {
-        assertThat(fault(now(put("x", "a", 5, 1, 0.99, 2)))).isEqualTo(Fault.TooLate.class);
-        assertThat(fault(now(put("y", "a", 5, 1, 10, 34.01)))).isEqualTo(Fault.TooLong.class);
-        assertThat(fault(now(put("z", "a", 5, 1, 24 * 732, 24 * 732 + 1)))).isEqualTo(Fault.BadRequest.class);
-        assertThat(fault(now(put("w", "nobody", 5, 1, 10, 12)))).isEqualTo(Fault.BadRequest.class);
-        assertThat(fault(now(put("v", "a", 5, Map.of(9, 1L), 10, 12)))).isEqualTo(Fault.BadRequest.class);
-        assertThat(fault(now(new Operation.Confirm("none", "a")))).isEqualTo(Fault.UnknownBooking.class);
+    void invalidRequestsHaveSpecificFaults() {
+        assertThat(faultOf(apply(put("x", "a", 5, 1, 0.99, 2)))).isEqualTo(Fault.TooLate.class);
+        assertThat(faultOf(apply(put("y", "a", 5, 1, 10, 34.01)))).isEqualTo(Fault.TooLong.class);
+        assertThat(faultOf(apply(put("z", "a", 5, 1, 24 * 732, 24 * 732 + 1)))).isEqualTo(Fault.BadRequest.class);
+        assertThat(faultOf(apply(put("w", "nobody", 5, 1, 10, 12)))).isEqualTo(Fault.BadRequest.class);
+        assertThat(faultOf(apply(put("v", "a", 5, Map.of(9, 1L), 10, 12)))).isEqualTo(Fault.BadRequest.class);
+        assertThat(faultOf(apply(new Operation.Confirm("none", "a")))).isEqualTo(Fault.UnknownBooking.class);
     }
 
     @Test
-    void closedHoursOfADestinationArePartOfNoBookingAlsoInTheNightOfTheLongHour() {
-        Closed night = new Closed(
+    void rejectsClosedHoursEvenWhenTheClocksGoBack() {
+        ClosingHours night = new ClosingHours(
                 "Europe/Berlin",
                 Set.of(DayOfWeek.SATURDAY),
                 LocalTime.of(22, 0),
                 LocalTime.of(2, 30),
                 List.of(LocalDate.parse("2026-12-24")));
-        now(new Operation.SetDestination(1, 100_000, 500_000, List.of(night)));
+        apply(new Operation.SetDestination(1, 100_000, 500_000, List.of(night)));
         bookings.apply(Instant.parse("2026-10-20T00:00:00Z").toEpochMilli(), new Operation.Tick());
-        // 02:30 comes twice: at 00:30Z and at 01:30Z; it stays closed until the second one
-        assertThat(fault(now(spanned("x", "2026-10-25T01:29:59Z", "2026-10-25T03:00:00Z"))))
+        // 02:30 occurs twice, at 00:30Z and at 01:30Z; it stays closed until the second one
+        assertThat(faultOf(apply(request("x", "2026-10-25T01:29:59Z", "2026-10-25T03:00:00Z"))))
                 .isEqualTo(Fault.ClosedHours.class);
-        assertThat(fault(now(spanned("y", "2026-10-25T01:30:00Z", "2026-10-25T03:00:00Z"))))
+        assertThat(faultOf(apply(request("y", "2026-10-25T01:30:00Z", "2026-10-25T03:00:00Z"))))
                 .isNull();
-        assertThat(now(spanned("z", "2026-12-23T20:00:00Z", "2026-12-24T01:00:00Z"))
+        assertThat(apply(request("z", "2026-12-23T20:00:00Z", "2026-12-24T01:00:00Z"))
                         .fault())
                 .hasMessageContaining("2026-12-23T23:00:00Z");
     }
 
-    private static Operation.Put spanned(String id, String start, String end) {
+    private static Operation.Put request(String id, String start, String end) {
         return Operation.Put.of(
                 id,
                 "a",
@@ -149,9 +152,9 @@
     }
 
     @Test
-    void theQuotaIsSplitOverMonthsInTheTeamsZone() {
-        now(new Operation.SetTeam("a", 7_200_000, "Europe/Berlin")); // 7,200 calls
-        // the month ends at 22:00Z, since the clocks went forward two days before
+    void theQuotaIsSplitByMonthInTheTeamsZone() {
+        apply(new Operation.SetTeam("a", 7_200_000, "Europe/Berlin")); // 7,200 calls
+        // the month ends at 22:00Z: daylight-saving time began two days before
         Operation.Put p = Operation.Put.of(
                 "x",
                 "a",
@@ -160,111 +163,115 @@
                 Instant.parse("2026-03-31T21:00:00Z").toEpochMilli(),
                 Instant.parse("2026-04-01T00:00:00Z").toEpochMilli(),
                 false);
-        now(p).orThrow();
+        apply(p).orThrow();
         assertThat(bookings.booking("x").charged())
                 .isEqualTo(Map.of(2026 * 12 + 2, 3_600_000L, 2026 * 12 + 3, 7_200_000L));
-        assertThat(now(unwaiting(put("y", "a", 5, 1, 24 * 32, 24 * 32 + 0.5))).fault())
+        assertThat(apply(withoutWaiting(put("y", "a", 5, 1, 24 * 32, 24 * 32 + 0.5)))
+                        .fault())
                 .isInstanceOf(Fault.TeamQuota.class)
                 .hasMessageContaining("has 0 calls left in 2026-04");
-        now(new Operation.End("x", "a", "not needed"));
-        assertThat(told(now(unwaiting(put("z", "a", 5, 1, 24 * 32, 24 * 32 + 2)))))
+        apply(new Operation.End("x", "a", "not needed"));
+        assertThat(changesOf(apply(withoutWaiting(put("z", "a", 5, 1, 24 * 32, 24 * 32 + 2)))))
                 .endsWith("held");
     }
 
     @Test
-    void whatIsFreedIsOfferedByRankThenAgeAndAnOfferThatLapsesGoesOn() {
-        now(put("x", "a", 5, 50, 100, 102)).orThrow();
-        now(put("late", "b", 3, 50, 100, 101));
-        now(put("old", "b", 5, 50, 101, 102));
-        now(put("first", "c", 3, 50, 101, 103));
-        now(put("second", "c", 3, 50, 101, 103));
-        assertThat(told(now(new Operation.Drop("x", "maintenance"))))
+    void freedCapacityIsOfferedByRankThenAgeAndAgainAfterALapse() {
+        apply(put("x", "a", 5, 50, 100, 102)).orThrow();
+        apply(put("late", "b", 3, 50, 100, 101));
+        apply(put("old", "b", 5, 50, 101, 102));
+        apply(put("first", "c", 3, 50, 101, 103));
+        apply(put("second", "c", 3, 50, 101, 103));
+        assertThat(changesOf(apply(new Operation.Drop("x", "maintenance"))))
                 .isEqualTo("x held>released, late requested>held, first requested>held");
-        now(new Operation.Confirm("late", "b"));
-        assertThat(told(bookings.apply(NOW + DAY, new Operation.Tick())))
+        apply(new Operation.Confirm("late", "b"));
+        assertThat(changesOf(bookings.apply(NOW + DAY, new Operation.Tick())))
                 .isEqualTo("first held>lapsed, second requested>held");
-        assertThat(told(bookings.apply(at(99), new Operation.Tick())))
+        assertThat(changesOf(bookings.apply(at(99), new Operation.Tick())))
                 .isEqualTo("second held>lapsed, old requested>held");
-        assertThat(told(bookings.apply(at(100.75), new Operation.Tick()))).contains("old held>lapsed");
+        assertThat(changesOf(bookings.apply(at(100.75), new Operation.Tick()))).contains("old held>lapsed");
     }
 
     @Test
-    void whoeverWaitsTooLongLapses() {
-        now(put("x", "a", 5, 50, 10, 12)).orThrow();
-        now(put("y", "b", 5, 1, 10, 12));
-        assertThat(told(bookings.apply(at(9.75), new Operation.Tick()))).contains("y requested>lapsed");
+    void waitingRequestsLapse() {
+        apply(put("x", "a", 5, 50, 10, 12)).orThrow();
+        apply(put("y", "b", 5, 1, 10, 12));
+        assertThat(changesOf(bookings.apply(at(9.75), new Operation.Tick()))).contains("y requested>lapsed");
     }
 
     @Test
-    void nobodyShowedUpInTimeAndTheRestIsFreeOnceNoRelayGoesByIt() {
-        now(put("x", "a", 5, 50, 10, 20)).orThrow();
-        now(new Operation.Confirm("x", "a"));
+    void aRunThatDoesNotBeginInTimeReleasesCapacityAfterTheHorizon() {
+        apply(put("x", "a", 5, 50, 10, 20)).orThrow();
+        apply(new Operation.Confirm("x", "a"));
         bookings.apply(at(10), new Operation.Tick());
         Result r = bookings.apply(at(10.25), new Operation.Tick());
         assertThat(r.changes())
                 .containsExactly(new Change("x", State.RUNNING, State.RELEASED, at(10.25), "nobody showed up in time"));
         assertThat(bookings.left(1, at(10.25), at(10.5))).isZero();
         assertThat(bookings.left(1, at(10.5), at(20))).isEqualTo(50_000);
-        Sealed.Entry entry = bookings.sealedSet(at(10.25)).entries().get(0);
+        SealedBookings.Entry entry = bookings.sealedSet(at(10.25)).entries().get(0);
         assertThat(entry.rates()).isEmpty();
-        assertThat(entry.leave()).isEqualTo(Map.of(1, 50_000L));
+        assertThat(entry.reserved()).isEqualTo(Map.of(1, 50_000L));
         assertThat(entry.endMs()).isEqualTo(at(10.5));
     }
 
     @Test
-    void endedEarlyFreesTheRestForOthersAndForTheQuota() {
-        running(bookings, "x", "a", 50, 10, 20);
-        assertThat(told(bookings.apply(at(11), new Operation.End("x", "a", "done"))))
+    void endingEarlyFreesCapacityAndQuota() {
+        startRunning(bookings, "x", "a", 50, 10, 20);
+        assertThat(changesOf(bookings.apply(at(11), new Operation.End("x", "a", "done"))))
                 .isEqualTo("x running>ended");
-        assertThat(now(new Operation.End("x", "a", "done")).orThrow().changes()).isEmpty();
+        assertThat(apply(new Operation.End("x", "a", "done")).orThrow().changes())
+                .isEmpty();
         assertThat(bookings.booking("x").charged()).containsValue(50_000L * 75 * 60); // 75 minutes
-        assertThat(told(now(put("y", "b", 5, 50, 12, 20)))).endsWith("held");
+        assertThat(changesOf(apply(put("y", "b", 5, 50, 12, 20)))).endsWith("held");
     }
 
     @Test
-    void sealedIsUnchangeable() {
-        now(put("x", "a", 5, 50, 10, 20)).orThrow();
-        now(new Operation.Confirm("x", "a"));
+    void sealedBookingsCannotBeChanged() {
+        apply(put("x", "a", 5, 50, 10, 20)).orThrow();
+        apply(new Operation.Confirm("x", "a"));
         bookings.apply(at(9.75), new Operation.Tick());
         for (Operation o : List.of(
                 new Operation.End("x", "a", "r"),
                 new Operation.Extend("x", "a", at(21)),
                 new Operation.Move("x", at(30), at(31), "r"),
                 new Operation.Drop("x", "r"))) {
-            assertThat(fault(now(o))).as("%s", o).isEqualTo(Fault.Sealed.class);
+            assertThat(faultOf(apply(o))).as("%s", o).isEqualTo(Fault.Sealed.class);
         }
-        assertThat(fault(now(new Operation.Confirm("x", "a")))).isEqualTo(Fault.IllegalChange.class);
+        assertThat(faultOf(apply(new Operation.Confirm("x", "a")))).isEqualTo(Fault.IllegalChange.class);
         assertThat(state("x")).isEqualTo(State.SEALED);
     }
 
     @Test
-    void nothingIsGrantedInsideTheHorizon() {
-        now(put("x", "a", 5, 50, 10, 12)).orThrow();
+    void nothingIsGrantedWithinTheHorizon() {
+        apply(put("x", "a", 5, 50, 10, 12)).orThrow();
         bookings.apply(at(5), new Operation.Tick());
-        assertThat(fault(now(new Operation.Move("x", at(5.25), at(6), "r")))).isEqualTo(Fault.TooLate.class);
-        assertThat(fault(now(new Operation.Move("x", at(5.26), at(6), "r")))).isNull();
+        assertThat(faultOf(apply(new Operation.Move("x", at(5.25), at(6), "r"))))
+                .isEqualTo(Fault.TooLate.class);
+        assertThat(faultOf(apply(new Operation.Move("x", at(5.26), at(6), "r"))))
+                .isNull();
         assertThat(bookings.booking("x").startMs()).isEqualTo(at(5.26));
     }
 
     @Test
-    void extendedIfFreeAndAskedForBeforeItsEndIsTold() {
-        running(bookings, "x", "a", 30, 10, 12);
-        now(put("y", "b", 5, 30, 13, 14)).orThrow();
-        assertThat(fault(now(new Operation.Extend("x", "a", at(13.5))))).isEqualTo(Fault.NoRoom.class);
-        assertThat(fault(now(new Operation.Extend("x", "a", at(11))))).isEqualTo(Fault.BadRequest.class);
-        assertThat(fault(now(new Operation.Extend("x", "b", at(13))))).isEqualTo(Fault.NotYours.class);
-        assertThat(told(now(new Operation.Extend("x", "a", at(13))))).isEqualTo("x running>running");
+    void aRunningBookingIsExtendedIfThereIsCapacityAndItsEndIsBeyondTheHorizon() {
+        startRunning(bookings, "x", "a", 30, 10, 12);
+        apply(put("y", "b", 5, 30, 13, 14)).orThrow();
+        assertThat(faultOf(apply(new Operation.Extend("x", "a", at(13.5))))).isEqualTo(Fault.NoRoom.class);
+        assertThat(faultOf(apply(new Operation.Extend("x", "a", at(11))))).isEqualTo(Fault.BadRequest.class);
+        assertThat(faultOf(apply(new Operation.Extend("x", "b", at(13))))).isEqualTo(Fault.NotYours.class);
+        assertThat(changesOf(apply(new Operation.Extend("x", "a", at(13))))).isEqualTo("x running>running");
         assertThat(bookings.left(1, at(12), at(13))).isEqualTo(20_000);
-        assertThat(fault(bookings.apply(at(12.75), new Operation.Extend("x", "a", at(13) + MINUTE))))
+        assertThat(faultOf(bookings.apply(at(12.75), new Operation.Extend("x", "a", at(13) + MINUTE))))
                 .isEqualTo(Fault.TooLate.class);
     }
 
     @Test
-    void movedByOperatorsIsNotInItsOwnWay() {
-        now(put("x", "a", 5, 50, 10, 12)).orThrow();
-        now(put("y", "b", 5, 50, 13, 14)).orThrow();
-        assertThat(fault(now(new Operation.Move("x", at(12), at(14), "r")))).isEqualTo(Fault.NoRoom.class);
-        Result r = now(new Operation.Move("x", at(11), at(13), "the partner asked"));
+    void aMovedBookingDoesNotCompeteWithItself() {
+        apply(put("x", "a", 5, 50, 10, 12)).orThrow();
+        apply(put("y", "b", 5, 50, 13, 14)).orThrow();
+        assertThat(faultOf(apply(new Operation.Move("x", at(12), at(14), "r")))).isEqualTo(Fault.NoRoom.class);
+        Result r = apply(new Operation.Move("x", at(11), at(13), "the partner asked"));
         assertThat(r.changes())
                 .containsExactly(new Change("x", State.HELD, State.HELD, NOW, "moved by operators: the partner asked"));
         assertThat(bookings.left(1, at(10), at(11))).isEqualTo(50_000);
@@ -272,11 +279,11 @@
     }
 
     @Test
-    void aLimitHalvedUnderRunningBookingsCutsAllInProportion() {
-        running(bookings, "x", "a", 30, 10, 20);
-        now(put("y", "b", 5, 20, 12, 20)).orThrow();
-        now(put("z", "c", 5, 40, 20, 21)).orThrow();
-        now(put("w", "c", 5, 25, 30, 31)).orThrow();
+    void aLowerLimitCutsAllBookingsInProportion() {
+        startRunning(bookings, "x", "a", 30, 10, 20);
+        apply(put("y", "b", 5, 20, 12, 20)).orThrow();
+        apply(put("z", "c", 5, 40, 20, 21)).orThrow();
+        apply(put("w", "c", 5, 25, 30, 31)).orThrow();
         Result r = bookings.apply(at(11), new Operation.Limit(1, 50_000));
         assertThat(r.changes())
                 .extracting(Change::cause)
@@ -285,41 +292,55 @@
                         "cut at destination 1 from 20 to 10 calls a second: its limit is 50",
                         "cut at destination 1 from 40 to 25 calls a second: its limit is 50");
         assertThat(bookings.booking("w").rates()).containsEntry(1, 25_000L);
-        Sealed.Entry entry = bookings.sealedSet(at(11)).entries().get(0); // a relay may not know yet
-        assertThat(entry.leave()).containsEntry(1, 30_000L);
-        assertThat(entry.leaveToMs()).isEqualTo(at(11.25));
-        now(new Operation.Limit(1, 100_000));
-        assertThat(bookings.booking("x").rates()).containsEntry(1, 15_000L); // what was cut stays cut
+        SealedBookings.Entry entry = bookings.sealedSet(at(11)).entries().get(0); // relays may still use the old rate
+        assertThat(entry.reserved()).containsEntry(1, 30_000L);
+        assertThat(entry.reservedUntilMs()).isEqualTo(at(11.25));
+        apply(new Operation.Limit(1, 100_000));
+        assertThat(bookings.booking("x").rates()).containsEntry(1, 15_000L); // cuts are not undone
     }
 
     @Test
-    void otherRulesHoldAtOnceButTheHorizonNeverGoesBack() {
-        now(put("x", "a", 5, 50, 3, 4)).orThrow();
-        now(new Operation.Confirm("x", "a"));
-        Rules u = Rules.usual();
-        now(new Operation.SetRules(new Rules(
-                4 * HOUR, 5 * HOUR, u.longestMs(), u.aheadMs(), u.holdMs(), u.showUpMs(), u.forgetMs(), u.most())));
+    void newRulesApplyAtOnceButTheHorizonNeverMovesBack() {
+        apply(put("x", "a", 5, 50, 3, 4)).orThrow();
+        apply(new Operation.Confirm("x", "a"));
+        Rules defaults = Rules.usual();
+        apply(new Operation.SetRules(new Rules(
+                4 * HOUR,
+                5 * HOUR,
+                defaults.longestMs(),
+                defaults.aheadMs(),
+                defaults.holdMs(),
+                defaults.showUpMs(),
+                defaults.forgetMs(),
+                defaults.maxBookings())));
         assertThat(state("x")).isEqualTo(State.SEALED);
-        now(new Operation.SetRules(u));
+        apply(new Operation.SetRules(defaults));
         assertThat(bookings.sealedSet(NOW).throughMs()).isEqualTo(at(4));
-        assertThat(fault(now(put("y", "a", 5, 1, 4, 5)))).isEqualTo(Fault.TooLate.class);
-        assertThat(fault(now(put("z", "a", 5, 1, 4.01, 5)))).isNull();
+        assertThat(faultOf(apply(put("y", "a", 5, 1, 4, 5)))).isEqualTo(Fault.TooLate.class);
+        assertThat(faultOf(apply(put("z", "a", 5, 1, 4.01, 5)))).isNull();
     }
 
     @Test
-    void theNumberOfBookingsIsBoundedAndRefusedOnesGoFirst() {
-        Rules u = Rules.usual();
-        now(new Operation.SetRules(new Rules(
-                u.sealBeforeMs(), u.leadMs(), u.longestMs(), u.aheadMs(), u.holdMs(), u.showUpMs(), u.forgetMs(), 2)));
-        now(unwaiting(put("no", "a", 5, 51, 10, 11)));
-        now(put("x", "a", 5, 1, 10, 11)).orThrow();
-        now(put("y", "a", 5, 1, 10, 11)).orThrow();
+    void theNumberOfBookingsIsLimitedAndRefusedOnesAreRemovedFirst() {
+        Rules defaults = Rules.usual();
+        apply(new Operation.SetRules(new Rules(
+                defaults.sealBeforeMs(),
+                defaults.leadMs(),
+                defaults.longestMs(),
+                defaults.aheadMs(),
+                defaults.holdMs(),
+                defaults.showUpMs(),
+                defaults.forgetMs(),
+                2)));
+        apply(withoutWaiting(put("no", "a", 5, 51, 10, 11)));
+        apply(put("x", "a", 5, 1, 10, 11)).orThrow();
+        apply(put("y", "a", 5, 1, 10, 11)).orThrow();
         assertThat(bookings.all()).extracting(Booking::id).containsExactly("x", "y");
-        assertThat(fault(now(put("z", "a", 5, 1, 10, 11)))).isEqualTo(Fault.BadRequest.class);
+        assertThat(faultOf(apply(put("z", "a", 5, 1, 10, 11)))).isEqualTo(Fault.BadRequest.class);
     }
 
     @Test
-    void aSnapshotOfAnotherFormOrADamagedOneIsNotRead() {
+    void rejectsSnapshotsInAnotherFormatAndDamagedOnes() {
         byte[] bytes = bookings.snapshot();
         String text = new String(bytes, StandardCharsets.UTF_8);
         assertThatThrownBy(() -> Bookings.restore(
--- a/src/test/java/firstair/fleet/booking/CalendarTest.java
+++ b/src/test/java/firstair/fleet/booking/CalendarTest.java
@@ -19,8 +19,8 @@
 
 class CalendarTest {
     private static final Set<DayOfWeek> WEEKEND = Set.of(DayOfWeek.SATURDAY, DayOfWeek.SUNDAY);
-    private static final LocalTime ZERO = LocalTime.MIDNIGHT;
-    private final Calendar berlin = calendar("Europe/Berlin", ZERO, ZERO, "de");
+    private static final LocalTime MIDNIGHT = LocalTime.MIDNIGHT;
+    private final Calendar berlin = calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "de");
 
     private static Calendar calendar(String zone, LocalTime opens, LocalTime closes, String... countries) {
         return new Calendar(new Calendar.Terms(
@@ -49,24 +49,25 @@
     }
 
     @Test
-    void holidaysWeekendsAndOwnClosingDaysAreNoWorkingDays() {
+    void holidaysWeekendsAndClosedDatesAreNotWorkingDays() {
         assertThat(berlin.works(LocalDate.parse("2026-05-14"))).isFalse(); // Ascension, by Easter
         assertThat(berlin.works(LocalDate.parse("2026-05-15"))).isTrue();
-        assertThat(berlin.works(LocalDate.parse("2026-06-04"))).isTrue(); // Corpus Christi, in some parts only
-        assertThat(calendar("Europe/Berlin", ZERO, ZERO, "de-by").works(LocalDate.parse("2026-06-04")))
+        assertThat(berlin.works(LocalDate.parse("2026-06-04"))).isTrue(); // Corpus Christi, in some subdivisions only
+        assertThat(calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "de-by").works(LocalDate.parse("2026-06-04")))
                 .isFalse();
-        assertThat(berlin.lastWorkday(YearMonth.of(2026, 12))).isEqualTo("2026-12-30");
-        assertThat(berlin.lastWorkday(YearMonth.of(2026, 5))).isEqualTo("2026-05-29");
-        assertThat(berlin.workday(YearMonth.of(2026, 5), 1)).isEqualTo("2026-05-04");
-        assertThat(berlin.onOrAfter(LocalDate.parse("2026-12-24"))).isEqualTo("2026-12-28");
-        assertThat(berlin.onOrBefore(LocalDate.parse("2026-04-06"))).isEqualTo("2026-04-02"); // Easter Monday
-        assertThatThrownBy(() -> berlin.workday(YearMonth.of(2026, 5), 30)).isInstanceOf(Fault.BadCalendar.class);
+        assertThat(berlin.lastWorkingDay(YearMonth.of(2026, 12))).isEqualTo("2026-12-30");
+        assertThat(berlin.lastWorkingDay(YearMonth.of(2026, 5))).isEqualTo("2026-05-29");
+        assertThat(berlin.nthWorkingDay(YearMonth.of(2026, 5), 1)).isEqualTo("2026-05-04");
+        assertThat(berlin.workingDayOnOrAfter(LocalDate.parse("2026-12-24"))).isEqualTo("2026-12-28");
+        assertThat(berlin.workingDayOnOrBefore(LocalDate.parse("2026-04-06"))).isEqualTo("2026-04-02"); // Easter Monday
+        assertThatThrownBy(() -> berlin.nthWorkingDay(YearMonth.of(2026, 5), 30))
+                .isInstanceOf(Fault.BadCalendar.class);
     }
 
     @Test
-    void whatComesAfterTheCutOffCountsOnTheNextWorkingDay() {
-        assertThat(berlin.countsOn(ms("2026-05-13T13:59:59Z"))).isEqualTo("2026-05-13");
-        assertThat(berlin.countsOn(ms("2026-05-13T14:00:00Z"))).isEqualTo("2026-05-15");
+    void requestsAfterTheCutOffCountOnTheNextWorkingDay() {
+        assertThat(berlin.effectiveDay(ms("2026-05-13T13:59:59Z"))).isEqualTo("2026-05-13");
+        assertThat(berlin.effectiveDay(ms("2026-05-13T14:00:00Z"))).isEqualTo("2026-05-15");
         assertThat(days(berlin.expand(
                         repeat("FREQ=DAILY;COUNT=20", "2026-05-10", "18:00", "20:00", Calendar.Shift.SKIP, 0),
                         ms("2026-05-13T14:00:00Z"))))
@@ -74,11 +75,11 @@
     }
 
     @Test
-    void openingHoursHoldOnWorkingDaysInTheCalendarsZone() {
+    void openingHoursApplyOnWorkingDaysInTheCalendarsZone() {
         Calendar shop = calendar("America/New_York", LocalTime.of(9, 0), LocalTime.of(17, 0), "us");
-        assertThat(shop.open(ms("2026-03-09T13:00:00Z"))).isTrue(); // the day after the clocks went forward
-        assertThat(shop.open(ms("2026-03-06T13:59:59Z"))).isFalse();
-        assertThat(shop.open(ms("2026-03-07T15:00:00Z"))).isFalse();
+        assertThat(shop.isOpen(ms("2026-03-09T13:00:00Z"))).isTrue(); // the day after daylight-saving time began
+        assertThat(shop.isOpen(ms("2026-03-06T13:59:59Z"))).isFalse();
+        assertThat(shop.isOpen(ms("2026-03-07T15:00:00Z"))).isFalse();
         assertThatThrownBy(() -> shop.expand(
                         repeat("FREQ=DAILY", "2026-03-01", "16:00", "18:00", Calendar.Shift.SKIP, 0),
                         ms("2026-03-01T00:00:00Z")))
@@ -86,19 +87,19 @@
     }
 
     @Test
-    void theHourThatNeverComesAndTheOneThatComesTwice() {
+    void daylightSavingGapsAndOverlaps() {
         long now = ms("2026-01-05T00:00:00Z");
-        Calendar all =
-                new Calendar(new Calendar.Terms("c", "Europe/Berlin", List.of(), Set.of(), Set.of(), ZERO, ZERO, ZERO));
-        // 29 March: 02:00 to 03:00 never comes; the first instant after the gap is 01:00Z
+        Calendar all = new Calendar(
+                new Calendar.Terms("c", "Europe/Berlin", List.of(), Set.of(), Set.of(), MIDNIGHT, MIDNIGHT, MIDNIGHT));
+        // 29 March: 02:00 to 03:00 is skipped; the first instant after the gap is 01:00Z
         assertThat(all.expand(
                         repeat("FREQ=YEARLY;COUNT=1", "2026-03-29", "02:30", "03:30", Calendar.Shift.SKIP, 0), now))
                 .containsExactly(new Calendar.Span(
                         LocalDate.parse("2026-03-29"), ms("2026-03-29T01:00:00Z"), ms("2026-03-29T01:30:00Z")));
         assertThat(all.expand(
                         repeat("FREQ=YEARLY;COUNT=1", "2026-03-29", "02:10", "02:50", Calendar.Shift.SKIP, 0), now))
-                .isEmpty(); // the whole span never comes
-        // 25 October: 02:00 to 03:00 comes twice; from its first coming to its last
+                .isEmpty(); // the whole span lies in the gap
+        // 25 October: 02:00 to 03:00 occurs twice; the span covers both
         assertThat(all.expand(
                         repeat("FREQ=YEARLY;COUNT=1", "2026-10-25", "02:15", "02:45", Calendar.Shift.SKIP, 0), now))
                 .containsExactly(new Calendar.Span(
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void rulesComeOnTheirDaysMovedToWorkingDays() {
+    void occurrencesAreShiftedToWorkingDays() {
         long now = ms("2026-01-05T00:00:00Z");
         String month = "FREQ=MONTHLY;BYMONTHDAY=-1;UNTIL=20260531";
         assertThat(days(berlin.expand(repeat(month, "2026-01-31", "18:00", "20:00", Calendar.Shift.BEFORE, 0), now)))
@@ -130,18 +131,18 @@
                                 "20:00",
                                 Calendar.Shift.AFTER,
                                 0),
-                        now))) // Saturday's and Sunday's are one
+                        now))) // those of Saturday and Sunday are merged
                 .containsExactly("2026-01-09", "2026-01-12", "2026-01-16", "2026-01-19");
     }
 
     @Test
-    void expandingIsBounded() {
+    void expansionIsBounded() {
         long now = ms("2026-01-05T00:00:00Z");
         assertThat(berlin.expand(repeat("FREQ=DAILY", "2026-01-01", "18:00", "20:00", Calendar.Shift.SKIP, 0), now))
                 .hasSize(12);
-        List<Calendar.Span> far = berlin.expand(
+        List<Calendar.Span> spans = berlin.expand(
                 repeat("FREQ=MONTHLY;INTERVAL=5", "2026-01-30", "18:00", "20:00", Calendar.Shift.BEFORE, 0), now);
-        assertThat(days(far)).hasSize(5).allSatisfy(d -> assertThat(d).isLessThan("2028-01-06"));
+        assertThat(days(spans)).hasSize(5).allSatisfy(d -> assertThat(d).isLessThan("2028-01-06"));
     }
 
     @ParameterizedTest
@@ -161,7 +162,7 @@
                 "FREQ=DAILY;COUNT=99999999999",
                 "BYDAY=MO"
             })
-    void badRulesAreFaults(String rule) {
+    void rejectsInvalidRules(String rule) {
         assertThatThrownBy(() -> berlin.expand(
                         repeat(rule, "2026-01-05", "18:00", "20:00", Calendar.Shift.SKIP, 0),
                         ms("2026-01-05T00:00:00Z")))
@@ -169,7 +170,7 @@
     }
 
     @Test
-    void aRuleThatNeverComesIsAFaultAndOneThatIsOverIsNot() {
+    void rejectsARuleWithoutOccurrencesButAcceptsOneThatHasEnded() {
         assertThatThrownBy(() -> berlin.expand(
                         repeat(
                                 "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30",
@@ -187,26 +188,28 @@
     }
 
     @Test
-    void badTermsAreFaults() {
-        assertThatThrownBy(() -> calendar("Europe/Nowhere", ZERO, ZERO)).isInstanceOf(Fault.BadCalendar.class);
-        assertThatThrownBy(() -> calendar("Europe/Berlin", ZERO, ZERO, "xx")).isInstanceOf(Fault.BadCalendar.class);
-        assertThatThrownBy(() -> calendar("Europe/Berlin", ZERO, ZERO, "de-xx")).isInstanceOf(Fault.BadCalendar.class);
+    void rejectsInvalidTerms() {
+        assertThatThrownBy(() -> calendar("Europe/Nowhere", MIDNIGHT, MIDNIGHT)).isInstanceOf(Fault.BadCalendar.class);
+        assertThatThrownBy(() -> calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "xx"))
+                .isInstanceOf(Fault.BadCalendar.class);
+        assertThatThrownBy(() -> calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "de-xx"))
+                .isInstanceOf(Fault.BadCalendar.class);
         assertThatThrownBy(() -> calendar("Europe/Berlin", LocalTime.NOON, LocalTime.of(9, 0), "de"))
                 .isInstanceOf(Fault.BadCalendar.class);
     }
 
     @Test
-    void theMachinesLanguageAndZoneChangeNothing() {
+    void resultsDoNotDependOnTheDefaultLocaleAndZone() {
         Locale locale = Locale.getDefault();
         TimeZone zone = TimeZone.getDefault();
-        Calendar.Repeat often = repeat("FREQ=DAILY", "2026-03-20", "02:30", "04:00", Calendar.Shift.AFTER, 0);
-        List<Calendar.Span> here = berlin.expand(often, ms("2026-03-21T00:00:00Z"));
+        Calendar.Repeat daily = repeat("FREQ=DAILY", "2026-03-20", "02:30", "04:00", Calendar.Shift.AFTER, 0);
+        List<Calendar.Span> expected = berlin.expand(daily, ms("2026-03-21T00:00:00Z"));
         try {
             Locale.setDefault(Locale.forLanguageTag("tr-TR"));
             TimeZone.setDefault(TimeZone.getTimeZone("Pacific/Kiritimati"));
-            assertThat(calendar("Europe/Berlin", ZERO, ZERO, "DE").expand(often, ms("2026-03-21T00:00:00Z")))
-                    .isEqualTo(here);
-            assertThat(calendar("Europe/Rome", ZERO, ZERO, "IT").works(LocalDate.parse("2026-04-25")))
+            assertThat(calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "DE").expand(daily, ms("2026-03-21T00:00:00Z")))
+                    .isEqualTo(expected);
+            assertThat(calendar("Europe/Rome", MIDNIGHT, MIDNIGHT, "IT").works(LocalDate.parse("2026-04-25")))
                     .isFalse();
         } finally {
             Locale.setDefault(locale);
--- a/src/test/java/firstair/fleet/booking/HistoryTest.java
+++ b/src/test/java/firstair/fleet/booking/HistoryTest.java
@@ -1,8 +1,8 @@
 package firstair.fleet.booking;
 
-import static firstair.fleet.booking.Given.HOUR;
-import static firstair.fleet.booking.Given.MINUTE;
-import static firstair.fleet.booking.Given.NOW;
+import static firstair.fleet.booking.BookingFixtures.HOUR;
+import static firstair.fleet.booking.BookingFixtures.MINUTE;
+import static firstair.fleet.booking.BookingFixtures.NOW;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -16,13 +16,13 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** Whatever is asked in whatever order: the sums hold, what is sealed stays, and replay makes the same bytes. */
+/** Random operations: totals stay within capacity, sealed bookings stay, and a replay produces identical bytes. */
 class HistoryTest {
     private static final int SEEDS = 40;
     private static final int STEPS = 250;
-    private static final int TOLD = 40;
+    private static final int MAX_SETS = 40;
 
-    private static Operation some(Random random, long now) {
+    private static Operation randomOperation(Random random, long now) {
         String id = "x" + random.nextInt(30);
         String team = List.of("a", "b", "c").get(random.nextInt(3));
         long start = now + (long) (random.nextDouble() * 8 * HOUR);
@@ -57,13 +57,13 @@
         };
     }
 
-    /** What is asked about bookings that are there, so that they get on. */
-    private static Operation following(Bookings all, Random random, long now) {
-        if (all.all().isEmpty() || random.nextInt(3) == 0) {
-            return some(random, now);
+    /** Mostly an operation on an existing booking, so that bookings make progress. */
+    private static Operation nextOperation(Bookings bookings, Random random, long now) {
+        if (bookings.all().isEmpty() || random.nextInt(3) == 0) {
+            return randomOperation(random, now);
         }
-        List<Booking> list = List.copyOf(all.all());
-        Booking b = list.get(random.nextInt(list.size()));
+        List<Booking> candidates = List.copyOf(bookings.all());
+        Booking b = candidates.get(random.nextInt(candidates.size()));
         long start = now + (long) (random.nextDouble() * 4 * HOUR);
         return switch (b.state()) {
             case HELD ->
@@ -75,7 +75,7 @@
                     case 0, 1, 2 -> new Operation.Move(b.id(), start, start + HOUR, "moved");
                     case 3 -> new Operation.Drop(b.id(), "dropped");
                     case 4 -> new Operation.End(b.id(), b.team(), "not needed");
-                    default -> some(random, now);
+                    default -> randomOperation(random, now);
                 };
             case RUNNING ->
                 switch (random.nextInt(3)) {
@@ -83,40 +83,44 @@
                     case 1 -> new Operation.Extend(b.id(), b.team(), b.endMs() + HOUR);
                     default -> new Operation.End(b.id(), b.team(), "done");
                 };
-            default -> some(random, now);
+            default -> randomOperation(random, now);
         };
     }
 
-    /** Returns which states were come to by what. */
-    private static Set<String> play(long seed, Supplier<Bookings> made, boolean restores) {
-        Set<String> ways = new TreeSet<>();
+    /** Applies random operations and returns the states reached with the first words of their causes. */
+    private static Set<String> runHistory(long seed, Supplier<Bookings> factory, boolean withRestore) {
+        Set<String> transitions = new TreeSet<>();
         Random random = new Random(seed);
-        Bookings bookings = Given.filled(made.get());
-        Bookings replay = Given.filled(made.get());
+        Bookings bookings = BookingFixtures.withSetup(factory.get());
+        Bookings replay = BookingFixtures.withSetup(factory.get());
         Bookings restored = null;
-        List<Sealed> told = new ArrayList<>();
+        List<SealedBookings> sets = new ArrayList<>();
         long now = NOW;
         for (int i = 0; i < STEPS; i++) {
             now += random.nextInt(4) == 0 ? random.nextInt((int) HOUR) : random.nextInt((int) MINUTE);
-            Operation o = following(bookings, random, now);
-            long stamp = now - random.nextInt(2) * random.nextInt((int) MINUTE); // a new leader's clock may be behind
-            Result r = bookings.apply(stamp, o);
-            assertThat(replay.apply(stamp, Operations.read(Operations.write(o))).changes())
+            Operation o = nextOperation(bookings, random, now);
+            // the clock of a new leader may be slow
+            long leaderTime = now - random.nextInt(2) * random.nextInt((int) MINUTE);
+            Result r = bookings.apply(leaderTime, o);
+            assertThat(replay.apply(leaderTime, Operations.read(Operations.write(o)))
+                            .changes())
                     .isEqualTo(r.changes());
-            r.changes().forEach(c -> ways.add(c.to().word() + ", " + c.cause().replaceAll(" .*", "")));
-            sumsHold(seed, bookings);
-            Sealed set = bookings.sealedSet(now);
-            told.forEach(s -> agree(seed, s, set, bookings.time()));
-            told.add(set);
-            if (told.size() > TOLD) {
-                told.remove(random.nextInt(TOLD));
+            r.changes()
+                    .forEach(c ->
+                            transitions.add(c.to().word() + ", " + c.cause().replaceAll(" .*", "")));
+            checkTotals(seed, bookings);
+            SealedBookings set = bookings.sealedSet(now);
+            sets.forEach(s -> checkCompatible(seed, s, set, bookings.time()));
+            sets.add(set);
+            if (sets.size() > MAX_SETS) {
+                sets.remove(random.nextInt(MAX_SETS));
             }
             if (restored != null) {
-                assertThat(restored.apply(stamp, o).changes())
+                assertThat(restored.apply(leaderTime, o).changes())
                         .as("seed %d", seed)
                         .isEqualTo(r.changes());
             }
-            if (restores && i % 50 == 0) {
+            if (withRestore && i % 50 == 0) {
                 restored = Bookings.restore(bookings.snapshot());
             }
         }
@@ -124,60 +128,61 @@
         if (restored != null) {
             assertThat(restored.snapshot()).as("seed %d", seed).isEqualTo(bookings.snapshot());
         }
-        return ways;
+        return transitions;
     }
 
-    /** Counted anew from the bookings alone, at each moment at which a sum can be highest. */
-    private static void sumsHold(long seed, Bookings bookings) {
+    /** Recomputes the totals from the bookings at each instant at which a total can peak. */
+    private static void checkTotals(long seed, Bookings bookings) {
         for (int d = 1; d <= 3; d++) {
             int number = d;
-            long room = bookings.left(d, Operation.MOST_MS - 1, Operation.MOST_MS); // nothing is booked there
+            // nothing is booked at that time
+            long capacity = bookings.left(d, Operation.MAX_TIME_MS - 1, Operation.MAX_TIME_MS);
             for (Booking at : bookings.all()) {
                 long ms = Math.max(at.startMs(), bookings.time());
                 long sum = bookings.all().stream()
                         .filter(b -> b.holds() && b.startMs() <= ms && ms < b.bookedToMs())
                         .mapToLong(b -> b.rates().getOrDefault(number, 0L))
                         .sum();
-                assertThat(sum).as("seed %d, destination %d", seed, d).isLessThanOrEqualTo(room);
+                assertThat(sum).as("seed %d, destination %d", seed, d).isLessThanOrEqualTo(capacity);
             }
         }
     }
 
-    /** A relay that goes by the earlier set sends nothing that one with the later set does not leave alone. */
-    private static void agree(long seed, Sealed earlier, Sealed later, long now) {
-        Map<String, Sealed.Entry> before = new TreeMap<>();
-        Map<String, Sealed.Entry> after = new TreeMap<>();
-        earlier.entries().forEach(e -> before.put(e.id(), e));
-        later.entries().forEach(e -> after.put(e.id(), e));
-        for (Sealed.Entry e : later.entries()) {
-            assertThat(e.startMs() > earlier.throughMs() || before.containsKey(e.id()))
+    /** Relays with the later set must reserve everything that a relay with the earlier set may send. */
+    private static void checkCompatible(long seed, SealedBookings earlier, SealedBookings later, long now) {
+        Map<String, SealedBookings.Entry> earlierById = new TreeMap<>();
+        Map<String, SealedBookings.Entry> laterById = new TreeMap<>();
+        earlier.entries().forEach(e -> earlierById.put(e.id(), e));
+        later.entries().forEach(e -> laterById.put(e.id(), e));
+        for (SealedBookings.Entry e : later.entries()) {
+            assertThat(e.startMs() > earlier.throughMs() || earlierById.containsKey(e.id()))
                     .as("seed %d: %s was granted before the horizon", seed, e)
                     .isTrue();
         }
-        for (Sealed.Entry e : earlier.entries()) {
+        for (SealedBookings.Entry e : earlier.entries()) {
             long to = Math.min(e.endMs(), earlier.throughMs());
             if (Math.max(now, e.startMs()) < to && !e.rates().isEmpty()) {
-                Sealed.Entry then = after.get(e.id());
-                assertThat(then).as("seed %d: %s is gone", seed, e).isNotNull();
-                assertThat(then.startMs()).as("seed %d", seed).isEqualTo(e.startMs());
-                assertThat(then.endMs()).as("seed %d", seed).isGreaterThanOrEqualTo(to);
+                SealedBookings.Entry current = laterById.get(e.id());
+                assertThat(current).as("seed %d: %s is gone", seed, e).isNotNull();
+                assertThat(current.startMs()).as("seed %d", seed).isEqualTo(e.startMs());
+                assertThat(current.endMs()).as("seed %d", seed).isGreaterThanOrEqualTo(to);
                 e.rates().forEach((d, rate) -> assertThat(
-                                then.leaveToMs() >= to
-                                        ? then.leave().get(d)
-                                        : then.rates().get(d))
-                        .as("seed %d: %s, %s", seed, e, then)
+                                current.reservedUntilMs() >= to
+                                        ? current.reserved().get(d)
+                                        : current.rates().get(d))
+                        .as("seed %d: %s, %s", seed, e, current)
                         .isGreaterThanOrEqualTo(rate));
             }
         }
     }
 
     @Test
-    void whateverIsAskedTheSumsHoldWhatIsSealedStaysAndReplayMakesTheSameBytes() {
-        Set<String> ways = new TreeSet<>();
+    void totalsHoldSealedBookingsStayAndReplayIsDeterministic() {
+        Set<String> transitions = new TreeSet<>();
         for (long seed = 0; seed < SEEDS; seed++) {
-            ways.addAll(play(seed, () -> new Bookings(Rules.usual()), true));
+            transitions.addAll(runHistory(seed, () -> new Bookings(Rules.usual()), true));
         }
-        assertThat(ways)
+        assertThat(transitions)
                 .contains(
                         "running, cut",
                         "sealed, cut",
@@ -194,22 +199,22 @@
                         "released, given");
     }
 
-    private static void isCaught(Supplier<Bookings> defective, String what) {
+    private static void assertDetected(Supplier<Bookings> faultyFactory, String expectedMessage) {
         assertThatThrownBy(() -> {
                     for (long seed = 0; seed < SEEDS; seed++) {
-                        play(seed, defective, false); // a snapshot would mend it
+                        runHistory(seed, faultyFactory, false); // restoring a snapshot would repair the fault
                     }
                 })
                 .isInstanceOf(AssertionError.class)
-                .hasMessageContaining(what);
+                .hasMessageContaining(expectedMessage);
     }
 
     @Test
-    void oneThatForgetsWhatBeginsInsideASpanIsCaught() {
-        isCaught(
-                () -> new Bookings(Rules.usual(), () -> new Steps() {
+    void detectsATimelineThatIgnoresStepsInsideASpan() {
+        assertDetected(
+                () -> new Bookings(Rules.usual(), () -> new RateTimeline() {
                     @Override
-                    long most(long fromMs, long toMs) {
+                    long max(long fromMs, long toMs) {
                         return at(fromMs);
                     }
                 }),
@@ -217,11 +222,11 @@
     }
 
     @Test
-    void oneThatIgnoresTheHorizonIsCaught() {
-        isCaught(
+    void detectsBookingsThatIgnoreTheHorizon() {
+        assertDetected(
                 () -> new Bookings(Rules.usual()) {
                     @Override
-                    boolean tooNear(long ms) {
+                    boolean withinHorizon(long ms) {
                         return false;
                     }
                 },
@@ -229,14 +234,14 @@
     }
 
     @Test
-    void tenThousandBookingsOverTwoYearsStayFast() {
+    void handlesTenThousandBookingsOverTwoYearsInBoundedTime() {
         Bookings bookings = new Bookings(Rules.usual());
         for (int d = 0; d < 50; d++) {
             bookings.apply(NOW, new Operation.SetDestination(d, 1_000_000, 800_000, List.of()));
         }
-        bookings.apply(NOW, new Operation.SetTeam("a", Operation.MOST_QUOTA, "Europe/Berlin"));
+        bookings.apply(NOW, new Operation.SetTeam("a", Operation.MAX_QUOTA, "Europe/Berlin"));
         Random random = new Random(1);
-        long began = System.nanoTime();
+        long startNs = System.nanoTime();
         int held = 0;
         for (int i = 0; i < 10_000; i++) {
             Map<Integer, Long> rates = new TreeMap<>();
@@ -265,7 +270,7 @@
         for (int hour = 0; hour < 700 * 24; hour++) {
             bookings.apply(NOW + hour * HOUR, new Operation.Tick());
         }
-        double seconds = (System.nanoTime() - began) / 1e9;
+        double seconds = (System.nanoTime() - startNs) / 1e9;
         assertThat(held).isGreaterThan(9000);
         assertThat(seconds).isLessThan(20); // some 37,000 operations
     }
--- a/src/test/java/firstair/fleet/booking/OperationsTest.java
+++ b/src/test/java/firstair/fleet/booking/OperationsTest.java
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void eachOperationIsReadAsItWasWritten() {
-        Closed closed = new Closed(
+    void operationsSurviveARoundTrip() {
+        ClosingHours closed = new ClosingHours(
                 "Asia/Kolkata",
                 Set.of(DayOfWeek.SUNDAY),
                 LocalTime.of(22, 0),
@@ -52,7 +52,7 @@
                 new Operation.Drop("x", "\"quoted\""),
                 new Operation.Limit(7, 100_000_000),
                 new Operation.Tick(),
-                new Operation.SetTeam("a", Operation.MOST_QUOTA, "Asia/Kolkata"),
+                new Operation.SetTeam("a", Operation.MAX_QUOTA, "Asia/Kolkata"),
                 new Operation.SetDestination(7, 1, 333_333, List.of(closed)),
                 new Operation.SetRules(Rules.usual()));
         assertThat(all).hasSize(Operation.class.getPermittedSubclasses().length);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void localTimesWithAZoneFollowTheRuleOfTheHours() {
+    void ambiguousLocalTimesCoverBothMeanings() {
         Operation.Put p = (Operation.Put) Operations.read(bytes(PUT.replace("2026-12-31T17:00:00Z", "2026-10-25T02:30")
                 .replace("2026-12-31T19:00:00Z", "2026-10-25T02:30")
                 .replace("\"wait\"", "\"zone\":\"Europe/Berlin\",\"wait\"")));
@@ -97,15 +97,15 @@
                 "\"put\" | \"put\",\"repeat\":{} | repeat",
                 "{\"kind\" | {kind | body",
             })
-    void aFaultNamesTheField(String part, String by, String field) {
+    void faultsNameTheField(String part, String replacement, String field) {
         assertThat(PUT).contains(part);
-        assertThatThrownBy(() -> Operations.read(bytes(PUT.replace(part, by))))
+        assertThatThrownBy(() -> Operations.read(bytes(PUT.replace(part, replacement))))
                 .isInstanceOf(Fault.BadRequest.class)
                 .hasMessageStartingWith(field + ": ");
     }
 
     @Test
-    void theExamplesOfTheOperatorsPageCanBeRead() throws IOException {
+    void readsTheExamplesOfTheOperatorsPage() throws IOException {
         String page = Files.readString(Path.of("docs/reservations.md"));
         String block = page.split("```json\n")[1].split("```")[0];
         Calendar berlin = berlin();
@@ -120,9 +120,10 @@
     }
 
     @Test
-    void aBookingIsShownToThoseWhoAsk() {
-        Bookings all = Given.bookings();
-        all.apply(Given.NOW, Given.put("fees", "a", 5, 30, 10, 12)).orThrow();
+    void writesABookingForClients() {
+        Bookings all = BookingFixtures.bookings();
+        all.apply(BookingFixtures.NOW, BookingFixtures.put("fees", "a", 5, 30, 10, 12))
+                .orThrow();
         assertThat(new String(Operations.show(all.booking("fees")), StandardCharsets.UTF_8))
                 .isEqualTo("{\"id\":\"fees\",\"team\":\"a\",\"state\":\"held\","
                         + "\"since\":\"2026-03-02T00:00:00Z\",\"cause\":\"there is room\","
@@ -143,12 +144,12 @@
     }
 
     @Test
-    void aKindThatIsNotKnownIsAFaultOfItsOwn() {
+    void anUnknownKindHasItsOwnFault() {
         assertThatThrownBy(() -> Operations.read(bytes("{\"kind\":\"swap\"}"))).isInstanceOf(Fault.UnknownEntry.class);
     }
 
     @Test
-    void noBytesRaiseAnythingElseThanAFault() {
+    void corruptInputOnlyThrowsFaults() {
         Random random = new Random(3);
         for (int i = 0; i < 5000; i++) {
             byte[] bytes = bytes(PUT);
@@ -165,7 +166,7 @@
     }
 
     @Test
-    void aRequestThatRepeatsBecomesOneForEachTime() {
+    void aRecurringRequestBecomesOneForEachOccurrence() {
         Calendar berlin = berlin();
         String text = "{\"kind\":\"put\",\"id\":\"fees\",\"team\":\"a\",\"rank\":5,\"calls\":{\"7\":12.5},"
                 + "\"repeat\":{\"calendar\":\"berlin\",\"rule\":\"FREQ=MONTHLY\",\"first\":\"2026-03-01\","
