--- a/src/main/java/firstair/fleet/residency/Contract.java
+++ b/src/main/java/firstair/fleet/residency/Contract.java
@@ -14,17 +14,17 @@
 import java.util.TreeSet;
 
 /**
- * In which zones a tenant's messages may be stored and sent.
+ * Residency contract: the zones in which a tenant's messages may be stored and sent.
  *
- * <p>{@code always} is a promise of the operators: these zones stay allowed for as long as any relay may know of them,
- * so a relay that can confirm nothing may go on there. {@link #follows} holds the fleet to it.
+ * <p>{@code always} is a guarantee of the operators: these zones stay allowed as long as any relay may hold a version
+ * that names them, so a relay that cannot confirm its contracts may keep using them. {@link #follows} enforces this.
  *
- * @param tenant   its name, as in {@code X-Addressing}
- * @param zones    zones allowed, one at least
- * @param classes  zones allowed for a class of messages, instead of {@code zones}
- * @param always   zones that are allowed whatever is agreed later, none if empty
- * @param callsPerS calls a second over all relays, 0 if there is no quota
- * @param from     from when it allows what its forerunner did not, ms since 1970
+ * @param tenant    name of the tenant, as in {@code X-Addressing}
+ * @param zones     allowed zones, at least one
+ * @param classes   allowed zones of a message class, overriding {@code zones}
+ * @param always    zones that stay allowed whatever is agreed later, may be empty
+ * @param callsPerS quota in calls per second over all relays, 0 if there is none
+ * @param from      when the zones that the previous contract did not allow become allowed, epoch ms
  */
 public record Contract(
         String tenant,
@@ -33,189 +33,190 @@
         Set<String> always,
         double callsPerS,
         long from) {
-    private static final String NAME = "[A-Za-z0-9._-]{1,64}"; // it stands in a header and in names of budgets
+    private static final String NAME = "[A-Za-z0-9._-]{1,64}"; // used in a header and in names of budgets
     private static final Set<String> FIELDS =
             new TreeSet<>(List.of("tenant", "zones", "always", "classes", "calls_per_s", "from"));
 
     /**
-     * A contract that holds together.
+     * Validates the contract.
      *
-     * @throws Fault.BadContract naming the field otherwise
+     * @throws Fault.BadContract naming the invalid field
      */
     public Contract {
         if (tenant == null || !tenant.matches(NAME)) {
             throw new Fault.BadContract(
-                    String.valueOf(tenant), "tenant: has to be 1 to 64 letters, digits, dots, hyphens or underscores");
+                    String.valueOf(tenant), "tenant: must be 1 to 64 letters, digits, dots, hyphens or underscores");
         }
-        zones = names(tenant, "zones", zones);
-        always = always == null || always.isEmpty() ? Set.of() : names(tenant, "always", always);
+        zones = sortedZones(tenant, "zones", zones);
+        always = always == null || always.isEmpty() ? Set.of() : sortedZones(tenant, "always", always);
         if (zones.isEmpty()) {
-            throw new Fault.BadContract(tenant, "zones: names none");
+            throw new Fault.BadContract(tenant, "zones: must not be empty");
         }
-        within(tenant, always, "zones", zones);
+        checkAlwaysWithin(tenant, always, "zones", zones);
         Map<String, Set<String>> sorted = new TreeMap<>();
-        for (Map.Entry<String, Set<String>> each :
+        for (Map.Entry<String, Set<String>> entry :
                 (classes == null ? Map.<String, Set<String>>of() : classes).entrySet()) {
-            String field = "classes." + each.getKey();
-            Set<String> allowed = names(tenant, field, each.getValue());
-            if (each.getKey() == null || each.getKey().isBlank() || allowed.isEmpty()) {
-                throw new Fault.BadContract(tenant, field + ": needs a name and one zone at least");
+            String field = "classes." + entry.getKey();
+            Set<String> allowed = sortedZones(tenant, field, entry.getValue());
+            if (entry.getKey() == null || entry.getKey().isBlank() || allowed.isEmpty()) {
+                throw new Fault.BadContract(tenant, field + ": needs a name and at least one zone");
             }
-            within(tenant, always, field, allowed);
-            sorted.put(each.getKey(), allowed);
+            checkAlwaysWithin(tenant, always, field, allowed);
+            sorted.put(entry.getKey(), allowed);
         }
         classes = Collections.unmodifiableMap(sorted);
         if (!(callsPerS >= 0) || Double.isInfinite(callsPerS)) {
-            throw new Fault.BadContract(tenant, "calls_per_s: has to be 0 or more, is " + callsPerS);
+            throw new Fault.BadContract(tenant, "calls_per_s: must be 0 or more, is " + callsPerS);
         }
         if (from < 0) {
-            throw new Fault.BadContract(tenant, "from: has to be 1970 or later");
+            throw new Fault.BadContract(tenant, "from: must be 1970 or later");
         }
     }
 
-    /** The zones allowed for a class of messages. */
+    /** Allowed zones of a message class. */
     public Set<String> zones(String messageClass) {
         Set<String> own = messageClass == null ? null : classes.get(messageClass);
         return own == null ? zones : own;
     }
 
     /**
-     * Contracts from plain values, as a settings file gives them, by tenant.
+     * Reads contracts from the tables of a settings file, by tenant.
      *
-     * @param tables     one for each contract
+     * @param tables     one table per contract
      * @param knownZones zones that exist
-     * @throws Fault.BadContract naming the first field that is wrong
+     * @throws Fault.BadContract naming the first invalid field
      */
     public static Map<String, Contract> read(List<Map<String, Object>> tables, Set<String> knownZones) {
         Map<String, Contract> all = new LinkedHashMap<>();
         for (Map<String, Object> table : tables) {
-            String who = table.get("tenant") instanceof String s ? s : "number " + (all.size() + 1);
+            String name = table.get("tenant") instanceof String s ? s : "number " + (all.size() + 1);
             for (String field : new TreeSet<>(table.keySet())) {
                 if (!FIELDS.contains(field)) {
-                    throw new Fault.BadContract(who, field + ": no such field, there are " + String.join(", ", FIELDS));
+                    throw new Fault.BadContract(
+                            name, field + ": unknown field, expected one of " + String.join(", ", FIELDS));
                 }
             }
             if (!(table.get("tenant") instanceof String)) {
-                throw new Fault.BadContract(who, "tenant: has to be text");
+                throw new Fault.BadContract(name, "tenant: must be a string");
             }
-            Contract c = new Contract(
-                    who,
-                    list(who, "zones", table.get("zones")),
-                    classes(who, table.get("classes")),
-                    list(who, "always", table.get("always")),
-                    number(who, table.get("calls_per_s")),
-                    moment(who, table.get("from")));
-            c.checkKnown(knownZones);
-            if (all.put(who, c) != null) {
-                throw new Fault.BadContract(who, "tenant: has two contracts");
+            Contract contract = new Contract(
+                    name,
+                    zoneList(name, "zones", table.get("zones")),
+                    zonesByClass(name, table.get("classes")),
+                    zoneList(name, "always", table.get("always")),
+                    callRate(name, table.get("calls_per_s")),
+                    epochMs(name, table.get("from")));
+            contract.checkZonesExist(knownZones);
+            if (all.put(name, contract) != null) {
+                throw new Fault.BadContract(name, "tenant: has two contracts");
             }
         }
         return Collections.unmodifiableMap(all);
     }
 
     /**
-     * Checks that contracts may be agreed after earlier ones: no zone that was promised by {@code always} is taken
-     * away. To take one away it is first taken out of {@code always}; once every relay has that version, and no
-     * settings file names it any more, it may be taken out of {@code zones}.
+     * Checks that contracts may follow earlier versions: they must keep every zone that an earlier version names in
+     * {@code always}. To remove such a zone, first remove it from {@code always}; once every relay has that version,
+     * and no settings file names the zone in {@code always} any more, it may be removed from {@code zones}.
      *
-     * @param earlier all versions that any relay may still know
-     * @throws Fault.BadContract of the first tenant whose promise would be broken
+     * @param earlier all versions that any relay may still hold
+     * @throws Fault.BadContract for the first tenant whose guarantee would be broken
      */
     public static void follows(Collection<Map<String, Contract>> earlier, Map<String, Contract> next) {
         for (Map<String, Contract> version : earlier) {
             for (Contract before : version.values()) {
                 Contract after = next.get(before.tenant);
                 for (String zone : before.always) {
-                    if (after == null || !after.allowsEverywhere(zone)) {
+                    if (after == null || !after.allowsForAllClasses(zone)) {
                         throw new Fault.BadContract(
                                 before.tenant,
-                                "zones: leaves out " + zone
-                                        + ", which always has promised; take it out of always first, everywhere");
+                                "zones: omits " + zone
+                                        + ", which an earlier version has in always; first remove it there everywhere");
                     }
                 }
             }
         }
     }
 
-    private boolean allowsEverywhere(String zone) {
+    private boolean allowsForAllClasses(String zone) {
         return zones.contains(zone) && classes.values().stream().allMatch(allowed -> allowed.contains(zone));
     }
 
-    private void checkKnown(Set<String> known) {
+    private void checkZonesExist(Set<String> known) {
         if (Collections.disjoint(zones, known)) {
-            throw new Fault.BadContract(tenant, "zones: none of " + String.join(", ", zones) + " is known");
+            throw new Fault.BadContract(tenant, "zones: none of " + String.join(", ", zones) + " exists");
         }
         classes.forEach((name, allowed) -> {
             if (Collections.disjoint(allowed, known)) {
                 throw new Fault.BadContract(
-                        tenant, "classes." + name + ": none of " + String.join(", ", allowed) + " is known");
+                        tenant, "classes." + name + ": none of " + String.join(", ", allowed) + " exists");
             }
         });
     }
 
-    private static void within(String tenant, Set<String> always, String field, Set<String> allowed) {
+    private static void checkAlwaysWithin(String tenant, Set<String> always, String field, Set<String> allowed) {
         for (String zone : always) {
             if (!allowed.contains(zone)) {
-                throw new Fault.BadContract(tenant, "always: names " + zone + ", which " + field + " leaves out");
+                throw new Fault.BadContract(tenant, "always: names " + zone + ", which " + field + " omits");
             }
         }
     }
 
-    /** Sorted, so that the same contracts give the same history. */
-    private static Set<String> names(String tenant, String field, Collection<String> values) {
+    /** Sorted, so that equal contracts lead to identical histories. */
+    private static Set<String> sortedZones(String tenant, String field, Collection<String> values) {
         Set<String> sorted = new TreeSet<>();
         for (String value : values == null ? List.<String>of() : values) {
             if (value == null || value.isBlank()) {
-                throw new Fault.BadContract(tenant, field + ": names a blank zone");
+                throw new Fault.BadContract(tenant, field + ": contains a blank zone");
             }
             sorted.add(value);
         }
         return Collections.unmodifiableSet(sorted);
     }
 
-    private static Set<String> list(String tenant, String field, Object value) {
+    private static Set<String> zoneList(String tenant, String field, Object value) {
         if (value == null) {
             return Set.of();
         }
         if (!(value instanceof List<?> given)) {
-            throw new Fault.BadContract(tenant, field + ": has to be a list of zones");
+            throw new Fault.BadContract(tenant, field + ": must be a list of zones");
         }
         List<String> texts = new ArrayList<>();
-        for (Object each : given) {
-            if (!(each instanceof String text)) {
-                throw new Fault.BadContract(tenant, field + ": has to be a list of zones");
+        for (Object entry : given) {
+            if (!(entry instanceof String text)) {
+                throw new Fault.BadContract(tenant, field + ": must be a list of zones");
             }
             texts.add(text);
         }
-        return names(tenant, field, texts);
+        return sortedZones(tenant, field, texts);
     }
 
-    private static Map<String, Set<String>> classes(String tenant, Object value) {
+    private static Map<String, Set<String>> zonesByClass(String tenant, Object value) {
         Map<String, Set<String>> all = new TreeMap<>();
         if (value != null && !(value instanceof Map<?, ?>)) {
-            throw new Fault.BadContract(tenant, "classes: has to be a table of lists of zones");
+            throw new Fault.BadContract(tenant, "classes: must be a table of lists of zones");
         }
         if (value instanceof Map<?, ?> given) {
-            given.forEach((name, zones) -> all.put(String.valueOf(name), list(tenant, "classes." + name, zones)));
+            given.forEach((name, zones) -> all.put(String.valueOf(name), zoneList(tenant, "classes." + name, zones)));
         }
         return all;
     }
 
-    private static double number(String tenant, Object value) {
+    private static double callRate(String tenant, Object value) {
         if (value != null && !(value instanceof Number)) {
-            throw new Fault.BadContract(tenant, "calls_per_s: has to be a number");
+            throw new Fault.BadContract(tenant, "calls_per_s: must be a number");
         }
         return value == null ? 0 : ((Number) value).doubleValue();
     }
 
-    private static long moment(String tenant, Object value) {
+    private static long epochMs(String tenant, Object value) {
         if (value == null || value instanceof Long) {
             return value == null ? 0 : (Long) value;
         }
         try {
             return OffsetDateTime.parse(value.toString()).toInstant().toEpochMilli();
         } catch (DateTimeException | ArithmeticException e) {
-            throw new Fault.BadContract(tenant, "from: has to be a date and time with its offset, or ms since 1970");
+            throw new Fault.BadContract(tenant, "from: must be a date and time with offset, or ms since 1970");
         }
     }
 }
--- a/src/main/java/firstair/fleet/residency/Contracts.java
+++ b/src/main/java/firstair/fleet/residency/Contracts.java
@@ -13,56 +13,57 @@
 import java.util.TreeSet;
 
 /**
- * What this relay knows of the contracts that the fleet has agreed, and the zones in which it may send now. Versions
- * are counted by the ledger from 1; version 0 is the relay's settings file. Times are milliseconds on the relay's own
+ * The contracts that the fleet has agreed on, as this relay knows them, and the zones in which it may send now. The
+ * ledger numbers versions from 1; version 0 is the relay's settings file. Times are milliseconds on the relay's own
  * clock.
  *
- * <p><b>Bound: a term after a tightening was agreed, no relay on any side of any cut sends outside it.</b> A relay goes
- * by a version's zones only while it holds a confirmation: somebody who can know (a leader with its majority) said that
- * this version was the newest. That was true at a moment after the relay had sent its question, so no later version was
- * agreed before the question was sent. The confirmation holds for {@code term * (1 - drift)} of the relay's own clock
- * from that sending, which is a term of true time at most: it is over a term after the next version was agreed,
- * whatever the relay has heard or not heard by then. Without one a relay uses only zones that every version it knows
- * names in {@code always}, and {@link Contract#follows} lets no later version take those away. The file is the
- * operators' part of the same promise: a zone stands in {@code always} of a file only while every agreed version allows
- * it.
+ * <p><b>Guarantee: one term after a restriction was agreed, no relay in any network partition sends outside it.</b> A
+ * relay uses the zones of a version only while it holds a confirmation: a leader with a majority stated that this
+ * version was the newest. That was true at some time after the relay sent its query, so no later version was agreed
+ * before the query was sent. The confirmation is valid for {@code term * (1 - drift)} of the relay's own clock from the
+ * sending, which is at most one term of true time: it has expired one term after the next version was agreed, whatever
+ * the relay has received by then. Without a confirmation a relay uses only zones that every version it knows names in
+ * {@code always}, and {@link Contract#follows} lets no later version remove those. Operators keep the same guarantee
+ * for the file: it names a zone in {@code always} only while every agreed version allows that zone.
  *
- * <p><b>Widening waits.</b> The zones are those common to all versions that any relay may still be acting by. When a
- * relay knows that a version was agreed, all earlier ones are over everywhere a term later, by the same reckoning; so
- * it drops them {@code term * (1 + drift)} of its own clock after it heard, or when it is told that the whole fleet has
- * the version ({@link #settled}). Versions in between that it has never seen may have been tighter than all it knows:
- * until they are over it uses {@code always} alone. So a zone that was removed and added again, or a contract that was
- * replaced twice unheard, widens nothing early. A tenant that one of these versions does not name may be sent nowhere.
+ * <p><b>Extensions are delayed.</b> The allowed zones are those common to all versions that any relay may still use.
+ * One term after a version was agreed, all earlier ones have expired on every relay, for the same reason. A relay
+ * therefore discards them {@code term * (1 + drift)} of its own clock after it received the version, or when it learns
+ * that the whole fleet has the version ({@link #settled}). Intermediate versions that it never received may have been
+ * more restrictive than all it knows: until they have expired it uses {@code always} alone. So a zone that was removed
+ * and added again, or a contract that was replaced twice without this relay receiving it, extends nothing too early.
+ * Messages of a tenant that one of these versions does not name may be sent nowhere.
  *
- * <p>An answer holds for the event in which it was asked for; a process that may have been stopped asks again.
+ * <p>A result is valid only for the event in which it was obtained; a process that may have been suspended queries
+ * again.
  */
 public final class Contracts {
-    private static final int MOST = 64; // versions held; in a storm of changes those between count as never seen
+    private static final int MAX_VERSIONS = 64; // further versions in between count as never received
 
-    private record Version(Map<String, Contract> all, double heardAt) {}
+    private record Version(Map<String, Contract> contracts, double receivedAt) {}
 
     private record Confirmation(long version, double sentAt) {}
 
-    private final double liveMs;
-    private final double settleMs;
+    private final double confirmationMs;
+    private final double supersedeMs;
     private final boolean required;
     private final Outbox out;
-    private final TreeMap<Long, Version> known = new TreeMap<>();
-    private final TreeMap<Long, Version> rumoured = new TreeMap<>(); // said by somebody who may be wrong
-    private final Map<String, Contract> before = new TreeMap<>(); // what held before one that is not yet in force
-    private long floor; // nobody acts by an earlier version
+    private final TreeMap<Long, Version> agreedVersions = new TreeMap<>();
+    private final TreeMap<Long, Version> provisionalVersions = new TreeMap<>(); // from a sender that may be wrong
+    private final Map<String, Contract> previous = new TreeMap<>(); // in effect before one that is not yet in effect
+    private long oldestInUse; // no relay uses an earlier version
     private Confirmation confirmed;
-    private Confirmation early; // of a version whose contracts are still on their way
-    private double quietFrom; // the last confirmation, or the start, was then
-    private boolean told;
-    private double epoch; // ms since 1970 at zero of our own clock
+    private Confirmation pendingConfirmation; // of a version whose contracts have not been received yet
+    private double unconfirmedFrom; // time of the last confirmation, or of the start
+    private boolean staleReported;
+    private double epochOffsetMs; // epoch ms at zero of the relay's own clock
     private long dropped;
 
     /**
-     * A relay that starts.
+     * Creates the state of a relay that starts.
      *
-     * @param epochMs  ms since 1970 at {@code now}
-     * @param termMs   the term of contracts, the same everywhere
+     * @param epochMs  wall clock at {@code now}, epoch ms
+     * @param termMs   term of contracts, the same on all relays
      * @param file     contracts of the settings file, by tenant
      * @param required whether messages need a tenant even while no contract is known here
      */
@@ -74,204 +75,214 @@
             Map<String, Contract> file,
             boolean required,
             Outbox out) {
-        this.liveMs = termMs * (1 - setup.drift());
-        this.settleMs = termMs * (1 + setup.drift());
+        this.confirmationMs = termMs * (1 - setup.drift());
+        this.supersedeMs = termMs * (1 + setup.drift());
         this.required = required;
         this.out = out;
-        this.epoch = epochMs - now;
-        this.quietFrom = now;
-        known.put(0L, new Version(copy(file), now));
+        this.epochOffsetMs = epochMs - now;
+        this.unconfirmedFrom = now;
+        agreedVersions.put(0L, new Version(copy(file), now));
     }
 
-    /** The wall clock was read, or set. */
+    /** Updates the wall clock after it was read or set. */
     public void wall(double now, double epochMs) {
         if (Double.isFinite(epochMs)) {
-            epoch = epochMs - now;
+            epochOffsetMs = epochMs - now;
         }
     }
 
     /**
-     * A version was heard of. Its order and number of times do not matter.
+     * Receives a version. Order and repetition do not matter.
      *
-     * @param all  its contracts, by tenant
-     * @param sure whether the ledger has agreed on it for certain; else it only tightens, until a later confirmation
+     * @param all     its contracts, by tenant
+     * @param certain whether the ledger has certainly agreed on it; otherwise it only restricts, until a later
+     *                confirmation
      */
-    public void agreed(double now, long version, Map<String, Contract> all, boolean sure) {
-        settle(now);
+    public void agreed(double now, long version, Map<String, Contract> all, boolean certain) {
+        discardSuperseded(now);
         if (version < 1 || all == null) {
             dropped++;
             return;
         }
-        if (version < known.firstKey() || known.containsKey(version)) {
+        if (version < agreedVersions.firstKey() || agreedVersions.containsKey(version)) {
             return;
         }
-        if (!sure) {
-            if (rumoured.size() < MOST) { // those heard first stay: to forget one would widen
-                rumoured.putIfAbsent(version, new Version(copy(all), now));
+        if (!certain) {
+            if (provisionalVersions.size() < MAX_VERSIONS) { // the first ones stay: dropping one could extend the zones
+                provisionalVersions.putIfAbsent(version, new Version(copy(all), now));
             }
             return;
         }
-        known.put(version, new Version(copy(all), now));
-        rumoured.remove(version);
-        if (known.size() > MOST) {
-            known.remove(known.higherKey(known.firstKey()));
+        agreedVersions.put(version, new Version(copy(all), now));
+        provisionalVersions.remove(version);
+        if (agreedVersions.size() > MAX_VERSIONS) {
+            agreedVersions.remove(agreedVersions.higherKey(agreedVersions.firstKey()));
         }
-        if (early != null && known.containsKey(early.version)) {
-            Confirmation waiting = early;
-            early = null;
-            confirmed(now, waiting.sentAt, waiting.version);
+        if (pendingConfirmation != null && agreedVersions.containsKey(pendingConfirmation.version)) {
+            Confirmation confirmation = pendingConfirmation;
+            pendingConfirmation = null;
+            confirmed(now, confirmation.sentAt, confirmation.version);
         }
-        settle(now);
+        discardSuperseded(now);
     }
 
     /**
-     * Somebody who can know has said that a version is the newest.
+     * Receives the confirmation of a leader with a majority that a version is the newest.
      *
-     * @param sentAt when we sent the question; nothing else counts, however late the answer is
+     * @param sentAt when this relay sent the query; the time of the reply does not matter
      */
     public void confirmed(double now, double sentAt, long version) {
-        settle(now);
+        discardSuperseded(now);
         if (version < 0 || !(sentAt <= now)) {
             dropped++;
             return;
         }
-        if (version > known.lastKey()) { // it is of use once its contracts have come; the one before runs on
-            if (early == null || version > early.version || version == early.version && sentAt > early.sentAt) {
-                early = new Confirmation(version, sentAt);
+        if (version > agreedVersions.lastKey()) {
+            // takes effect once its contracts are received; until then the current confirmation stays valid
+            if (pendingConfirmation == null
+                    || version > pendingConfirmation.version
+                    || version == pendingConfirmation.version && sentAt > pendingConfirmation.sentAt) {
+                pendingConfirmation = new Confirmation(version, sentAt);
             }
             return;
         }
-        if (version == 0 || !known.containsKey(version)) {
-            return; // a file is never agreed on
+        if (version == 0 || !agreedVersions.containsKey(version)) {
+            return; // a settings file is never agreed on
         }
         if (confirmed == null || version >= confirmed.version && sentAt > confirmed.sentAt) {
             confirmed = new Confirmation(version, sentAt);
-            rumoured.values().removeIf(v -> v.heardAt <= sentAt); // agreed on and known, or not agreed on until then
-            quietFrom = Math.max(quietFrom, sentAt);
-            told &= !live(now);
+            // at sentAt they were either agreed, and have been received, or not agreed
+            provisionalVersions.values().removeIf(v -> v.receivedAt <= sentAt);
+            unconfirmedFrom = Math.max(unconfirmedFrom, sentAt);
+            staleReported &= !isConfirmed(now);
         }
     }
 
-    /** It is certain that no relay acts by a version before this one: the whole fleet has it, or the ledger says so. */
+    /** No relay uses an earlier version any more: the whole fleet has this one, or the ledger says so. */
     public void settled(double now, long version) {
-        floor = Math.max(floor, version);
-        settle(now);
+        oldestInUse = Math.max(oldestInUse, version);
+        discardSuperseded(now);
     }
 
-    /** Time has passed. Reports once if the contracts have become old. */
+    /** Handles the passing of time. Reports once when the contracts have been unconfirmed for too long. */
     public void timer(double now) {
-        settle(now);
+        discardSuperseded(now);
     }
 
-    /** Whether any contracts are in force; else nobody needs a tenant and nothing is imposed. */
+    /** Whether any contracts are in force; otherwise messages need no tenant and nothing is restricted. */
     public boolean inForce() {
-        return required || acting().stream().anyMatch(all -> !all.isEmpty());
+        return required || versionsInUse().stream().anyMatch(all -> !all.isEmpty());
     }
 
-    /** The newest agreed version whose contracts are here, 0 for the file; this relay acts by no earlier one. */
+    /** The newest agreed version received, 0 for the file; this relay uses no earlier one. */
     public long version() {
-        return known.lastKey();
+        return agreedVersions.lastKey();
     }
 
-    /** Whether the zones are those of the contracts; else they are only what is certain to be allowed. */
-    public boolean firm(double now) {
-        settle(now);
-        return live(now) && whole();
+    /** Whether the zones are those of the contracts; otherwise only those that are certainly allowed. */
+    public boolean zonesConfirmed(double now) {
+        discardSuperseded(now);
+        return isConfirmed(now) && hasAllVersionsInUse();
     }
 
-    /** Whether the newest contracts name the tenant. */
+    /** Whether the newest version has a contract of the tenant. */
     public boolean names(String tenant) {
         return tenant != null && newest().containsKey(tenant);
     }
 
-    /** Zones by the newest contract alone, which is not enough to send there; empty for an unknown tenant. */
+    /** Zones of the newest contract alone, which is not sufficient for sending; empty for an unknown tenant. */
     public Set<String> newest(String tenant, String messageClass) {
-        Contract c = tenant == null ? null : newest().get(tenant);
-        return c == null ? Set.of() : c.zones(messageClass);
+        Contract contract = tenant == null ? null : newest().get(tenant);
+        return contract == null ? Set.of() : contract.zones(messageClass);
     }
 
-    /** The zones in which a tenant's messages of a class may be stored and sent now, sorted; empty means nowhere. */
+    /** Zones in which a tenant's messages of a class may be stored and sent now, sorted; empty means nowhere. */
     public Set<String> zones(double now, String tenant, String messageClass) {
-        boolean firm = firm(now);
+        boolean zonesConfirmed = zonesConfirmed(now);
         if (tenant == null) {
             return Set.of();
         }
         List<Contract> all = new ArrayList<>();
-        acting().forEach(version -> all.add(version.get(tenant)));
-        if (all.get(0) != null && !due(now, all.get(0))) {
-            all.add(before.get(tenant));
+        versionsInUse().forEach(version -> all.add(version.get(tenant)));
+        if (all.get(0) != null && !inEffect(now, all.get(0))) {
+            all.add(previous.get(tenant));
         }
-        Set<String> left = null;
-        for (Contract c : all) {
-            Set<String> allowed = c == null ? Set.of() : firm ? c.zones(messageClass) : c.always();
-            if (left == null) {
-                left = new TreeSet<>(allowed);
+        Set<String> common = null;
+        for (Contract contract : all) {
+            Set<String> allowed =
+                    contract == null ? Set.of() : zonesConfirmed ? contract.zones(messageClass) : contract.always();
+            if (common == null) {
+                common = new TreeSet<>(allowed);
             } else {
-                left.retainAll(allowed);
+                common.retainAll(allowed);
             }
         }
-        return Collections.unmodifiableSet(left);
+        return Collections.unmodifiableSet(common);
     }
 
-    /** Calls a second that a tenant has over all relays, the strictest of what is known; 0 if there is no quota. */
+    /** Fleet-wide quota of a tenant in calls per second, the lowest of the versions in use; 0 if there is none. */
     public double quota(String tenant) {
-        return acting().stream()
+        return versionsInUse().stream()
                 .map(all -> all.get(tenant))
-                .filter(c -> c != null && c.callsPerS() > 0)
+                .filter(contract -> contract != null && contract.callsPerS() > 0)
                 .mapToDouble(Contract::callsPerS)
                 .min()
                 .orElse(0);
     }
 
-    /** How much of what was told could not be used. */
+    /** Number of received versions and confirmations that were invalid. */
     public long dropped() {
         return dropped;
     }
 
     private Map<String, Contract> newest() {
-        return known.lastEntry().getValue().all;
+        return agreedVersions.lastEntry().getValue().contracts;
     }
 
-    private List<Map<String, Contract>> acting() {
+    private List<Map<String, Contract>> versionsInUse() {
         List<Map<String, Contract>> all = new ArrayList<>();
-        known.values().forEach(v -> all.add(v.all));
-        rumoured.values().forEach(v -> all.add(v.all));
+        agreedVersions.values().forEach(v -> all.add(v.contracts));
+        provisionalVersions.values().forEach(v -> all.add(v.contracts));
         return all;
     }
 
-    /** Whether the contracts of each version are here that somebody may act by. */
-    private boolean whole() {
-        return known.firstKey() == floor && known.lastKey() - floor + 1 == known.size();
+    /** Whether the contracts of all versions that any relay may use have been received. */
+    private boolean hasAllVersionsInUse() {
+        return agreedVersions.firstKey() == oldestInUse
+                && agreedVersions.lastKey() - oldestInUse + 1 == agreedVersions.size();
     }
 
-    /** No version after the confirmed one is older than its sending, so it speaks for the later ones known too. */
-    private boolean live(double now) {
-        return confirmed != null && confirmed.sentAt + liveMs > now;
+    /** Versions after the confirmed one were agreed after the query was sent, so the confirmation covers them too. */
+    private boolean isConfirmed(double now) {
+        return confirmed != null && confirmed.sentAt + confirmationMs > now;
     }
 
-    private boolean due(double now, Contract c) {
-        return c.from() <= now + epoch;
+    private boolean inEffect(double now, Contract contract) {
+        return contract.from() <= now + epochOffsetMs;
     }
 
-    private void settle(double now) {
-        for (Map.Entry<Long, Version> each : known.descendingMap().entrySet()) {
-            if (each.getKey() > floor && each.getValue().heardAt + settleMs <= now) {
-                floor = each.getKey();
+    private void discardSuperseded(double now) {
+        for (Map.Entry<Long, Version> entry : agreedVersions.descendingMap().entrySet()) {
+            if (entry.getKey() > oldestInUse && entry.getValue().receivedAt + supersedeMs <= now) {
+                oldestInUse = entry.getKey();
                 break;
             }
         }
-        long base = known.floorKey(floor); // if the floor's own contracts are missing, the last before bind on
-        if (known.firstKey() < base) {
-            Map<Long, Version> over = known.headMap(base);
-            for (Version v : over.values()) {
-                v.all.values().stream().filter(c -> due(now, c)).forEach(c -> before.put(c.tenant(), c));
-                before.keySet().retainAll(v.all.keySet()); // an end of a contract is an end of what was before
+        // if that version is missing, the last one before it stays binding
+        long oldestKept = agreedVersions.floorKey(oldestInUse);
+        if (agreedVersions.firstKey() < oldestKept) {
+            Map<Long, Version> superseded = agreedVersions.headMap(oldestKept);
+            for (Version v : superseded.values()) {
+                v.contracts.values().stream()
+                        .filter(contract -> inEffect(now, contract))
+                        .forEach(contract -> previous.put(contract.tenant(), contract));
+                previous.keySet().retainAll(v.contracts.keySet()); // a contract that ends also ends its predecessor
             }
-            over.clear();
-            before.keySet().retainAll(known.get(base).all.keySet());
+            superseded.clear();
+            previous.keySet().retainAll(agreedVersions.get(oldestKept).contracts.keySet());
         }
-        if (!told && quietFrom + liveMs <= now && !live(now) && inForce()) {
-            told = true;
+        if (!staleReported && unconfirmedFrom + confirmationMs <= now && !isConfirmed(now) && inForce()) {
+            staleReported = true;
             out.report(new Fault.ContractsOld(version()).line());
         }
     }
--- a/src/main/java/firstair/fleet/residency/Residency.java
+++ b/src/main/java/firstair/fleet/residency/Residency.java
@@ -8,40 +8,41 @@
 import java.util.TreeMap;
 
 /**
- * Whether a tenant's message may be kept here, and where it may be sent. Times are milliseconds on the relay's own
- * clock. Nothing here knows a message's content, key or id; budgets bear the tenant's name, which is all that others
- * are told.
+ * Decides whether a tenant's message may be stored on this relay, and where it may be sent. Times are milliseconds on
+ * the relay's own clock. This class sees no content, key or id of a message; budgets carry the tenant's name, and only
+ * that name is disclosed to other relays.
  */
 public final class Residency {
-    private static final double LONGEST_WAIT_MS = 60_000; // told to clients whose tenant has no part here at all
-
-    /** What is left of a tenant's quota here. */
-    private static final class Purse {
-        private double calls; // that may be taken now
-        private double at; // reckoned up to then
-        private int parts; // until the next moment
-        private double until = Double.NEGATIVE_INFINITY;
-        private int sure; // afterwards
-
-        private Purse(double at, int sure) {
-            this.at = at;
-            this.sure = sure;
+    private static final double MAX_WAIT_MS = 60_000; // reported to clients whose tenant has no share of its quota here
+
+    /** Token bucket for this relay's share of a tenant's quota. */
+    private static final class QuotaBucket {
+        private double tokens; // calls that may be admitted now
+        private double refilledAt; // time of the last refill
+        private int leasedParts; // share until leaseUntil, millionths
+        private double leaseUntil = Double.NEGATIVE_INFINITY;
+        private int guaranteedParts; // share after the lease, millionths
+
+        private QuotaBucket(double refilledAt, int guaranteedParts) {
+            this.refilledAt = refilledAt;
+            this.guaranteedParts = guaranteedParts;
         }
 
         private int parts(double now) {
-            return now < until ? parts : sure;
+            return now < leaseUntil ? leasedParts : guaranteedParts;
         }
 
-        private void reckon(double now, double quota, double burstMs) {
-            double middle = Math.min(Math.max(at, until), now); // a lease that ended earns nothing after its end
-            earn(middle - at, quota * parts / Setup.WHOLE, burstMs);
-            earn(now - middle, quota * sure / Setup.WHOLE, burstMs);
-            at = Math.max(at, now);
+        private void refill(double now, double quota, double burstMs) {
+            // an expired lease earns nothing after its end
+            double leaseEnd = Math.min(Math.max(refilledAt, leaseUntil), now);
+            addTokens(leaseEnd - refilledAt, quota * leasedParts / Setup.WHOLE, burstMs);
+            addTokens(now - leaseEnd, quota * guaranteedParts / Setup.WHOLE, burstMs);
+            refilledAt = Math.max(refilledAt, now);
         }
 
-        private void earn(double ms, double rate, double burstMs) {
+        private void addTokens(double ms, double rate, double burstMs) {
             if (ms > 0) {
-                calls = Math.min(calls + rate * ms / 1000, Math.max(1, rate * burstMs / 1000));
+                tokens = Math.min(tokens + rate * ms / 1000, Math.max(1, rate * burstMs / 1000));
             }
         }
     }
@@ -49,22 +50,22 @@
     private final Setup setup;
     private final Contracts contracts;
     private final double burstMs;
-    private final Map<String, Purse> purses = new TreeMap<>();
-    private double emptyFrom; // purses that are new have earned since then
+    private final Map<String, QuotaBucket> buckets = new TreeMap<>();
+    private double newBucketsFrom; // new buckets are filled from this time on
 
     /**
-     * A relay that starts.
+     * Creates the state of a relay that starts.
      *
-     * @param burstMs how much time's worth of a quota may be used at once
+     * @param burstMs burst size: the time for which unused quota accumulates
      */
     public Residency(Setup setup, Contracts contracts, double now, double burstMs) {
         this.setup = setup;
         this.contracts = contracts;
         this.burstMs = burstMs;
-        this.emptyFrom = now;
+        this.newBucketsFrom = now;
     }
 
-    /** Name of the budget that shares out a tenant's quota. */
+    /** Name of the budget that distributes a tenant's quota. */
     public static String budget(String tenant) {
         return "t:" + tenant;
     }
@@ -75,14 +76,14 @@
     }
 
     /**
-     * Takes a message on, before anything of it is stored, and counts it against the tenant's quota.
+     * Admits a message before any of it is stored, and counts it against the tenant's quota.
      *
      * @param tenant null if the client named none
-     * @return the zones in which it may be sent now; nothing where no contracts are in force
-     * @throws Fault.MissingTenant   where contracts are in force and none is named
-     * @throws Fault.UnknownTenant   where no contract names it
-     * @throws Fault.OutsideContract where this relay may not store it
-     * @throws Fault.TenantQuota     over quota, with a wait
+     * @return the zones in which it may be sent now; empty if no contracts are in force
+     * @throws Fault.MissingTenant   if contracts are in force and the client named no tenant
+     * @throws Fault.UnknownTenant   if the tenant has no contract
+     * @throws Fault.OutsideContract if this relay may not store the message
+     * @throws Fault.TenantQuota     if the tenant is over its quota, with the time to wait
      */
     public Optional<Set<String>> admit(double now, String tenant, String messageClass) {
         if (!contracts.inForce()) {
@@ -99,15 +100,15 @@
             throw new Fault.OutsideContract(
                     tenant,
                     setup.zone(),
-                    zones.isEmpty() ? "no zone yet: the contract waits to be confirmed" : String.join(", ", zones));
+                    zones.isEmpty() ? "no zone yet: the contract is not confirmed" : String.join(", ", zones));
         }
-        take(now, tenant);
+        takeFromQuota(now, tenant);
         return Optional.of(zones);
     }
 
     /**
-     * The zones in which a held message may be sent now; empty set: nowhere. Nothing where none are imposed: no
-     * contracts are in force, or the message was taken on without a tenant before they were.
+     * The zones in which a stored message may be sent now; an empty set means nowhere. Absent if nothing is restricted:
+     * no contracts are in force, or the message was admitted without a tenant before they were.
      */
     public Optional<Set<String>> zones(double now, String tenant, String messageClass) {
         return tenant == null || !contracts.inForce()
@@ -116,55 +117,61 @@
     }
 
     /**
-     * What becomes of a held message; only where {@link #zones} gives some.
+     * Decides about a stored message; only to be called if {@link #zones} is present.
      *
-     * @param open zones that have an endpoint to be tried now
-     * @throws Fault.NoZoneLeft if it is to be given up at once
+     * @param available zones that have an available endpoint
+     * @throws Fault.NoZoneLeft if the message must be given up at once
      */
-    public Parting.Answer held(double now, String tenant, String messageClass, Parting.Held m, Set<String> open) {
-        Parting.Answer answer = Parting.decide(
-                m, contracts.newest(tenant, messageClass), contracts.zones(now, tenant, messageClass), open);
-        if (answer.way() == Parting.Way.GIVE_UP) {
+    public HeldMessagePolicy.Decision decideHeld(
+            double now,
+            String tenant,
+            String messageClass,
+            HeldMessagePolicy.HeldMessage message,
+            Set<String> available) {
+        HeldMessagePolicy.Decision decision = HeldMessagePolicy.decide(
+                message, contracts.newest(tenant, messageClass), contracts.zones(now, tenant, messageClass), available);
+        if (decision.action() == HeldMessagePolicy.Action.GIVE_UP) {
             throw new Fault.NoZoneLeft(tenant);
         }
-        return answer;
+        return decision;
     }
 
     /**
-     * Our part of a tenant's quota.
+     * Sets this relay's share of a tenant's quota.
      *
-     * @param parts millionths, until {@code until}
-     * @param sure  millionths afterwards, until told otherwise
+     * @param parts share until {@code until}, millionths
+     * @param until end of the lease of {@code parts}
+     * @param sure  guaranteed share after that, millionths
      */
     public void part(double now, String tenant, int parts, double until, int sure) {
         if (contracts.names(tenant)) {
-            Purse p = purse(now, tenant);
-            p.reckon(now, contracts.quota(tenant), burstMs);
-            p.parts = Math.max(0, Math.min(Setup.WHOLE, parts));
-            p.until = until;
-            p.sure = Math.max(0, Math.min(Setup.WHOLE, sure));
+            QuotaBucket bucket = bucket(now, tenant);
+            bucket.refill(now, contracts.quota(tenant), burstMs);
+            bucket.leasedParts = Math.max(0, Math.min(Setup.WHOLE, parts));
+            bucket.leaseUntil = until;
+            bucket.guaranteedParts = Math.max(0, Math.min(Setup.WHOLE, sure));
         }
     }
 
-    private void take(double now, String tenant) {
+    private void takeFromQuota(double now, String tenant) {
         double quota = contracts.quota(tenant);
         if (quota == 0) {
             return;
         }
-        Purse p = purse(now, tenant);
-        p.reckon(now, quota, burstMs);
-        if (p.calls < 1) {
-            double rate = quota * p.parts(now) / Setup.WHOLE;
-            throw new Fault.TenantQuota(tenant, Math.min(LONGEST_WAIT_MS, (1 - p.calls) * 1000 / rate));
+        QuotaBucket bucket = bucket(now, tenant);
+        bucket.refill(now, quota, burstMs);
+        if (bucket.tokens < 1) {
+            double rate = quota * bucket.parts(now) / Setup.WHOLE;
+            throw new Fault.TenantQuota(tenant, Math.min(MAX_WAIT_MS, (1 - bucket.tokens) * 1000 / rate));
         }
-        p.calls -= 1;
+        bucket.tokens -= 1;
     }
 
-    /** Purses of tenants that have no contract any more are dropped; one that comes back starts empty. */
-    private Purse purse(double now, String tenant) {
-        if (!purses.containsKey(tenant) && purses.keySet().removeIf(name -> !contracts.names(name))) {
-            emptyFrom = now;
+    /** Finds or creates a bucket. Drops buckets of tenants without a contract; a tenant that returns starts empty. */
+    private QuotaBucket bucket(double now, String tenant) {
+        if (!buckets.containsKey(tenant) && buckets.keySet().removeIf(name -> !contracts.names(name))) {
+            newBucketsFrom = now;
         }
-        return purses.computeIfAbsent(tenant, name -> new Purse(emptyFrom, setup.sure()));
+        return buckets.computeIfAbsent(tenant, name -> new QuotaBucket(newBucketsFrom, setup.sure()));
     }
 }
--- a/src/main/java/firstair/fleet/residency/package-info.java
+++ b/src/main/java/firstair/fleet/residency/package-info.java
@@ -1,2 +1,2 @@
-/** Zones of tenants' messages, and tenants' quotas. */
+/** Zones in which tenants' messages may be stored and sent, and tenants' quotas. */
 package firstair.fleet.residency;
--- a/src/test/java/firstair/fleet/residency/BoundTest.java
+++ b/src/test/java/firstair/fleet/residency/BoundTest.java
@@ -15,24 +15,27 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Relays with clocks of their own against a history of contracts in true time: the bound, and widening waits. */
+/**
+ * Simulates relays with drifting clocks while contracts change in true time. No relay may send outside its contract one
+ * term after a restriction, and no relay may use an extension while another one still uses an earlier version.
+ */
 class BoundTest {
-    private static final double TERM = ContractsTest.TERM;
+    private static final double TERM_MS = ContractsTest.TERM_MS;
     private static final double DRIFT = ContractsTest.SETUP.drift();
     private static final List<String> TENANTS = List.of("t0", "t1", "t2");
     private static final String[] ZONES = {"a", "b", "c", "d"};
 
-    /** Defects that the checks have to catch. */
+    /** Defects that the checks must detect. */
     private enum Defect {
         NONE,
-        COUNTED_FROM_RECEIVING,
-        WIDENS_AT_ONCE,
-        ALWAYS_IS_TAKEN_AWAY
+        COUNTS_FROM_RECEPTION,
+        EXTENDS_AT_ONCE,
+        REMOVES_ALWAYS
     }
 
     private record Event(double at, int order, Runnable run) {}
 
-    private static final class Play {
+    private static final class Simulation {
         private final Random random;
         private final Defect defect;
         private final List<Map<String, Contract>> versions = new ArrayList<>();
@@ -42,65 +45,65 @@
         private final Relay[] relays;
         private double time;
         private int order;
-        private String wrong = "";
-        private int sends;
+        private String violation = "";
+        private int allowedCount;
 
-        /** One relay; its clock runs at a rate of its own from a moment of its own. */
+        /** A relay; its clock has its own rate and its own origin. */
         private final class Relay {
             private final double rate = 1 + (random.nextInt(3) - 1) * DRIFT;
-            private double born;
-            private double cutUntil;
-            private boolean answersLost;
+            private double startedAt;
+            private double partitionedUntil;
+            private boolean repliesLost;
             private Contracts contracts;
 
             private double now() {
-                return 5e6 + (time - born) * rate;
+                return 5e6 + (time - startedAt) * rate;
             }
 
-            /** Starts without memory, with an old file. */
+            /** Starts without state, with an old file. */
             private void start() {
-                born = time;
+                startedAt = time;
                 contracts = new Contracts(
                         ContractsTest.SETUP,
                         now(),
                         time,
-                        TERM,
+                        TERM_MS,
                         versions.get(0),
                         true,
                         ContractsTest.reportingTo(new ArrayList<>()));
             }
 
-            private void ask() {
+            private void query() {
                 if (random.nextInt(40) == 0) {
                     start();
                 }
-                if (time > cutUntil && random.nextInt(12) == 0) {
-                    cutUntil = time + random.nextDouble() * 4 * TERM;
-                    answersLost = random.nextBoolean();
+                if (time > partitionedUntil && random.nextInt(12) == 0) {
+                    partitionedUntil = time + random.nextDouble() * 4 * TERM_MS;
+                    repliesLost = random.nextBoolean();
                 }
                 Contracts process = contracts;
                 double sentAt = now();
-                boolean cut = time < cutUntil;
-                if (!cut || answersLost) {
-                    later(random.nextDouble() * 300, () -> answer(process, sentAt, cut));
+                boolean partitioned = time < partitionedUntil;
+                if (!partitioned || repliesLost) {
+                    schedule(random.nextDouble() * 300, () -> reply(process, sentAt, partitioned));
                 }
-                later(20 + random.nextDouble() * 150, this::ask);
+                schedule(20 + random.nextDouble() * 150, this::query);
             }
 
-            private void answer(Contracts process, double sentAt, boolean lost) {
+            private void reply(Contracts process, double sentAt, boolean lost) {
                 int newest = versions.size() - 1;
                 if (!lost) {
                     for (int v = Math.max(1, random.nextBoolean() ? newest - 3 : newest); v <= newest; v++) {
                         int version = v;
-                        later(
+                        schedule(
                                 random.nextDouble() * 300,
                                 () -> process.agreed(now(), version, versions.get(version), true));
                     }
-                    later(random.nextDouble() * 900, () -> {
+                    schedule(random.nextDouble() * 900, () -> {
                         if (process == contracts) {
-                            process.confirmed(now(), defect == Defect.COUNTED_FROM_RECEIVING ? now() : sentAt, newest);
+                            process.confirmed(now(), defect == Defect.COUNTS_FROM_RECEPTION ? now() : sentAt, newest);
                         }
-                        if (defect == Defect.WIDENS_AT_ONCE) {
+                        if (defect == Defect.EXTENDS_AT_ONCE) {
                             process.settled(now(), newest);
                         }
                     });
@@ -108,7 +111,7 @@
             }
         }
 
-        Play(long seed, Defect defect) {
+        Simulation(long seed, Defect defect) {
             random = new Random(seed);
             this.defect = defect;
             versions.add(next(Map.of()));
@@ -117,43 +120,43 @@
             for (int i = 0; i < relays.length; i++) {
                 relays[i] = new Relay();
                 relays[i].start();
-                later(random.nextDouble() * 100, relays[i]::ask);
+                schedule(random.nextDouble() * 100, relays[i]::query);
             }
-            later(100, this::change);
+            schedule(100, this::change);
         }
 
-        private void later(double ms, Runnable run) {
+        private void schedule(double ms, Runnable run) {
             events.add(new Event(time + ms, order++, run));
         }
 
-        /** Any contracts that keep the first version's promise, and that of each later one. */
+        /** Random contracts that keep the guarantees of all earlier versions. */
         private Map<String, Contract> next(Map<String, Contract> last) {
             Map<String, Contract> all = new LinkedHashMap<>();
             for (String tenant : TENANTS) {
-                Set<String> promised = new TreeSet<>();
-                if (defect != Defect.ALWAYS_IS_TAKEN_AWAY) {
+                Set<String> guaranteed = new TreeSet<>();
+                if (defect != Defect.REMOVES_ALWAYS) {
                     versions.stream()
                             .filter(v -> v.containsKey(tenant))
-                            .forEach(v -> promised.addAll(v.get(tenant).always()));
+                            .forEach(v -> guaranteed.addAll(v.get(tenant).always()));
                 }
-                Set<String> zones = some(promised);
-                Set<String> always = new TreeSet<>(promised);
+                Set<String> zones = randomZones(guaranteed);
+                Set<String> always = new TreeSet<>(guaranteed);
                 if (random.nextInt(6) == 0 || versions.isEmpty()) {
                     always.add(zones.iterator().next());
                 }
-                if (!promised.isEmpty() || random.nextInt(4) > 0) {
-                    Set<String> pay = some(always);
+                if (!guaranteed.isEmpty() || random.nextInt(4) > 0) {
+                    Set<String> pay = randomZones(always);
                     all.put(tenant, new Contract(tenant, zones, Map.of("pay", pay), always, 0, 0));
                 }
             }
-            if (defect != Defect.ALWAYS_IS_TAKEN_AWAY) {
+            if (defect != Defect.REMOVES_ALWAYS) {
                 Contract.follows(versions, all);
             }
             return random.nextInt(3) == 0 && !last.isEmpty() ? last : all;
         }
 
-        private Set<String> some(Set<String> least) {
-            Set<String> zones = new TreeSet<>(least);
+        private Set<String> randomZones(Set<String> required) {
+            Set<String> zones = new TreeSet<>(required);
             while (zones.isEmpty() || random.nextInt(3) > 0) {
                 zones.add(ZONES[random.nextInt(ZONES.length)]);
             }
@@ -163,7 +166,7 @@
         private void change() {
             versions.add(next(versions.get(versions.size() - 1)));
             agreedAt.add(time);
-            later(random.nextInt(3) == 0 ? 50 : random.nextDouble() * 3 * TERM, this::change);
+            schedule(random.nextInt(3) == 0 ? 50 : random.nextDouble() * 3 * TERM_MS, this::change);
         }
 
         private Set<String> zones(int version, String tenant, String messageClass) {
@@ -171,63 +174,64 @@
             return c == null ? Set.of() : c.zones(messageClass);
         }
 
-        /** What was wrong first, after any event; empty if nothing was. */
-        String play() {
-            while (time < 30 * TERM && wrong.isEmpty()) {
+        /** Runs the simulation and returns the first violation, checked after every event; empty if there is none. */
+        String run() {
+            while (time < 30 * TERM_MS && violation.isEmpty()) {
                 Event e = events.remove();
                 time = e.at;
                 e.run.run();
-                int lasting = 0; // the newest that is a term old: nobody may act by an earlier one
-                while (lasting + 1 < versions.size() && agreedAt.get(lasting + 1) + TERM <= time) {
-                    lasting++;
+                int oldestAllowed = 0; // the newest that is a term old: no relay may use an earlier one
+                while (oldestAllowed + 1 < versions.size() && agreedAt.get(oldestAllowed + 1) + TERM_MS <= time) {
+                    oldestAllowed++;
                 }
-                int oldest = Integer.MAX_VALUE; // that anybody acts by
-                for (Relay q : relays) {
-                    oldest = Math.min(oldest, Math.max(lasting, (int) q.contracts.version()));
+                int oldestInUse = Integer.MAX_VALUE; // version that any relay uses
+                for (Relay relay : relays) {
+                    oldestInUse = Math.min(oldestInUse, Math.max(oldestAllowed, (int) relay.contracts.version()));
                 }
-                for (Relay r : relays) {
+                for (Relay relay : relays) {
                     for (String tenant : TENANTS) {
-                        check(r, tenant, "pay", lasting, oldest);
-                        check(r, tenant, "other", lasting, oldest);
+                        check(relay, tenant, "pay", oldestAllowed, oldestInUse);
+                        check(relay, tenant, "other", oldestAllowed, oldestInUse);
                     }
                 }
             }
-            return wrong;
+            return violation;
         }
 
-        private void check(Relay r, String tenant, String messageClass, int lasting, int oldest) {
-            for (String zone : r.contracts.zones(r.now(), tenant, messageClass)) {
-                sends++;
+        private void check(Relay relay, String tenant, String messageClass, int oldestAllowed, int oldestInUse) {
+            for (String zone : relay.contracts.zones(relay.now(), tenant, messageClass)) {
+                allowedCount++;
                 IntPredicate allows = v -> zones(v, tenant, messageClass).contains(zone);
-                if (IntStream.range(lasting, versions.size()).noneMatch(allows)) {
-                    wrong = "outside: " + tenant + " in " + zone + " at " + time;
+                if (IntStream.range(oldestAllowed, versions.size()).noneMatch(allows)) {
+                    violation = "outside: " + tenant + " in " + zone + " at " + time;
                 }
-                if (!IntStream.rangeClosed(oldest, (int) r.contracts.version()).allMatch(allows)) {
-                    wrong = "widened early: " + tenant + " to " + zone + " at " + time;
+                if (!IntStream.rangeClosed(oldestInUse, (int) relay.contracts.version())
+                        .allMatch(allows)) {
+                    violation = "extended early: " + tenant + " to " + zone + " at " + time;
                 }
             }
         }
     }
 
     @Test
-    void noRelaySendsOutsideATermAfterATighteningNorAnywhereTooEarly() {
-        long sends = 0;
+    void noRelaySendsOutsideATermAfterARestrictionNorExtendsTooEarly() {
+        long allowedCount = 0;
         for (long seed = 0; seed < 40; seed++) {
-            Play play = new Play(seed, Defect.NONE);
-            assertThat(play.play()).as("seed %d", seed).isEmpty();
-            sends += play.sends;
+            Simulation simulation = new Simulation(seed, Defect.NONE);
+            assertThat(simulation.run()).as("seed %d", seed).isEmpty();
+            allowedCount += simulation.allowedCount;
         }
-        assertThat(sends).isGreaterThan(100_000); // it is not kept by sending nothing
+        assertThat(allowedCount).isGreaterThan(100_000); // the guarantee is not kept by sending nothing
     }
 
     @Test
-    void theSameChecksCatchPlantedDefects() {
+    void theChecksDetectInjectedDefects() {
         for (Defect defect : EnumSet.complementOf(EnumSet.of(Defect.NONE))) {
-            int caught = 0;
+            int detected = 0;
             for (long seed = 0; seed < 12; seed++) {
-                caught += new Play(seed, defect).play().isEmpty() ? 0 : 1;
+                detected += new Simulation(seed, defect).run().isEmpty() ? 0 : 1;
             }
-            assertThat(caught).as("%s", defect).isGreaterThan(4);
+            assertThat(detected).as("%s", defect).isGreaterThan(4);
         }
     }
 }
--- a/src/test/java/firstair/fleet/residency/ContractTest.java
+++ b/src/test/java/firstair/fleet/residency/ContractTest.java
@@ -40,16 +40,16 @@
     }
 
     @Test
-    void aTableOfTheSettingsBecomesAContract() {
+    void readsAContractFromATable() {
         Contract c = Contract.read(List.of(table()), ZONES).get("acme");
         assertThat(c.zones("pay")).containsExactly("a");
         assertThat(c.zones("other")).containsExactly("a", "b");
         assertThat(c.always()).containsExactly("a");
         assertThat(c.callsPerS()).isEqualTo(20);
         assertThat(c.from()).isEqualTo(1_796_063_400_000L);
-        Contract least = Contract.read(List.of(Map.of("tenant", "b", "zones", List.of("c", "new"))), ZONES)
+        Contract minimal = Contract.read(List.of(Map.of("tenant", "b", "zones", List.of("c", "new"))), ZONES)
                 .get("b");
-        assertThat(least).isEqualTo(contract("b", Set.of("c", "new"), Set.of()));
+        assertThat(minimal).isEqualTo(contract("b", Set.of("c", "new"), Set.of()));
     }
 
     static List<Object[]> faults() {
@@ -80,7 +80,7 @@
 
     @ParameterizedTest
     @MethodSource("faults")
-    void whatCannotBeUsedIsOneLineNamingItsField(String field, Map<String, Object> table) {
+    void aFaultIsOneLineNamingTheField(String field, Map<String, Object> table) {
         assertThatThrownBy(() -> Contract.read(List.of(table), ZONES))
                 .isInstanceOfSatisfying(Fault.BadContract.class, f -> assertThat(f.line())
                         .contains(": " + field + ": ")
@@ -91,19 +91,19 @@
     }
 
     @Test
-    void noVersionTakesAwayWhatAnEarlierOnePromised() {
+    void noVersionRemovesAZoneThatAnEarlierOneGuarantees() {
         Map<String, Contract> first = Map.of("t", contract("t", Set.of("a", "b"), Set.of("a")));
         Map<String, Contract> second = Map.of("t", contract("t", Set.of("a", "b"), Set.of()));
         Map<String, Contract> third = Map.of("t", contract("t", Set.of("b"), Set.of()));
         Contract.follows(List.of(first), second);
         assertThatThrownBy(() -> Contract.follows(List.of(first, second), third))
                 .isInstanceOf(Fault.BadContract.class)
-                .hasMessageContaining("always has promised");
+                .hasMessageContaining("an earlier version has in always");
         assertThatThrownBy(() -> Contract.follows(List.of(first), Map.of())).isInstanceOf(Fault.BadContract.class);
         assertThatThrownBy(() -> Contract.follows(
                         List.of(first),
                         Map.of("t", new Contract("t", Set.of("a"), Map.of("pay", Set.of("b")), Set.of(), 0, 0))))
                 .isInstanceOf(Fault.BadContract.class);
-        Contract.follows(List.of(second), third); // once nobody knows the first one any more
+        Contract.follows(List.of(second), third); // once no relay holds the first version any more
     }
 }
--- a/src/test/java/firstair/fleet/residency/ContractsTest.java
+++ b/src/test/java/firstair/fleet/residency/ContractsTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 class ContractsTest {
-    static final double TERM = 1_000;
+    static final double TERM_MS = 1_000;
     static final Setup SETUP =
             new Setup("f", "r0", "a", List.of("r0", "r1", "r2"), List.of("r0", "r1", "r2"), 200, 2_000, 500, 0.01, 0.2);
     private final List<String> reports = new ArrayList<>();
 
-    /** Contracts report, and send nothing. */
+    /** An outbox that collects reports; contracts never send. */
     static Outbox reportingTo(List<String> reports) {
         return new Outbox() {
             @Override
@@ -40,13 +40,13 @@
         return text.isEmpty() ? Set.of() : Set.of(text.split(""));
     }
 
-    private Contracts starting(Map<String, Contract> file) {
-        return new Contracts(SETUP, 0, 1_000_000, TERM, file, false, reportingTo(reports));
+    private Contracts started(Map<String, Contract> file) {
+        return new Contracts(SETUP, 0, 1_000_000, TERM_MS, file, false, reportingTo(reports));
     }
 
-    /** A relay that has version 1 of these zones, agreed everywhere and confirmed at 0. */
+    /** A relay that holds version 1 with these zones, agreed everywhere and confirmed at 0. */
     private Contracts settled(String zones, String always) {
-        Contracts c = starting(acme(zones, always));
+        Contracts c = started(acme(zones, always));
         c.agreed(0, 1, acme(zones, always), true);
         c.settled(0, 1);
         c.confirmed(0, 0, 1);
@@ -58,26 +58,26 @@
     }
 
     @Test
-    void aRelayThatStartsActsByAlwaysUntilItsContractsAreConfirmedAndEarlierOnesAreOver() {
-        Contracts c = starting(acme("abc", "a"));
+    void aStartingRelayUsesAlwaysUntilItsContractsAreConfirmedAndEarlierOnesExpired() {
+        Contracts c = started(acme("abc", "a"));
         assertThat(zones(c, 1)).isEqualTo("a");
-        c.confirmed(5, 2, 0); // a file is never agreed on
+        c.confirmed(5, 2, 0); // a settings file is never agreed on
         assertThat(zones(c, 5)).isEqualTo("a");
         c.agreed(10, 7, acme("ab", "ab"), true);
         c.confirmed(10, 5, 7);
-        assertThat(zones(c, 10)).isEqualTo("a"); // somebody may act by 6, whatever that is
+        assertThat(zones(c, 10)).isEqualTo("a"); // a relay may still use the unknown version 6
         c.confirmed(1_000, 900, 7);
         assertThat(zones(c, 1_019)).isEqualTo("a");
         assertThat(zones(c, 1_020)).isEqualTo("ab");
-        assertThat(zones(starting(acme("abc", "")), 1)).isEmpty();
+        assertThat(zones(started(acme("abc", "")), 1)).isEmpty();
     }
 
     @Test
-    void aTighteningBindsWhereHeardAndAWideningOnlyOnceAllHaveItOrTheirTermIsOver() {
+    void aRestrictionAppliesAtOnceAndAnExtensionOnceNoRelayUsesEarlierVersions() {
         Contracts c = settled("ab", "");
         c.agreed(100, 2, acme("a", ""), true);
-        assertThat(zones(c, 100)).isEqualTo("a"); // before any confirmation of it
-        c.agreed(200, 3, acme("abc", ""), true); // removed and added again: version 2 may be acted by elsewhere
+        assertThat(zones(c, 100)).isEqualTo("a"); // before it is confirmed
+        c.agreed(200, 3, acme("abc", ""), true); // removed and added again: other relays may still use version 2
         c.confirmed(1_100, 1_090, 3);
         assertThat(zones(c, 1_209)).isEqualTo("a");
         assertThat(zones(c, 1_210)).isEqualTo("abc");
@@ -88,26 +88,26 @@
     }
 
     @Test
-    void aContractReplacedTwiceUnheardLeavesAlwaysOnlyUntilTheOneInBetweenIsKnownOrOver() {
+    void aMissedVersionLeavesOnlyAlwaysUntilItIsReceivedOrExpired() {
         Contracts c = settled("ab", "a");
         c.agreed(100, 3, acme("abc", "ac"), true);
         c.confirmed(100, 90, 3);
         assertThat(zones(c, 100)).isEqualTo("a");
-        c.agreed(120, 2, acme("ab", "a"), true); // comes late
+        c.agreed(120, 2, acme("ab", "a"), true); // arrives late
         assertThat(zones(c, 120)).isEqualTo("ab");
         c.confirmed(1_100, 1_000, 3);
         assertThat(zones(c, 1_110)).isEqualTo("abc");
         c.agreed(1_200, 6, acme("abcd", "acd"), true);
-        c.settled(1_200, 5); // which is not here: 3 binds on
+        c.settled(1_200, 5); // not received: version 3 stays binding
         assertThat(zones(c, 1_200)).isEqualTo("ac");
     }
 
     @Test
-    void aConfirmationCountsFromItsSendingAndItsEndIsToldOnce() {
+    void aConfirmationCountsFromItsQueryAndItsExpiryIsReportedOnce() {
         Contracts c = settled("ab", "a");
         c.confirmed(900, 300, 1);
         assertThat(zones(c, 1_289)).isEqualTo("ab");
-        assertThat(c.firm(1_289)).isTrue();
+        assertThat(c.zonesConfirmed(1_289)).isTrue();
         assertThat(zones(c, 1_290)).isEqualTo("a"); // 300 + 0.99 of the term
         c.timer(3_000);
         assertThat(reports).hasSize(1).allMatch(line -> line.startsWith("F306") && line.contains("version 1"));
@@ -124,20 +124,20 @@
     }
 
     @Test
-    void aConfirmationMayComeBeforeItsContractsAndTheOneBeforeRunsOn() {
+    void aConfirmationMayArriveBeforeItsContractsWhileTheCurrentOneStaysValid() {
         Contracts c = settled("ab", "");
         c.confirmed(950, 900, 2);
         assertThat(zones(c, 980)).isEqualTo("ab");
         assertThat(zones(c, 990)).isEmpty();
         c.agreed(1_000, 2, acme("b", ""), true);
         assertThat(zones(c, 1_000)).isEqualTo("b");
-        c.confirmed(1_010, 1_005, 1); // an answer of one who was wrong, or late
+        c.confirmed(1_010, 1_005, 1); // a reply that is wrong or late
         assertThat(zones(c, 1_889)).isEqualTo("b");
         assertThat(zones(c, 1_890)).isEmpty();
     }
 
     @Test
-    void whatIsOnlyRumouredTightensUntilAConfirmationWasAskedForAfterIt() {
+    void aProvisionalVersionOnlyRestrictsUntilALaterConfirmation() {
         Contracts c = settled("ab", "");
         c.agreed(100, 2, acme("bc", ""), false);
         assertThat(zones(c, 100)).isEqualTo("b");
@@ -149,8 +149,8 @@
     }
 
     @Test
-    void aTenantUnknownToAnOlderVersionIsSentNowhereUntilThatIsOver() {
-        Contracts c = starting(Map.of());
+    void aTenantUnknownToAnOlderVersionHasNoZonesUntilThatExpires() {
+        Contracts c = started(Map.of());
         assertThat(c.inForce()).isFalse();
         c.agreed(0, 1, Map.of(), true);
         c.settled(0, 1);
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void aContractThatIsNotYetInForceTightensButWidensNothing() {
+    void aContractThatIsNotYetInEffectRestrictsButExtendsNothing() {
         Contracts c = settled("ab", "");
         c.agreed(
                 10,
@@ -182,12 +182,12 @@
         c.confirmed(5_000, 5_000, 2);
         assertThat(zones(c, 5_000)).isEqualTo("bc");
         assertThat(c.zones(5_000, "acme", "pay")).containsExactly("c");
-        c.wall(5_000, 1_004_000); // set back
+        c.wall(5_000, 1_004_000); // the wall clock is set back
         assertThat(zones(c, 5_000)).isEqualTo("b");
     }
 
     @Test
-    void aStormOfChangesIsHeldInBoundedRoomAndLeavesAlwaysOnly() {
+    void manyChangesUseBoundedMemoryAndLeaveOnlyAlways() {
         Contracts c = settled("ab", "a");
         for (int v = 2; v <= 200; v++) {
             c.agreed(10, v, acme("ab", "a"), true);
--- a/src/test/java/firstair/fleet/residency/ResidencyTest.java
+++ b/src/test/java/firstair/fleet/residency/ResidencyTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void nothingIsImposedWhereNoContractsAreInForce() {
+    void nothingIsRestrictedWithoutContracts() {
         Residency none = residency();
         assertThat(none.inForce()).isFalse();
         assertThat(none.admit(0, null, "any")).isEmpty();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aMessageIsRefusedBeforeItIsStoredWithItsZonesNamed() {
+    void aRejectionNamesTheAllowedZones() {
         Residency r = residency(
                 ContractTest.contract("acme", Set.of("a", "b"), Set.of()),
                 new Contract("far", Set.of("a"), Map.of("pay", Set.of("c", "b")), Set.of(), 0, 0));
@@ -55,20 +55,20 @@
         assertThatThrownBy(() -> r.admit(0, "far", "pay"))
                 .isInstanceOf(Fault.OutsideContract.class)
                 .isInstanceOfSatisfying(Fault.class, f -> assertThat(f.line()).endsWith("b, c"));
-        assertThat(r.zones(0, null, "pay")).isEmpty(); // taken on before contracts were
+        assertThat(r.zones(0, null, "pay")).isEmpty(); // admitted before contracts were in force
     }
 
     @Test
-    void aQuotaIsUsedUpByOurPartAndALeaseThatEndedEarnsNothingMore() {
+    void thisRelaysShareLimitsTheQuotaAndAnExpiredLeaseEarnsNothing() {
         Residency r = residency(new Contract("acme", Set.of("a"), Map.of(), Set.of(), 10, 0));
         r.part(0, "acme", Setup.WHOLE / 2, 3_000, Setup.WHOLE / 10); // 5 a second, later 1 a second
         r.part(0, "nobody", Setup.WHOLE, 1e9, 0);
         assertThatThrownBy(() -> r.admit(0, "acme", "any"))
                 .isInstanceOfSatisfying(Fault.TenantQuota.class, f -> assertThat(f.afterMs())
-                        .isEqualTo(200)); // one that starts has saved nothing up
+                        .isEqualTo(200)); // a relay that starts has no unused quota
         r.admit(200, "acme", "any");
         assertThat(admitted(r, 200, 10_000)).isEqualTo(14 + 7);
-        assertThat(admitted(r, 100_000, 100_010)).isEqualTo(2); // what two seconds bring
+        assertThat(admitted(r, 100_000, 100_010)).isEqualTo(2); // the quota of two seconds
         r.part(100_010, "acme", 0, 1e9, 0);
         assertThatThrownBy(() -> r.admit(100_010, "acme", "any"))
                 .isInstanceOfSatisfying(
@@ -76,67 +76,79 @@
     }
 
     private static int admitted(Residency r, double from, double to) {
-        int n = 0;
+        int admitted = 0;
         for (double now = from; now <= to; now += 5) {
             try {
                 r.admit(now, "acme", "any");
-                n++;
+                admitted++;
             } catch (Fault.TenantQuota f) {
                 assertThat(f.afterMs()).isBetween(0.0, 1_000.0);
             }
         }
-        return n;
+        return admitted;
     }
 
     @ParameterizedTest
     @CsvSource(
             nullValues = "-",
             value = {
-                // effect, scope, in doubt, its zone, contract, allowed, open, what comes of it
+                // effect, scope, in doubt, zone in doubt, contract, allowed, available, expected decision
                 "SAFE,   ALL,  false, -, ab, ab, bc,  GO b",
                 "UNSAFE, ALL,  false, -, ab, ab, ab,  GO ab",
-                "KEYED,  ZONE, false, -, a,  a,  bc,  WAIT", // no spill
-                "UNSAFE, ALL,  false, -, '', '', abc, WAIT", // ends with its time
+                "KEYED,  ZONE, false, -, a,  a,  bc,  WAIT", // no failover to other zones
+                "UNSAFE, ALL,  false, -, '', '', abc, WAIT", // waits until its deadline
                 "UNSAFE, ALL,  true,  a, ab, ab, ab,  GIVE_UP",
-                "SAFE,   ZONE, true,  c, ab, ab, abc, GO ab", // a repeat does no harm anywhere
+                "SAFE,   ZONE, true,  c, ab, ab, abc, GO ab", // repeating is safe in any zone
                 "KEYED,  ALL,  true,  c, ab, ab, abc, GO ab", // its key is known there too
                 "KEYED,  ALL,  true,  c, ab, ab, c,   WAIT",
                 "KEYED,  ALL,  true,  c, '', '', abc, GIVE_UP",
                 "SAFE,   ALL,  true,  c, '', '', abc, GIVE_UP",
                 "KEYED,  ZONE, true,  a, ab, ab, abc, GO a",
-                "KEYED,  ZONE, true,  a, ab, ab, b,   WAIT", // its own zone is down: no other one knows the key
-                "KEYED,  ZONE, true,  c, ab, ab, abc, GIVE_UP", // the contract has left it
-                "KEYED,  ZONE, true,  b, ab, a,  abc, WAIT", // only our caution has
+                "KEYED,  ZONE, true,  a, ab, ab, b,   WAIT", // its zone is unavailable, and no other zone knows the key
+                "KEYED,  ZONE, true,  c, ab, ab, abc, GIVE_UP", // no longer allowed by the contract
+                "KEYED,  ZONE, true,  b, ab, a,  abc, WAIT", // allowed by the contract, but not yet on this relay
                 "KEYED,  ZONE, true,  -, ab, ab, abc, GIVE_UP",
                 "KEYED,  ALL,  true,  b, ab, '', abc, WAIT"
             })
-    void whatBecomesOfAHeldMessage(
+    void decidesAboutAHeldMessage(
             Effect effect,
             Scope scope,
             boolean doubt,
             String zone,
             String contract,
             String allowed,
-            String open,
+            String available,
             String expected) {
-        Parting.Answer answer =
-                Parting.decide(new Parting.Held(effect, scope, doubt, zone), set(contract), set(allowed), set(open));
-        assertThat((answer.way() + " " + String.join("", answer.zones())).trim())
+        HeldMessagePolicy.Decision decision = HeldMessagePolicy.decide(
+                new HeldMessagePolicy.HeldMessage(effect, scope, doubt, zone),
+                zones(contract),
+                zones(allowed),
+                zones(available));
+        assertThat((decision.action() + " " + String.join("", decision.zones())).trim())
                 .isEqualTo(expected);
     }
 
     @Test
-    void aMessageInDoubtInAZoneThatTheContractHasLeftIsGivenUpWithThatReason() {
+    void aMessageInDoubtInAZoneThatTheContractNoLongerAllowsIsGivenUp() {
         Residency r = residency(ContractTest.contract("acme", Set.of("a"), Set.of()));
-        assertThatThrownBy(() -> r.held(
-                        0, "acme", "any", new Parting.Held(Effect.KEYED, Scope.ZONE, true, "b"), Set.of("a", "b")))
+        assertThatThrownBy(() -> r.decideHeld(
+                        0,
+                        "acme",
+                        "any",
+                        new HeldMessagePolicy.HeldMessage(Effect.KEYED, Scope.ZONE, true, "b"),
+                        Set.of("a", "b")))
                 .isInstanceOf(Fault.NoZoneLeft.class);
-        assertThat(r.held(0, "acme", "any", new Parting.Held(Effect.KEYED, Scope.ALL, true, "b"), Set.of("a", "b"))
+        assertThat(r.decideHeld(
+                                0,
+                                "acme",
+                                "any",
+                                new HeldMessagePolicy.HeldMessage(Effect.KEYED, Scope.ALL, true, "b"),
+                                Set.of("a", "b"))
                         .zones())
                 .containsExactly("a");
     }
 
-    private static Set<String> set(String letters) {
+    private static Set<String> zones(String letters) {
         return letters.isEmpty() ? Set.of() : Set.of(letters.split(""));
     }
 }
