--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -35,16 +35,16 @@
     private final LongConsumer confirmed;
     private final Runnable unreachable;
     private final NoticePlan plan;
-    private final Map<NoticePlan.Post, Post> out = new HashMap<>();
+    private final Map<NoticePlan.Post, Post> inFlight = new HashMap<>();
     private InetSocketAddress address;
     private Link idle;
-    private Loop.Timer again;
-    private double againAt = Double.POSITIVE_INFINITY; // when that is due
-    private final RateLimitedLogger delays = new RateLimitedLogger(LOG, Level.WARNING);
-    private final RateLimitedLogger answers = new RateLimitedLogger(LOG, Level.WARNING);
-    private final RateLimitedLogger faults = new RateLimitedLogger(LOG, Level.SEVERE);
-    private boolean told; // that notices are overdue
-    private long posts; // so far
+    private Loop.Timer wakeTimer;
+    private double wakeAt = Double.POSITIVE_INFINITY; // when that is due
+    private final RateLimitedLogger overdueLog = new RateLimitedLogger(LOG, Level.WARNING);
+    private final RateLimitedLogger answerLog = new RateLimitedLogger(LOG, Level.WARNING);
+    private final RateLimitedLogger faultLog = new RateLimitedLogger(LOG, Level.SEVERE);
+    private boolean overdueLogged; // that notices are overdue
+    private long postCount; // so far
 
     /**
      * Nothing is owed at first.
@@ -94,20 +94,20 @@
             return;
         }
         address = to;
-        keep(null);
-        plan.moved();
+        keepIdle(null);
+        plan.addressChanged();
         flush();
     }
 
     /** Other limits hold from now on. */
     public void tune(Limits.Notices to) {
         limits = to;
-        plan.tune(to);
+        plan.setLimits(to);
     }
 
     /** How many notices are not confirmed. */
     public int owed() {
-        return plan.owed();
+        return plan.pending();
     }
 
     /** Whether posts have failed of late while a notice can still be in time. */
@@ -117,25 +117,25 @@
 
     /** Posts what is owed, as the plan has it; called at the end of each round. */
     public void flush() {
-        NoticePlan.Post surplus = plan.surplus();
+        NoticePlan.Post surplus = plan.postToAbandon();
         if (surplus != null) {
-            out.get(surplus).end(NoticePlan.NONE, false);
+            inFlight.get(surplus).end(NoticePlan.NO_ANSWER, false);
         }
         double now = loop.now();
         for (NoticePlan.Post next = plan.next(now); next != null; next = plan.next(now)) {
             Post p = new Post(next);
-            out.put(next, p);
+            inFlight.put(next, p);
             p.start();
         }
-        double at = plan.owed() > 0 ? plan.wakeAt() : Double.POSITIVE_INFINITY;
-        if (at > now && at < againAt) {
-            if (again != null) {
-                again.cancel();
+        double at = plan.pending() > 0 ? plan.wakeAt() : Double.POSITIVE_INFINITY;
+        if (at > now && at < wakeAt) {
+            if (wakeTimer != null) {
+                wakeTimer.cancel();
             }
-            againAt = at;
-            again = loop.after(at - now, () -> {
-                again = null;
-                againAt = Double.POSITIVE_INFINITY;
+            wakeAt = at;
+            wakeTimer = loop.after(at - now, () -> {
+                wakeTimer = null;
+                wakeAt = Double.POSITIVE_INFINITY;
                 flush();
             });
         }
@@ -143,20 +143,20 @@
 
     /** Tells of notices that could not be in time, once for each spell of trouble. */
     public void sweep() {
-        int late = plan.overdue(loop.now());
-        if (late > 0 && !told) {
-            told = delays.log(
+        int late = plan.countOverdue(loop.now());
+        if (late > 0 && !overdueLogged) {
+            overdueLogged = overdueLog.log(
                     late + " notices are overdue: the platform at " + HostPort.of(address) + " has not confirmed them");
         }
-        if (told && plan.recovered()) {
-            told = false;
-            double[] all = plan.lateness();
+        if (overdueLogged && plan.recovered()) {
+            overdueLogged = false;
+            double[] all = plan.takeOverdueStats();
             LOG.warning("the platform confirms again: " + (long) all[0] + " notices were overdue, by "
                     + Math.round(all[1]) + " ms at most");
         }
     }
 
-    private void keep(Link link) {
+    private void keepIdle(Link link) {
         Link before = idle;
         idle = link;
         if (before != null && before != link) {
@@ -169,28 +169,28 @@
         private final NoticePlan.Post planned;
         private final InetSocketAddress to = address;
         private Link link;
-        private Loop.Timer slow;
-        private Loop.Timer late;
+        private Loop.Timer slowTimer;
+        private Loop.Timer answerTimer;
         private volatile int status;
-        private final long number = posts++;
+        private final long number = postCount++;
 
         Post(NoticePlan.Post planned) {
             this.planned = planned;
         }
 
         void start() {
-            slow = loop.after(planned.patienceMs(), () -> {
+            slowTimer = loop.after(planned.slowAfterMs(), () -> {
                 plan.slow(planned);
                 flush();
             });
-            late = loop.after(limits.answerMs(), () -> end(status, false));
+            answerTimer = loop.after(limits.answerMs(), () -> end(status, false));
             byte[] request = HttpWriter.request("POST", "/status", HostPort.of(to))
                     .header("Content-Type", "application/x-ndjson")
                     .body(planned.body());
-            trace((planned.fresh() ? "post over a new connection, " : "post, ") + planned.patienceMs()
+            trace((planned.newConnection() ? "post over a new connection, " : "post, ") + planned.slowAfterMs()
                     + " ms of patience: " + new String(planned.body(), StandardCharsets.UTF_8).replace('\n', ' '));
             try {
-                Link kept = planned.fresh() ? null : idle;
+                Link kept = planned.newConnection() ? null : idle;
                 if (kept != null) {
                     idle = null;
                     if (kept.send(request, this)) {
@@ -200,8 +200,8 @@
                 }
                 link = dialer.open(to, maxBody, request, this, () -> {});
             } catch (RuntimeException e) {
-                faults.log("fault under a notice", e);
-                loop.post(() -> end(NoticePlan.NONE, false));
+                faultLog.log("fault under a notice", e);
+                loop.post(() -> end(NoticePlan.NO_ANSWER, false));
             }
         }
 
@@ -212,21 +212,21 @@
         }
 
         private void end(int how, boolean reusable) {
-            if (out.remove(planned) == null) {
+            if (inFlight.remove(planned) == null) {
                 return; // over before: given up for a further one, or answered after its time
             }
-            slow.cancel();
-            late.cancel();
+            slowTimer.cancel();
+            answerTimer.cancel();
             trace("post over with " + how);
             if (reusable && how == CONFIRMED && to.equals(address)) {
-                keep(link);
+                keepIdle(link);
             } else if (link != null) {
                 link.leave();
             }
-            if (how != NoticePlan.NONE && how != CONFIRMED) {
-                answers.log("platform answered a notice with " + how);
+            if (how != NoticePlan.NO_ANSWER && how != CONFIRMED) {
+                answerLog.log("platform answered a notice with " + how);
             }
-            List<Long> over = plan.ended(planned, loop.now(), how);
+            List<Long> over = plan.complete(planned, loop.now(), how);
             over.forEach(confirmed::accept);
         }
 
@@ -249,7 +249,7 @@
         public void broken(boolean maybeArrived) {
             loop.post(() -> {
                 trace("connection broke");
-                end(NoticePlan.NONE, false);
+                end(NoticePlan.NO_ANSWER, false);
                 unreachable.run();
             });
         }
--- a/src/main/java/firstair/relay/store/BootClock.java
+++ b/src/main/java/firstair/relay/store/BootClock.java
@@ -28,9 +28,9 @@
         private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
         private static final long NS_PER_MS = 1_000_000;
 
-        private final String boot = read();
+        private final String boot = readBootId();
 
-        private static String read() {
+        private static String readBootId() {
             try {
                 return Files.readString(BOOT_ID).strip();
             } catch (IOException | RuntimeException e) {
--- a/src/main/java/firstair/relay/store/LedgerFile.java
+++ b/src/main/java/firstair/relay/store/LedgerFile.java
@@ -42,23 +42,23 @@
  */
 public final class LedgerFile implements Keeper {
     private static final Logger LOG = Logger.getLogger(LedgerFile.class.getName());
-    private static final String NAME = "ledger.log";
-    private static final String DRAFT = "ledger.tmp";
-    private static final String LOCK = "ledger.lock";
+    private static final String FILE_NAME = "ledger.log";
+    private static final String TEMP_NAME = "ledger.tmp";
+    private static final String LOCK_NAME = "ledger.lock";
 
     private final Path folder;
-    private final long mostBytes;
+    private final long maxBytes;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private FileChannel lock; // held while open: two processes that write would both forget
     private LedgerMemory memory;
     private FileChannel file;
     private long size;
-    private long needed; // bytes of the memory when the file was opened or written anew
-    private IOException broken;
+    private long liveBytes; // bytes of the memory when the file was opened or written anew
+    private IOException failure;
 
-    private LedgerFile(Path folder, long mostBytes) {
+    private LedgerFile(Path folder, long maxBytes) {
         this.folder = folder;
-        this.mostBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
     /**
@@ -68,20 +68,20 @@
      * @param self       the voter whose ledger it is
      * @param voters     all voters
      * @param firstStart whether this voter starts for the first time ever: only then may there be no ledger
-     * @param mostBytes  beyond this it is written anew
+     * @param maxBytes  beyond this it is written anew
      * @throws Fault.LedgerLost      if there is none and it is no first start
      * @throws Fault.TornLedger      if it is damaged
      * @throws Fault.LedgerUnwritten if the folder cannot be read or written, or another process has it open
      */
     public static LedgerFile open(
-            Path folder, String fleet, String self, List<String> voters, boolean firstStart, long mostBytes) {
-        LedgerFile ledger = new LedgerFile(folder, mostBytes);
+            Path folder, String fleet, String self, List<String> voters, boolean firstStart, long maxBytes) {
+        LedgerFile ledger = new LedgerFile(folder, maxBytes);
         boolean opened = false;
         try {
             Files.createDirectories(folder);
             ledger.lock();
-            Files.deleteIfExists(folder.resolve(DRAFT)); // it would have got its name once whole
-            Path named = folder.resolve(NAME);
+            Files.deleteIfExists(folder.resolve(TEMP_NAME)); // it would have got its name once whole
+            Path named = folder.resolve(FILE_NAME);
             if (Files.exists(named)) {
                 ledger.read(named);
             } else if (firstStart) {
@@ -102,7 +102,7 @@
     }
 
     private void lock() throws IOException {
-        lock = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lock = FileChannel.open(folder.resolve(LOCK_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             if (lock.tryLock() != null) {
                 return;
@@ -128,7 +128,7 @@
         List<byte[]> changes = new ArrayList<>();
         int at = 0;
         for (int length = 0; at < all.length; at += Records.HEADER + length) {
-            length = Records.whole(all, at);
+            length = Records.validLength(all, at);
             if (length < 0) {
                 break;
             }
@@ -136,7 +136,7 @@
             System.arraycopy(all, at + Records.HEADER, change, 0, length);
             changes.add(change);
         }
-        if (at < all.length && (!Records.cutOff(all, at) || anyBehind(all, at))) {
+        if (at < all.length && (!Records.isTruncatedRecord(all, at) || anyRecordAfter(all, at))) {
             throw new Fault.TornLedger(named.toString(), at);
         }
         try {
@@ -152,15 +152,15 @@
         file.position(at);
         file.force(true);
         size = at;
-        needed = memory.changes().stream()
+        liveBytes = memory.changes().stream()
                 .mapToLong(c -> Records.HEADER + c.length)
                 .sum();
     }
 
     /** Whether a whole record stands behind a place: then what is there was not the last to be written. */
-    private static boolean anyBehind(byte[] all, int at) {
+    private static boolean anyRecordAfter(byte[] all, int at) {
         for (int i = at + 1; i < all.length; i++) {
-            if (Records.whole(all, i) >= 0) {
+            if (Records.validLength(all, i) >= 0) {
                 return true;
             }
         }
@@ -179,17 +179,17 @@
 
     @Override
     public void keep(byte[] change) throws IOException {
-        check();
+        checkUsable();
         byte[] record = new byte[Records.HEADER + change.length];
         System.arraycopy(change, 0, record, Records.HEADER, change.length);
-        pending.writeBytes(Records.sealed(record));
+        pending.writeBytes(Records.withHeader(record));
     }
 
     @Override
     public void force() throws IOException {
-        check();
+        checkUsable();
         try {
-            if (size + pending.size() > Math.max(mostBytes, 2 * needed)) {
+            if (size + pending.size() > Math.max(maxBytes, 2 * liveBytes)) {
                 rewrite();
                 return;
             }
@@ -201,21 +201,21 @@
             }
             file.force(false);
         } catch (IOException e) {
-            broken = e; // whether the disk has it is not known, and asking again would not tell
+            failure = e; // whether the disk has it is not known, and asking again would not tell
             throw e;
         }
     }
 
-    private void check() throws IOException {
-        if (broken != null) {
-            throw new IOException(broken.getMessage());
+    private void checkUsable() throws IOException {
+        if (failure != null) {
+            throw new IOException(failure.getMessage());
         }
     }
 
     /** Writes all that is needed to a new file. The memory holds what is pending too. */
     private void rewrite() throws IOException {
         pending.reset();
-        Path draft = folder.resolve(DRAFT);
+        Path draft = folder.resolve(TEMP_NAME);
         FileChannel next = FileChannel.open(
                 draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
         long written = 0;
@@ -230,7 +230,7 @@
                 }
             }
             next.force(true);
-            Files.move(draft, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(draft, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
             try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
                 names.force(true); // the new name has to last as well
             }
@@ -243,13 +243,13 @@
         }
         file = next;
         size = written;
-        needed = written;
+        liveBytes = written;
     }
 
     /** Closes the file; what was not forced is not in it. */
     public void close() throws IOException {
         pending.reset();
-        broken = new IOException("closed");
+        failure = new IOException("closed");
         unlock();
         file.close();
     }
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -29,11 +29,11 @@
 
         void over(long id);
 
-        void clock(StoredTimes.Mark mark);
+        void clock(StoredTimes.ClockReading mark);
     }
 
     /** What was found besides whole records. */
-    record Found(int damaged, int tornBytes) {}
+    record ReadResult(int damaged, int truncatedBytes) {}
 
     private enum Type {
         TAKEN,
@@ -92,7 +92,7 @@
     }
 
     /** The clocks as a file is begun: what the times in it belong to. */
-    static byte[] clock(StoredTimes.Mark mark) {
+    static byte[] clock(StoredTimes.ClockReading mark) {
         return record(Type.CLOCK, 0, out -> {
             out.writeUTF(mark.boot());
             out.writeLong(mark.nowMs());
@@ -114,28 +114,28 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e); // a stream into memory, or a text longer than a head can hold
         }
-        return sealed(bytes.toByteArray());
+        return withHeader(bytes.toByteArray());
     }
 
     /** Writes mark, length and checksum into the first bytes of a record, which are left free for them. */
-    static byte[] sealed(byte[] all) {
-        ByteBuffer.wrap(all).putShort(MARK).putInt(all.length - HEADER).putInt(sum(all, HEADER, all.length - HEADER));
+    static byte[] withHeader(byte[] all) {
+        ByteBuffer.wrap(all).putShort(MARK).putInt(all.length - HEADER).putInt(checksum(all, HEADER, all.length - HEADER));
         return all;
     }
 
-    private static int sum(byte[] bytes, int offset, int length) {
+    private static int checksum(byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, offset, length);
         return (int) crc.getValue();
     }
 
     /** Reads all whole records; what is damaged is passed over, what is cut off at the end dropped. */
-    static Found read(byte[] file, Reader reader) {
+    static ReadResult read(byte[] file, Reader reader) {
         int damaged = 0;
         int at = 0;
         int bad = -1; // start of what cannot be read
         while (at < file.length) {
-            int length = whole(file, at);
+            int length = validLength(file, at);
             if (length < 0) {
                 bad = bad < 0 ? at : bad;
                 at++;
@@ -145,16 +145,16 @@
                 damaged++;
                 bad = -1;
             }
-            if (!content(file, at + HEADER, length, reader)) {
+            if (!readContent(file, at + HEADER, length, reader)) {
                 damaged++; // whole, but not of this program's making
             }
             at += HEADER + length;
         }
-        return new Found(damaged, bad < 0 ? 0 : file.length - bad);
+        return new ReadResult(damaged, bad < 0 ? 0 : file.length - bad);
     }
 
     /** Whether what is left from a place on is the beginning of a record that was being written. */
-    static boolean cutOff(byte[] file, int at) {
+    static boolean isTruncatedRecord(byte[] file, int at) {
         ByteBuffer rest = ByteBuffer.wrap(file, at, file.length - at);
         if (rest.remaining() < Short.BYTES) {
             return rest.get() == (byte) (MARK >> 8);
@@ -166,7 +166,7 @@
     }
 
     /** Length of the content of the record at a place, or -1 if there is no whole one. */
-    static int whole(byte[] file, int at) {
+    static int validLength(byte[] file, int at) {
         if (file.length - at < HEADER) {
             return -1;
         }
@@ -178,11 +178,11 @@
         if (length <= 0 || length > file.length - at - HEADER) {
             return -1;
         }
-        return header.getInt() == sum(file, at + HEADER, length) ? length : -1;
+        return header.getInt() == checksum(file, at + HEADER, length) ? length : -1;
     }
 
     /** Hands over one record; false if it says nothing that this program knows. */
-    private static boolean content(byte[] file, int at, int length, Reader reader) {
+    private static boolean readContent(byte[] file, int at, int length, Reader reader) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(file, at, length))) {
             int number = in.readByte();
             if (number < 0 || number >= Type.values().length) {
@@ -220,7 +220,7 @@
                 case ENDED -> reader.ended(id, in.readInt(), in.readBoolean());
                 case OWED -> reader.owed(id, new OwedNotice(in.readBoolean(), in.readDouble()));
                 case OVER -> reader.over(id);
-                case CLOCK -> reader.clock(new StoredTimes.Mark(in.readUTF(), in.readLong(), in.readLong()));
+                case CLOCK -> reader.clock(new StoredTimes.ClockReading(in.readUTF(), in.readLong(), in.readLong()));
                 default -> throw new IllegalStateException(type.name());
             }
             return true;
--- a/src/main/java/firstair/relay/store/StateFolder.java
+++ b/src/main/java/firstair/relay/store/StateFolder.java
@@ -21,7 +21,7 @@
  */
 final class StateFolder {
     private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
-    private static final String DRAFT = "messages.tmp";
+    private static final String TEMP_NAME = "messages.tmp";
 
     private final Path folder;
     private final List<Path> undeleted = new ArrayList<>();
@@ -37,13 +37,13 @@
      */
     void prepare() throws IOException {
         if (Files.exists(folder) && !Files.isDirectory(folder)) {
-            throw UnusableFolderException.noFolder(folder);
+            throw UnusableFolderException.notADirectory(folder);
         }
         if (!Files.isDirectory(folder)) {
             Files.createDirectories(folder);
         }
-        if (Files.isDirectory(draft())) {
-            throw UnusableFolderException.noFile(draft());
+        if (Files.isDirectory(tempFile())) {
+            throw UnusableFolderException.notAFile(tempFile());
         }
     }
 
@@ -59,7 +59,7 @@
         }
         for (Path p : found) {
             if (Files.isDirectory(p)) {
-                throw UnusableFolderException.noFile(p);
+                throw UnusableFolderException.notAFile(p);
             }
         }
         return found;
@@ -72,26 +72,26 @@
     }
 
     /** Where a generation stands. */
-    Path named(long generation) {
+    Path pathOf(long generation) {
         return folder.resolve("messages-" + generation + ".log");
     }
 
-    private Path draft() {
-        return folder.resolve(DRAFT);
+    private Path tempFile() {
+        return folder.resolve(TEMP_NAME);
     }
 
     /** An empty draft to be written. */
-    FileChannel newDraft() throws IOException {
+    FileChannel newTempFile() throws IOException {
         return FileChannel.open(
-                draft(), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+                tempFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
     }
 
     /** Gives the draft its name; all of it is written by then. */
     void publish(Path named) throws IOException {
         try {
-            Files.move(draft(), named, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(tempFile(), named, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            if (!Files.exists(named) || Files.exists(draft())) {
+            if (!Files.exists(named) || Files.exists(tempFile())) {
                 throw e;
             }
             // It has its name all the same, and the next start would read it: so it counts.
@@ -99,9 +99,9 @@
     }
 
     /** A draft that is not to become a generation. */
-    void dropDraft() {
+    void deleteTempFile() {
         try {
-            Files.deleteIfExists(draft());
+            Files.deleteIfExists(tempFile());
         } catch (IOException e) {
             // the next draft begins by emptying it
         }
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -24,19 +24,19 @@
  */
 public final class Store {
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
-    private static final long READ_PATIENCE_MS = 5000; // a relay has to be ready within 10 s
-    private static final long READ_AGAIN_MS = 50;
-    private static final long STEP_TOLD_MS = 1000;
-    private static final int SLACK = 8192; // bytes of the room left alone: partly used blocks, the folder
-    private static final int PER_MESSAGE = 1024; // bytes kept for the calls and the end of each message
-    private static final int WITHOUT_BODY = 512; // bytes that a message without its body takes at most
+    private static final long READ_TIMEOUT_MS = 5000; // a relay has to be ready within 10 s
+    private static final long READ_RETRY_MS = 50;
+    private static final long LOGGED_CLOCK_STEP_MS = 1000;
+    private static final int DISK_RESERVE_BYTES = 8192; // bytes of the room left alone: partly used blocks, the folder
+    private static final int ATTEMPTS_RESERVE_BYTES = 1024; // bytes kept for the calls and the end of each message
+    private static final int MAX_BYTES_WITHOUT_BODY = 512; // bytes that a message without its body takes at most
 
     /** A message that is not over, and what is known of it. */
     public static final class Open {
         private StoredMessage taken;
         private final List<StoredAttempt> tries = new ArrayList<>();
         private OwedNotice owed;
-        private int callBytes; // of the records of its calls
+        private int attemptBytes; // of the records of its calls
 
         private Open(StoredMessage taken) {
             this.taken = taken;
@@ -57,13 +57,13 @@
             return owed;
         }
 
-        private void convert(StoredTimes times) {
+        private void convertTimes(StoredTimes times) {
             taken = taken.withDeadlineAt(times.deadlineAt(taken.deadlineAt()));
             tries.replaceAll(t -> new StoredAttempt(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
         }
 
-        private int cost() {
-            return taken.body().length + WITHOUT_BODY + Math.max(PER_MESSAGE, callBytes);
+        private int reservedBytes() {
+            return taken.body().length + MAX_BYTES_WITHOUT_BODY + Math.max(ATTEMPTS_RESERVE_BYTES, attemptBytes);
         }
     }
 
@@ -76,11 +76,11 @@
     private Path path;
     private long generation;
     private long size;
-    private long cost;
-    private boolean behind; // the file lacks records that could not be written
+    private long reservedBytes;
+    private boolean incomplete; // the file lacks records that could not be written
     private boolean torn; // the file may hold records of a write that failed
     private final RateLimitedLogger failures = new RateLimitedLogger(LOG, Level.SEVERE);
-    private boolean told; // that it cannot be written
+    private boolean writeFailureLogged; // that it cannot be written
 
     private Store(Path folder, long diskBytes, BootClock clock) {
         this.clock = clock;
@@ -103,14 +103,14 @@
             store.rewrite();
         } catch (IOException e) {
             // What was read is still owed: serve it, take nothing new, and try again with each round.
-            store.behind = true;
-            store.told = store.failures.log("store: cannot write: " + UnusableFolderException.reason(e));
+            store.incomplete = true;
+            store.writeFailureLogged = store.failures.log("store: cannot write: " + UnusableFolderException.reason(e));
         }
         return store;
     }
 
     private void read(Path of) throws IOException {
-        long end = clock.nowMs() + READ_PATIENCE_MS;
+        long end = clock.nowMs() + READ_TIMEOUT_MS;
         while (true) {
             try {
                 folder.prepare();
@@ -118,7 +118,7 @@
                 if (!files.isEmpty()) {
                     path = files.get(files.size() - 1);
                     generation = StateFolder.generation(path);
-                    take(Files.readAllBytes(path));
+                    load(Files.readAllBytes(path));
                 }
                 files.subList(0, Math.max(0, files.size() - 1)).forEach(folder::discard);
                 return;
@@ -126,26 +126,26 @@
                 throw e;
             } catch (IOException e) {
                 if (clock.nowMs() >= end) {
-                    throw UnusableFolderException.failing(of, e);
+                    throw UnusableFolderException.unreadable(of, e);
                 }
                 failures.log("store: cannot read, trying again: " + UnusableFolderException.reason(e));
-                pause();
+                waitBeforeRetry();
             }
         }
     }
 
-    private static void pause() throws IOException {
+    private static void waitBeforeRetry() throws IOException {
         try {
-            TimeUnit.MILLISECONDS.sleep(READ_AGAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(READ_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException("told to end while the folder was read");
         }
     }
 
-    private void take(byte[] file) {
-        StoredTimes.Mark[] begun = new StoredTimes.Mark[1];
-        Records.Found found = Records.read(file, new Records.Reader() {
+    private void load(byte[] file) {
+        StoredTimes.ClockReading[] fileClock = new StoredTimes.ClockReading[1];
+        Records.ReadResult found = Records.read(file, new Records.Reader() {
             @Override
             public void taken(StoredMessage t) {
                 open.put(t.id(), new Open(t));
@@ -156,7 +156,7 @@
                 Open o = open.get(id);
                 if (o != null) {
                     o.tries.add(t);
-                    o.callBytes += Records.called(id, t).length;
+                    o.attemptBytes += Records.called(id, t).length;
                 }
             }
 
@@ -184,21 +184,21 @@
             }
 
             @Override
-            public void clock(StoredTimes.Mark mark) {
-                begun[0] = mark;
+            public void clock(StoredTimes.ClockReading mark) {
+                fileClock[0] = mark;
             }
         });
-        StoredTimes times = new StoredTimes(begun[0], clock);
-        open.values().forEach(o -> o.convert(times));
-        if (Math.abs(times.wallStepMs()) >= STEP_TOLD_MS) {
+        StoredTimes times = new StoredTimes(fileClock[0], clock);
+        open.values().forEach(o -> o.convertTimes(times));
+        if (Math.abs(times.wallStepMs()) >= LOGGED_CLOCK_STEP_MS) {
             LOG.info("store: the wall clock was stepped by " + times.wallStepMs() + " ms, which moves no deadline");
         }
-        open.values().forEach(o -> cost += o.cost());
+        open.values().forEach(o -> reservedBytes += o.reservedBytes());
         if (found.damaged() > 0) {
             LOG.severe("store: " + found.damaged() + " damaged places in " + path.getFileName() + " passed over");
         }
-        if (found.tornBytes() > 0) {
-            LOG.info("store: last record was cut off, " + found.tornBytes() + " bytes dropped");
+        if (found.truncatedBytes() > 0) {
+            LOG.info("store: last record was cut off, " + found.truncatedBytes() + " bytes dropped");
         }
     }
 
@@ -214,14 +214,14 @@
 
     /** Whether there is room for one more message with so many bytes. */
     public boolean fits(int bodyBytes) {
-        return !behind && cost + bodyBytes + WITHOUT_BODY + PER_MESSAGE <= room();
+        return !incomplete && reservedBytes + bodyBytes + MAX_BYTES_WITHOUT_BODY + ATTEMPTS_RESERVE_BYTES <= maxFileBytes();
     }
 
     /** A message is about to be taken on. */
     public void taken(StoredMessage t) {
         Open o = new Open(t);
         open.put(t.id(), o);
-        cost += o.cost();
+        reservedBytes += o.reservedBytes();
         pending.writeBytes(Records.taken(t));
     }
 
@@ -236,10 +236,10 @@
         Open o = open.get(id);
         StoredAttempt t = new StoredAttempt(endpoint, sentAt, true);
         byte[] record = Records.called(id, t);
-        cost -= o.cost();
+        reservedBytes -= o.reservedBytes();
         o.tries.add(t);
-        o.callBytes += record.length;
-        cost += o.cost();
+        o.attemptBytes += record.length;
+        reservedBytes += o.reservedBytes();
         pending.writeBytes(record);
         return o.tries.size() - 1;
     }
@@ -258,10 +258,10 @@
     public void owed(long id, OwedNotice owed) {
         Open o = open.get(id);
         if (o != null) {
-            cost -= o.cost();
+            reservedBytes -= o.reservedBytes();
             o.owed = owed;
             o.taken = o.taken.withoutBody();
-            cost += o.cost();
+            reservedBytes += o.reservedBytes();
             pending.writeBytes(Records.owed(id, owed));
         }
     }
@@ -270,33 +270,33 @@
     public void over(long id) {
         Open o = open.remove(id);
         if (o != null) {
-            cost -= o.cost();
+            reservedBytes -= o.reservedBytes();
             pending.writeBytes(Records.over(id));
         }
     }
 
     /** Writes what has been noted since the last call; false if it is not in the file now. */
     public boolean flush() {
-        if (pending.size() == 0 && !behind) {
+        if (pending.size() == 0 && !incomplete) {
             return true;
         }
         byte[] bytes = pending.toByteArray();
         pending.reset();
         try {
-            if (behind || size + bytes.length > room()) {
+            if (incomplete || size + bytes.length > maxFileBytes()) {
                 rewrite();
             } else {
                 append(bytes);
             }
-            if (told) {
+            if (writeFailureLogged) {
                 LOG.info("store: writing again");
             }
-            told = false;
-            behind = false;
+            writeFailureLogged = false;
+            incomplete = false;
             return true;
         } catch (IOException e) {
-            told = told || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
-            behind = true;
+            writeFailureLogged = writeFailureLogged || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
+            incomplete = true;
             return false;
         }
     }
@@ -314,13 +314,13 @@
             write(file, bytes);
             size += bytes.length;
         } catch (IOException e) {
-            cutBack();
+            truncateFailedWrite();
             throw e;
         }
     }
 
     /** Takes back what a failed write has left behind the last whole record. */
-    private void cutBack() {
+    private void truncateFailedWrite() {
         try {
             file.truncate(size);
         } catch (IOException e) {
@@ -336,23 +336,23 @@
     }
 
     /** Bytes that one file may hold, so that it and its successor fit beside what could not be deleted. */
-    private long room() {
-        return (diskBytes - folder.undeletedBytes()) / 2 - SLACK;
+    private long maxFileBytes() {
+        return (diskBytes - folder.undeletedBytes()) / 2 - DISK_RESERVE_BYTES;
     }
 
     private void rewrite() throws IOException {
-        if (folder.undeletedBytes() + size + cost > diskBytes - SLACK) {
+        if (folder.undeletedBytes() + size + reservedBytes > diskBytes - DISK_RESERVE_BYTES) {
             throw new IOException("no room beside files that cannot be deleted");
         }
-        FileChannel next = folder.newDraft();
-        Path named = folder.named(generation + 1);
+        FileChannel next = folder.newTempFile();
+        Path named = folder.pathOf(generation + 1);
         long written;
         try {
             written = writeAll(next);
             folder.publish(named);
         } catch (IOException e) {
             close(next);
-            folder.dropDraft();
+            folder.deleteTempFile();
             throw e;
         }
         // From here on the new file is the one that counts, whatever becomes of the old one.
@@ -371,7 +371,7 @@
 
     private long writeAll(FileChannel next) throws IOException {
         ByteArrayOutputStream block = new ByteArrayOutputStream();
-        block.writeBytes(Records.clock(StoredTimes.Mark.of(clock)));
+        block.writeBytes(Records.clock(StoredTimes.ClockReading.of(clock)));
         long written = 0;
         for (Open o : open.values()) {
             block.writeBytes(Records.taken(o.taken));
@@ -381,7 +381,7 @@
             if (o.owed != null) {
                 block.writeBytes(Records.owed(o.taken.id(), o.owed));
             }
-            if (block.size() >= SLACK) {
+            if (block.size() >= DISK_RESERVE_BYTES) {
                 write(next, block.toByteArray());
                 written += block.size();
                 block.reset();
--- a/src/main/java/firstair/relay/store/StoredTimes.java
+++ b/src/main/java/firstair/relay/store/StoredTimes.java
@@ -20,41 +20,41 @@
      * @param nowMs  of {@link BootClock#nowMs}
      * @param wallMs of {@link BootClock#wallMs}
      */
-    record Mark(String boot, long nowMs, long wallMs) {
-        static Mark of(BootClock clock) {
-            return new Mark(clock.boot(), clock.nowMs(), clock.wallMs());
+    record ClockReading(String boot, long nowMs, long wallMs) {
+        static ClockReading of(BootClock clock) {
+            return new ClockReading(clock.boot(), clock.nowMs(), clock.wallMs());
         }
     }
 
-    private final Mark mark;
-    private final Mark now;
+    private final ClockReading fileClock;
+    private final ClockReading now;
 
     /** @param mark the clocks as the file was begun, or null where it does not tell */
-    StoredTimes(Mark mark, BootClock clock) {
-        this.mark = mark;
-        this.now = Mark.of(clock);
+    StoredTimes(ClockReading mark, BootClock clock) {
+        this.fileClock = mark;
+        this.now = ClockReading.of(clock);
     }
 
     /** Whether the file was written in the boot that still lasts. */
     boolean sameBoot() {
-        return mark != null && !mark.boot.isEmpty() && mark.boot.equals(now.boot) && mark.nowMs <= now.nowMs;
+        return fileClock != null && !fileClock.boot.isEmpty() && fileClock.boot.equals(now.boot) && fileClock.nowMs <= now.nowMs;
     }
 
     /** By how many milliseconds the wall clock was stepped since the file was begun; 0 where that is not known. */
     long wallStepMs() {
-        return sameBoot() ? (now.wallMs - mark.wallMs) - (now.nowMs - mark.nowMs) : 0;
+        return sameBoot() ? (now.wallMs - fileClock.wallMs) - (now.nowMs - fileClock.nowMs) : 0;
     }
 
     /** A deadline on the present clock. */
     long deadlineAt(long stored) {
-        if (mark == null && stored >= UNIX_TIMES_FROM) {
+        if (fileClock == null && stored >= UNIX_TIMES_FROM) {
             return now.nowMs + (stored - now.wallMs);
         }
-        if (sameBoot() || mark == null) {
+        if (sameBoot() || fileClock == null) {
             return stored;
         }
-        long passed = Math.max(0, now.wallMs - mark.wallMs);
-        return now.nowMs + (stored - mark.nowMs) - passed;
+        long passed = Math.max(0, now.wallMs - fileClock.wallMs);
+        return now.nowMs + (stored - fileClock.nowMs) - passed;
     }
 
     /** The moment of a call on the present clock. */
--- a/src/main/java/firstair/relay/store/UnusableFolderException.java
+++ b/src/main/java/firstair/relay/store/UnusableFolderException.java
@@ -13,19 +13,19 @@
     }
 
     /** Something else stands where the folder belongs. */
-    static UnusableFolderException noFolder(Path folder) {
+    static UnusableFolderException notADirectory(Path folder) {
         return new UnusableFolderException(
                 "ROUTER_STATE: " + folder + " is no folder; move it away or name another folder", null);
     }
 
     /** Something else stands where a file of the relay belongs. */
-    static UnusableFolderException noFile(Path file) {
+    static UnusableFolderException notAFile(Path file) {
         return new UnusableFolderException(
                 "ROUTER_STATE: " + file + " stands where a file of the relay belongs; move it away", null);
     }
 
     /** It goes on failing. */
-    static UnusableFolderException failing(Path folder, IOException last) {
+    static UnusableFolderException unreadable(Path folder, IOException last) {
         return new UnusableFolderException(
                 "ROUTER_STATE: " + folder + " cannot be read: " + reason(last)
                         + "; look at its disk and its permissions, or name another folder",
--- a/src/test/java/firstair/relay/platform/NoticePlanTest.java
+++ b/src/test/java/firstair/relay/platform/NoticePlanTest.java
@@ -35,16 +35,16 @@
     void whatASlowPostCarriesGoesAgainOverAConnectionOfItsOwnAndTheLateAnswerCounts() {
         add(1, 300);
         NoticePlan.Post first = plan.next(0);
-        assertThat(first.fresh()).isFalse();
-        assertThat(first.patienceMs()).isEqualTo(100);
+        assertThat(first.newConnection()).isFalse();
+        assertThat(first.slowAfterMs()).isEqualTo(100);
         assertThat(plan.next(1)).isNull();
         plan.slow(first);
         NoticePlan.Post second = plan.next(100);
-        assertThat(second.fresh()).isTrue();
+        assertThat(second.newConnection()).isTrue();
         assertThat(said(second)).isEqualTo("n1");
-        assertThat(plan.ended(first, 120, 204)).containsExactly(1L);
-        assertThat(plan.ended(second, 130, 204)).isEmpty();
-        assertThat(plan.owed()).isZero();
+        assertThat(plan.complete(first, 120, 204)).containsExactly(1L);
+        assertThat(plan.complete(second, 130, 204)).isEmpty();
+        assertThat(plan.pending()).isZero();
     }
 
     @Test
@@ -66,12 +66,12 @@
         for (int round = 0; round < 40 && confirmed.size() < 7; round++) {
             NoticePlan.Post p = plan.next(now);
             if (p != null) {
-                confirmed.addAll(plan.ended(p, now, said(p).contains("n3") ? 400 : 204));
+                confirmed.addAll(plan.complete(p, now, said(p).contains("n3") ? 400 : 204));
             }
             now += 5;
         }
         assertThat(confirmed).containsExactlyInAnyOrder(1L, 2L, 4L, 5L, 6L, 7L, 8L);
-        assertThat(plan.owed()).isEqualTo(1);
+        assertThat(plan.pending()).isEqualTo(1);
         assertThat(plan.wakeAt()).isGreaterThan(0); // it goes on being tried, alone and ever more seldom
     }
 
@@ -87,11 +87,11 @@
     @Test
     void aNoticeThatWasAnswered400OnceGoesAgainAtOnce() {
         add(1, 300);
-        plan.ended(plan.next(0), 20, 400);
+        plan.complete(plan.next(0), 20, 400);
         NoticePlan.Post again = plan.next(20);
         assertThat(again).isNotNull();
-        assertThat(again.fresh()).isTrue();
-        plan.ended(again, 40, 400);
+        assertThat(again.newConnection()).isTrue();
+        plan.complete(again, 40, 400);
         assertThat(plan.next(40)).as("it is the notice: it pauses").isNull();
         assertThat(plan.wakeAt()).isGreaterThan(40);
     }
@@ -108,7 +108,7 @@
     void aNoticeWaitsBehindAPostNoLongerThanForAnAnswerOfItsOwn() {
         add(1, 450);
         NoticePlan.Post silent = plan.next(0);
-        assertThat(silent.patienceMs()).isEqualTo(150);
+        assertThat(silent.slowAfterMs()).isEqualTo(150);
         add(2, 200);
         assertThat(plan.next(10)).as("the post may yet be answered").isNull();
         double at = plan.wakeAt();
@@ -124,7 +124,7 @@
         List<Double> pauses = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             NoticePlan.Post p = plan.next(now);
-            assertThat(plan.ended(p, now, NoticePlan.NONE)).isEmpty();
+            assertThat(plan.complete(p, now, NoticePlan.NO_ANSWER)).isEmpty();
             double at = plan.wakeAt();
             if (i > 0) { // the first was over a kept connection, which proves nothing of the place
                 pauses.add(at - now);
@@ -140,9 +140,9 @@
     void whenThePlatformMovesWhatIsOutGoesAgainAtOnce() {
         add(1, 300);
         NoticePlan.Post old = plan.next(0);
-        plan.moved();
+        plan.addressChanged();
         assertThat(said(plan.next(1))).isEqualTo("n1");
-        assertThat(plan.ended(old, 2, 204)).containsExactly(1L);
+        assertThat(plan.complete(old, 2, 204)).containsExactly(1L);
     }
 
     @Test
@@ -150,14 +150,14 @@
         add(1, 5000);
         List<NoticePlan.Post> all = new ArrayList<>();
         for (int i = 0; i < limits.posts(); i++) {
-            assertThat(plan.surplus()).isNull();
+            assertThat(plan.postToAbandon()).isNull();
             NoticePlan.Post p = plan.next(i);
             plan.slow(p);
             all.add(p);
         }
         assertThat(plan.next(100)).isNull();
-        assertThat(plan.surplus()).isSameAs(all.get(0));
-        plan.ended(all.get(0), 100, NoticePlan.NONE);
+        assertThat(plan.postToAbandon()).isSameAs(all.get(0));
+        plan.complete(all.get(0), 100, NoticePlan.NO_ANSWER);
         assertThat(plan.next(101)).isNotNull();
     }
 
@@ -165,14 +165,14 @@
     void overdueNoticesAreCountedOnce() {
         add(1, 300);
         add(2, 400);
-        assertThat(plan.overdue(350)).isEqualTo(1);
-        assertThat(plan.overdue(450)).isEqualTo(1);
-        assertThat(plan.overdue(460)).isZero();
+        assertThat(plan.countOverdue(350)).isEqualTo(1);
+        assertThat(plan.countOverdue(450)).isEqualTo(1);
+        assertThat(plan.countOverdue(460)).isZero();
         NoticePlan.Post p = plan.next(470);
         assertThat(plan.recovered()).isFalse();
-        plan.ended(p, 480, 204);
+        plan.complete(p, 480, 204);
         assertThat(plan.recovered()).isTrue();
-        assertThat(plan.lateness()).containsExactly(2, 180);
+        assertThat(plan.takeOverdueStats()).containsExactly(2, 180);
         assertThat(plan.recovered()).isFalse();
     }
 
@@ -203,32 +203,32 @@
                 events.add(new Event(t, order[0]++, () -> p.add(one, text(one), t + 250)));
             }
         }
-        while (!events.isEmpty() || p.owed() > 0) {
-            for (NoticePlan.Post s = p.surplus(); s != null; s = null) {
-                p.ended(s, now[0], NoticePlan.NONE);
+        while (!events.isEmpty() || p.pending() > 0) {
+            for (NoticePlan.Post s = p.postToAbandon(); s != null; s = null) {
+                p.complete(s, now[0], NoticePlan.NO_ANSWER);
             }
             for (NoticePlan.Post n = p.next(now[0]); n != null; n = p.next(now[0])) {
                 NoticePlan.Post post = n;
                 double sent = now[0];
                 int fault = failedBefore[0] ? 0 : random.nextInt(4);
                 failedBefore[0] = fault != 0;
-                events.add(new Event(sent + post.patienceMs(), order[0]++, () -> p.slow(post)));
+                events.add(new Event(sent + post.slowAfterMs(), order[0]++, () -> p.slow(post)));
                 switch (fault) {
                     case 0 ->
                         events.add(new Event(sent + 2, order[0]++, () -> {
                             for (String line : said(post).split(" ")) {
                                 arrived.putIfAbsent(Long.parseLong(line.substring(1)), sent + 1);
                             }
-                            p.ended(post, sent + 2, 204);
+                            p.complete(post, sent + 2, 204);
                         }));
                     case 1 ->
-                        events.add(new Event(sent + 1, order[0]++, () -> p.ended(post, sent + 1, NoticePlan.NONE)));
-                    case 2 -> events.add(new Event(sent + 1, order[0]++, () -> p.ended(post, sent + 1, 400)));
+                        events.add(new Event(sent + 1, order[0]++, () -> p.complete(post, sent + 1, NoticePlan.NO_ANSWER)));
+                    case 2 -> events.add(new Event(sent + 1, order[0]++, () -> p.complete(post, sent + 1, 400)));
                     default ->
                         events.add(new Event(
                                 sent + limits.answerMs(),
                                 order[0]++,
-                                () -> p.ended(post, sent + limits.answerMs(), NoticePlan.NONE)));
+                                () -> p.complete(post, sent + limits.answerMs(), NoticePlan.NO_ANSWER)));
                 }
             }
             double wake = p.wakeAt();
--- a/src/test/java/firstair/relay/store/StoreTest.java
+++ b/src/test/java/firstair/relay/store/StoreTest.java
@@ -166,7 +166,7 @@
         byte[] ended = Records.ended(1, -1, false);
         Path file = files().get(0);
         for (byte[] odd : List.of(taken, ended)) {
-            Files.write(file, Records.sealed(odd), java.nio.file.StandardOpenOption.APPEND);
+            Files.write(file, Records.withHeader(odd), java.nio.file.StandardOpenOption.APPEND);
         }
         Store.Open o = only(reopened());
         assertThat(o.taken().id()).isEqualTo(1);
