--- a/src/main/java/firstair/relay/platform/NoticePlan.java
+++ b/src/main/java/firstair/relay/platform/NoticePlan.java
@@ -8,23 +8,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which notices go in which post, when, and whether over a new connection. It does no I/O and has no clock
- * and no thread: {@link Notices} tells it what happened and carries out what it says. Times are milliseconds on the
- * caller's clock.
+ * Decides which notices are sent in which POST request ("post"), when, and whether over a new connection. It does no
+ * I/O and has no clock and no thread: {@link Notices} reports events to it and carries out its decisions. Times are
+ * milliseconds on the caller's clock.
  *
- * <p>A notice is due a moment after its message's time, and a connection can fail in every way there is. So what a
- * post carries goes a second time, over a connection of its own, once the post has been out for a part of the time
- * that is left; what has waited longest goes first; and nothing waits behind a post that is slow. A notice that comes
- * twice does no harm.
+ * <p>A notice is due shortly after its message's deadline, and a connection can fail in any way. So the notices of a
+ * post are sent again, over a new connection, once the post has been in flight for a part of the time left; the oldest
+ * notices are sent first; and no notice waits for a slow post. A notice that arrives twice is harmless.
  */
 final class NoticePlan {
-    private static final double ATTEMPTS_IN_TIME_LEFT = 3; // tries that the time left is divided among
-    private static final double BACKOFF_FACTOR = 2; // each further pause is so many times longer
-    private static final double JITTER = 0.25; // pauses vary by this share either way
+    private static final double ATTEMPTS_IN_TIME_LEFT = 3; // a post is slow after 1/3 of the time left
+    private static final double BACKOFF_FACTOR = 2; // growth of each further backoff
+    private static final double JITTER = 0.25; // backoffs vary by this share either way
     private static final int CONFIRMED = 204;
     private static final int BAD_REQUEST = 400;
 
-    /** Status of a post that had no answer. */
+    /** Status of a post that received no answer. */
     static final int NO_ANSWER = 0;
 
     /** One notice that has not been confirmed. */
@@ -32,14 +31,15 @@
         final long id;
         final byte[] text;
         final double dueAt;
-        int inFlightPosts; // posts out that carry it and are not slow
+        int inFlightPosts; // posts in flight that contain it and are not slow
         int attempts;
-        int maxGroupSize = Integer.MAX_VALUE; // most notices in a post with it: a post with it could not be read
+        int maxGroupSize =
+                Integer.MAX_VALUE; // maximum number of notices in its post; halved when its post was answered with 400
         double notBefore = Double.NEGATIVE_INFINITY;
         double backoffMs;
-        boolean failedAlone; // it was alone in a post that could not be read
+        boolean failedAlone; // it was alone in a post that was answered with 400
         boolean countedOverdue; // counted as overdue
-        double waitUntil = Double.NaN; // for the end of a post that it is not in; known once it could have gone
+        double waitUntil = Double.NaN; // how long it waits for a post without it; NaN until next() has seen it
 
         Notice(long id, byte[] text, double dueAt) {
             this.id = id;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** A post that is out. */
+    /** A post in flight. */
     static final class Post {
         private final List<Notice> notices = new ArrayList<>();
         private double startedAt;
@@ -57,17 +57,17 @@
         private boolean full;
         private boolean slow;
 
-        /** Whether it must go over a connection that has carried nothing yet. */
+        /** Whether it must be sent over a new connection. */
         boolean newConnection() {
             return newConnection;
         }
 
-        /** After so long without an answer {@link NoticePlan#slow} is to be called. */
+        /** After this many milliseconds without an answer {@link NoticePlan#slow} must be called. */
         double slowAfterMs() {
             return slowAfterMs;
         }
 
-        /** What it says, a line a notice. */
+        /** The request body, one line per notice. */
         byte[] body() {
             byte[] all = new byte[notices.stream().mapToInt(n -> n.text.length).sum()];
             int at = 0;
@@ -83,12 +83,12 @@
     private final RandomGenerator random;
     private final Map<Long, Notice> pending = new LinkedHashMap<>();
     private final List<Post> inFlight = new ArrayList<>();
-    private double backoffUntil = Double.NEGATIVE_INFINITY; // after a failure of the place
+    private double backoffUntil = Double.NEGATIVE_INFINITY; // after a failure of the platform address
     private double lastConfirmedAt = Double.NEGATIVE_INFINITY;
     private double backoffMs;
-    private boolean failing; // the place, since it last confirmed
+    private boolean failing; // the platform has failed since it last confirmed
     private int overdueCount; // overdue since the platform last confirmed
-    private double maxOverdueMs; // by how much at most a notice confirmed since then was
+    private double maxOverdueMs; // maximum lateness of a notice confirmed since then
 
     NoticePlan(Limits.Notices limits, RandomGenerator random) {
         this.limits = limits;
@@ -96,30 +96,31 @@
         this.backoffMs = limits.pauseMs();
     }
 
-    /** Other limits hold from now on; posts that are out keep the times that they were given. */
+    /** Replaces the limits; posts in flight keep their times. */
     void setLimits(Limits.Notices to) {
         limits = to;
         backoffMs = Math.min(backoffMs, to.pauseMostMs());
     }
 
-    /** A notice is owed from now on, and is in time until {@code dueAt}. */
+    /** Adds a pending notice, which is due at {@code dueAt}. */
     void add(long id, byte[] text, double dueAt) {
         pending.putIfAbsent(id, new Notice(id, text, dueAt));
     }
 
-    /** How many notices are not confirmed. */
+    /** Number of unconfirmed notices. */
     int pending() {
         return pending.size();
     }
 
-    /** Posts that are out. */
+    /** Number of posts in flight. */
     int inFlight() {
         return inFlight.size();
     }
 
     /**
-     * The next post to be made now, or null. While one is out that is neither slow nor full, new notices wait for its
-     * end: they would only share its fate over a second connection. None waits longer than for an answer of its own.
+     * The next post to be sent now, or null. While a post is in flight that is neither slow nor full, new notices wait
+     * for it to complete: over a second connection they would only meet the same result. No notice waits longer than it
+     * would for an answer to its own post.
      */
     Post next(double now) {
         for (Notice n : pending.values()) {
@@ -137,7 +138,7 @@
         int bytes = 0;
         int most = Integer.MAX_VALUE;
         double dueAt = Double.POSITIVE_INFINITY;
-        for (Notice n : pending.values()) { // in the order in which they came to be owed
+        for (Notice n : pending.values()) { // in the order in which they were added
             if (n.inFlightPosts > 0 || n.notBefore > now) {
                 continue;
             }
@@ -167,17 +168,17 @@
         return p;
     }
 
-    /** For how long an answer is waited for, with so much time left, before what it is to confirm goes once more. */
+    /** How long to wait for an answer, given the time left, before the notices are sent again. */
     private double slowAfterMs(double leftMs) {
         return Math.max(limits.leastMs(), Math.min(limits.mostMs(), leftMs / ATTEMPTS_IN_TIME_LEFT));
     }
 
-    /** Whether a post is out that may soon be answered, and was not full. */
+    /** Whether a post is in flight that is neither slow nor full. */
     private boolean answerExpected() {
         return inFlight.stream().anyMatch(p -> !p.slow && !p.full);
     }
 
-    /** When {@link #next} may have something to say though nothing happens until then; infinite if never. */
+    /** When {@link #next} may return a post even if no event occurs before; infinite if never. */
     double wakeAt() {
         double at = Double.POSITIVE_INFINITY;
         boolean awaited = answerExpected();
@@ -198,7 +199,7 @@
         }
     }
 
-    /** The platform is elsewhere from now on: what is out may never be answered, and what failed there is no sign. */
+    /** The platform has a new address: posts in flight may never be answered, and earlier failures no longer count. */
     void addressChanged() {
         List.copyOf(inFlight).forEach(this::slow);
         backoffUntil = Double.NEGATIVE_INFINITY;
@@ -207,7 +208,7 @@
         pending.values().forEach(n -> n.notBefore = Double.NEGATIVE_INFINITY);
     }
 
-    /** The slow post that has been out longest, where the room for further ones is used up; else null. */
+    /** The oldest slow post if the limit of posts in flight is reached; else null. */
     Post postToAbandon() {
         if (inFlight.size() < limits.posts()) {
             return null;
@@ -216,9 +217,9 @@
     }
 
     /**
-     * A post is over: with a status, or {@link #NO_ANSWER}.
+     * A post has completed, with a status or {@link #NO_ANSWER}.
      *
-     * @return the messages whose notices are confirmed by it
+     * @return ids of the messages whose notices it confirms
      */
     List<Long> complete(Post p, double now, int status) {
         if (!inFlight.remove(p)) {
@@ -244,7 +245,7 @@
         if (status == BAD_REQUEST) {
             handleBadRequest(p, now);
         } else if (p.newConnection && lastConfirmedAt < p.startedAt) {
-            // The place itself is in trouble, not one old connection of ours: leave it alone for a little.
+            // The platform itself fails, not just a stale connection: back off.
             failing = true;
             backoffMs = Math.min(backoffMs, urgent(now) ? limits.urgentPauseMs() : limits.pauseMostMs());
             backoffUntil = now + withJitter(backoffMs);
@@ -257,14 +258,15 @@
         return pending.values().stream().anyMatch(n -> n.dueAt > now);
     }
 
-    /** Whether the place has not answered since it failed, and a notice can still be in time. */
+    /** Whether the platform has not confirmed since it failed, and a notice can still be in time. */
     boolean pressing(double now) {
         return failing && urgent(now);
     }
 
     /**
-     * One notice among them cannot be read, or the connection is spoilt. Halves are tried, so that it holds up no
-     * other; one that is alone goes over another connection at once, and pauses if that does not help.
+     * One notice of the post cannot be parsed, or the connection is corrupted. The post is split in halves, so that a bad
+     * notice does not delay others; a single notice is sent again over a new connection at once, and backs off if that
+     * fails too.
      */
     private void handleBadRequest(Post p, double now) {
         int half = Math.max(1, p.notices.size() / 2);
@@ -274,7 +276,8 @@
             } else if (!n.failedAlone) {
                 n.failedAlone = true;
             } else {
-                n.backoffMs = Math.min(limits.pauseMostMs(), n.backoffMs == 0 ? limits.pauseMs() : n.backoffMs * BACKOFF_FACTOR);
+                n.backoffMs = Math.min(
+                        limits.pauseMostMs(), n.backoffMs == 0 ? limits.pauseMs() : n.backoffMs * BACKOFF_FACTOR);
                 n.notBefore = now + withJitter(n.backoffMs);
             }
         }
@@ -284,7 +287,7 @@
         return ms * (1 - JITTER + 2 * JITTER * random.nextDouble());
     }
 
-    /** How many notices have become overdue since this was last asked. */
+    /** Number of notices that have become overdue since the last call. */
     int countOverdue(double now) {
         int more = 0;
         for (Notice n : pending.values()) {
@@ -297,7 +300,7 @@
         return more;
     }
 
-    /** Whether notices were overdue and none is any more. */
+    /** Whether notices were overdue and none is now. */
     boolean recovered() {
         return overdueCount > 0 && pending.values().stream().noneMatch(n -> n.countedOverdue);
     }
--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -21,8 +21,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tells the platform of messages that end without being delivered, and repeats each notice until it is confirmed.
- * {@link NoticePlan} decides; this opens connections and keeps the time. All methods run on the loop's thread.
+ * Notifies the platform of messages that end without being delivered, and repeats each notice until it is confirmed.
+ * {@link NoticePlan} decides; this class opens connections and sets timers. All methods run on the loop's thread.
  */
 public final class Notices {
     private static final Logger LOG = Logger.getLogger(Notices.class.getName());
@@ -39,18 +39,18 @@
     private InetSocketAddress address;
     private Link idle;
     private Loop.Timer wakeTimer;
-    private double wakeAt = Double.POSITIVE_INFINITY; // when that is due
+    private double wakeAt = Double.POSITIVE_INFINITY; // when wakeTimer is due
     private final RateLimitedLogger overdueLog = new RateLimitedLogger(LOG, Level.WARNING);
     private final RateLimitedLogger answerLog = new RateLimitedLogger(LOG, Level.WARNING);
     private final RateLimitedLogger faultLog = new RateLimitedLogger(LOG, Level.SEVERE);
-    private boolean overdueLogged; // that notices are overdue
-    private long postCount; // so far
+    private boolean overdueLogged;
+    private long postCount;
 
     /**
-     * Nothing is owed at first.
+     * Starts without pending notices.
      *
-     * @param confirmed   told of each message whose notice has been confirmed
-     * @param unreachable told when a connection for notices broke or never came up
+     * @param confirmed   receives the id of each message whose notice has been confirmed
+     * @param unreachable called when a connection for notices broke or could not be opened
      */
     public Notices(
             Dialer dialer,
@@ -71,9 +71,9 @@
     }
 
     /**
-     * A notice is owed from now on.
+     * Adds a pending notice.
      *
-     * @param dueAt until when it is in time, on the loop's clock
+     * @param dueAt when it is due, on the loop's clock
      */
     public void add(long id, String requestId, OwedNotice notice, double dueAt) {
         JsonObject o = new JsonObject();
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Notices go elsewhere from now on. What is out at the old place is posted again at once: its answer may never
-     * come, and a notice may come twice.
+     * Sends notices to a new address from now on. Notices in flight to the old address are posted again at once: their
+     * answers may never arrive, so a notice may arrive twice.
      */
     public void move(InetSocketAddress to) {
         if (to.equals(address)) {
@@ -99,23 +99,23 @@
         flush();
     }
 
-    /** Other limits hold from now on. */
+    /** Replaces the limits. */
     public void tune(Limits.Notices to) {
         limits = to;
         plan.setLimits(to);
     }
 
-    /** How many notices are not confirmed. */
+    /** Number of unconfirmed notices. */
     public int owed() {
         return plan.pending();
     }
 
-    /** Whether posts have failed of late while a notice can still be in time. */
+    /** Whether the platform has not confirmed since it failed, and a notice can still be in time. */
     public boolean pressing() {
         return plan.pressing(loop.now());
     }
 
-    /** Posts what is owed, as the plan has it; called at the end of each round. */
+    /** Sends the posts that are ready by the plan; called at the end of each loop round. */
     public void flush() {
         NoticePlan.Post surplus = plan.postToAbandon();
         if (surplus != null) {
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Tells of notices that could not be in time, once for each spell of trouble. */
+    /** Logs overdue notices, once until all of them have been confirmed. */
     public void sweep() {
         int late = plan.countOverdue(loop.now());
         if (late > 0 && !overdueLogged) {
@@ -164,7 +164,7 @@
         }
     }
 
-    /** One post. Its times are set before anything is opened, so that no fault below can keep it out for ever. */
+    /** One post. Its timers are set before a connection is opened, so that no exception can keep it in flight forever. */
     private final class Post implements Link.Exchange {
         private final NoticePlan.Post planned;
         private final InetSocketAddress to = address;
@@ -188,7 +188,7 @@
                     .header("Content-Type", "application/x-ndjson")
                     .body(planned.body());
             trace((planned.newConnection() ? "post over a new connection, " : "post, ") + planned.slowAfterMs()
-                    + " ms of patience: " + new String(planned.body(), StandardCharsets.UTF_8).replace('\n', ' '));
+                    + " ms until slow: " + new String(planned.body(), StandardCharsets.UTF_8).replace('\n', ' '));
             try {
                 Link kept = planned.newConnection() ? null : idle;
                 if (kept != null) {
@@ -200,7 +200,7 @@
                 }
                 link = dialer.open(to, maxBody, request, this, () -> {});
             } catch (RuntimeException e) {
-                faultLog.log("fault under a notice", e);
+                faultLog.log("unexpected exception while posting notices", e);
                 loop.post(() -> end(NoticePlan.NO_ANSWER, false));
             }
         }
@@ -213,11 +213,11 @@
 
         private void end(int how, boolean reusable) {
             if (inFlight.remove(planned) == null) {
-                return; // over before: given up for a further one, or answered after its time
+                return; // completed before: abandoned for another post, or timed out
             }
             slowTimer.cancel();
             answerTimer.cancel();
-            trace("post over with " + how);
+            trace("post ended with status " + how);
             if (reusable && how == CONFIRMED && to.equals(address)) {
                 keepIdle(link);
             } else if (link != null) {
@@ -237,7 +237,7 @@
 
         @Override
         public void body(byte[] bytes, int offset, int length) {
-            // what the platform writes beside its status means nothing
+            // only the status is relevant
         }
 
         @Override
--- a/src/main/java/firstair/relay/platform/package-info.java
+++ b/src/main/java/firstair/relay/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform, which hears of messages that end without being delivered. */
+/** Notices to the platform about messages that end without being delivered. */
 package firstair.relay.platform;
--- a/src/test/java/firstair/relay/platform/NoticePlanTest.java
+++ b/src/test/java/firstair/relay/platform/NoticePlanTest.java
@@ -27,12 +27,12 @@
         return ("n" + id + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String said(NoticePlan.Post p) {
+    private static String bodyText(NoticePlan.Post p) {
         return new String(p.body(), StandardCharsets.UTF_8).replace("\n", " ").trim();
     }
 
     @Test
-    void whatASlowPostCarriesGoesAgainOverAConnectionOfItsOwnAndTheLateAnswerCounts() {
+    void noticesOfASlowPostAreSentAgainOverANewConnectionAndTheLateAnswerCounts() {
         add(1, 300);
         NoticePlan.Post first = plan.next(0);
         assertThat(first.newConnection()).isFalse();
@@ -41,84 +41,83 @@
         plan.slow(first);
         NoticePlan.Post second = plan.next(100);
         assertThat(second.newConnection()).isTrue();
-        assertThat(said(second)).isEqualTo("n1");
+        assertThat(bodyText(second)).isEqualTo("n1");
         assertThat(plan.complete(first, 120, 204)).containsExactly(1L);
         assertThat(plan.complete(second, 130, 204)).isEmpty();
         assertThat(plan.pending()).isZero();
     }
 
     @Test
-    void aSlowPostHoldsUpNothingAndWhatWaitsLongestGoesFirst() {
+    void aSlowPostDelaysNoNoticeAndTheOldestIsSentFirst() {
         add(1, 300);
         NoticePlan.Post first = plan.next(0);
         add(2, 310);
         add(3, 290);
-        assertThat(plan.next(10)).isNull(); // it may answer at any moment
+        assertThat(plan.next(10)).isNull(); // the first post may still be answered
         plan.slow(first);
-        assertThat(said(plan.next(60))).isEqualTo("n1 n2 n3");
+        assertThat(bodyText(plan.next(60))).isEqualTo("n1 n2 n3");
     }
 
     @Test
-    void oneThatCannotBeReadHoldsUpNoOther() {
+    void anUnreadableNoticeDelaysNoOther() {
         LongStream.rangeClosed(1, 8).forEach(i -> add(i, 300));
         List<Long> confirmed = new ArrayList<>();
         double now = 0;
         for (int round = 0; round < 40 && confirmed.size() < 7; round++) {
             NoticePlan.Post p = plan.next(now);
             if (p != null) {
-                confirmed.addAll(plan.complete(p, now, said(p).contains("n3") ? 400 : 204));
+                confirmed.addAll(plan.complete(p, now, bodyText(p).contains("n3") ? 400 : 204));
             }
             now += 5;
         }
         assertThat(confirmed).containsExactlyInAnyOrder(1L, 2L, 4L, 5L, 6L, 7L, 8L);
         assertThat(plan.pending()).isEqualTo(1);
-        assertThat(plan.wakeAt()).isGreaterThan(0); // it goes on being tried, alone and ever more seldom
+        assertThat(plan.wakeAt()).isGreaterThan(0); // it is retried alone, with growing backoff
     }
 
     /**
-     * Row R2. A platform that answers 400 may have been unable to read the notice, or the connection: a second
-     * connection tells. A notice used to pause before that, and the pause ended into a moment in which its process got
-     * no processor.
+     * Row R2. A 400 may be due to the notice or to a corrupted connection; a second connection tells which. A notice
+     * used to back off before the second attempt, and the backoff ended while its process got no CPU time.
      *
-     * <p>What showed it, in a soak beside busy processes (seed 240, a notice 360 ms behind its message's time): {@code
+     * <p>Seen in a soak beside busy processes (seed 240, a notice 360 ms after its message's deadline): {@code
      * 03:31:03.992 post over with 400}, no line of the process from {@code 04.042} to {@code 04.217}, and {@code
      * 04.221 post over a new connection}.
      */
     @Test
-    void aNoticeThatWasAnswered400OnceGoesAgainAtOnce() {
+    void aNoticeAnswered400OnceIsSentAgainAtOnce() {
         add(1, 300);
         plan.complete(plan.next(0), 20, 400);
         NoticePlan.Post again = plan.next(20);
         assertThat(again).isNotNull();
         assertThat(again.newConnection()).isTrue();
         plan.complete(again, 40, 400);
-        assertThat(plan.next(40)).as("it is the notice: it pauses").isNull();
+        assertThat(plan.next(40)).as("the notice itself is bad: it backs off").isNull();
         assertThat(plan.wakeAt()).isGreaterThan(40);
     }
 
     /**
-     * Row R2. New notices wait for the end of a post that is out, which may never be answered. One with less time left
-     * than that post was given used to wait as long all the same.
+     * Row R2. New notices wait for the post in flight, which may never be answered. A notice with less time left than
+     * that post was given used to wait just as long.
      *
-     * <p>What showed it, in a soak beside busy processes (seed 222, a notice 352 ms behind its message's time): {@code
+     * <p>Seen in a soak beside busy processes (seed 222, a notice 352 ms after its message's deadline): {@code
      * 03:52:45.918 notices 9: post, 125.59 ms of patience}; {@code 45.935 message s222c7-81: over}; {@code 46.053
      * notices 10: post over a new connection}, the first one with it, when a third of its time had long passed.
      */
     @Test
-    void aNoticeWaitsBehindAPostNoLongerThanForAnAnswerOfItsOwn() {
+    void aNoticeWaitsForAnotherPostNoLongerThanForItsOwn() {
         add(1, 450);
         NoticePlan.Post silent = plan.next(0);
         assertThat(silent.slowAfterMs()).isEqualTo(150);
         add(2, 200);
-        assertThat(plan.next(10)).as("the post may yet be answered").isNull();
+        assertThat(plan.next(10)).as("the post may still be answered").isNull();
         double at = plan.wakeAt();
         assertThat(at).isBetween(10 + limits.leastMs(), 10 + 190 / 3.0 + 1);
-        assertThat(said(plan.next(at))).isEqualTo("n2");
-        assertThat(plan.next(at + 1)).as("the first one is on its way").isNull();
+        assertThat(bodyText(plan.next(at))).isEqualTo("n2");
+        assertThat(plan.next(at + 1)).as("the first one is in flight").isNull();
     }
 
     @Test
-    void thePlaceIsLeftAloneForGrowingTimesButNotLongWhileANoticeCanBeInTime() {
+    void theBackoffGrowsButStaysShortWhileANoticeCanBeInTime() {
         add(1, 5000);
         double now = 0;
         List<Double> pauses = new ArrayList<>();
@@ -126,7 +125,7 @@
             NoticePlan.Post p = plan.next(now);
             assertThat(plan.complete(p, now, NoticePlan.NO_ANSWER)).isEmpty();
             double at = plan.wakeAt();
-            if (i > 0) { // the first was over a kept connection, which proves nothing of the place
+            if (i > 0) { // the first used a kept connection, whose failure says nothing about the platform
                 pauses.add(at - now);
             }
             now = Math.max(now, at) + (i == 20 ? 5000 : 0);
@@ -137,16 +136,16 @@
     }
 
     @Test
-    void whenThePlatformMovesWhatIsOutGoesAgainAtOnce() {
+    void whenThePlatformMovesNoticesInFlightAreSentAgainAtOnce() {
         add(1, 300);
         NoticePlan.Post old = plan.next(0);
         plan.addressChanged();
-        assertThat(said(plan.next(1))).isEqualTo("n1");
+        assertThat(bodyText(plan.next(1))).isEqualTo("n1");
         assertThat(plan.complete(old, 2, 204)).containsExactly(1L);
     }
 
     @Test
-    void theOldestSlowPostMakesRoom() {
+    void theOldestSlowPostIsAbandonedAtTheLimit() {
         add(1, 5000);
         List<NoticePlan.Post> all = new ArrayList<>();
         for (int i = 0; i < limits.posts(); i++) {
@@ -177,8 +176,8 @@
     }
 
     /**
-     * A platform whose connections fail by chance, of any two that come one after the other one working: every notice
-     * is there in time, thousands at one moment too. Virtual time.
+     * Connections to the platform fail at random, but of any two successive ones at least one works: every notice
+     * arrives in time, even with thousands at once. Virtual time.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
@@ -216,13 +215,14 @@
                 switch (fault) {
                     case 0 ->
                         events.add(new Event(sent + 2, order[0]++, () -> {
-                            for (String line : said(post).split(" ")) {
+                            for (String line : bodyText(post).split(" ")) {
                                 arrived.putIfAbsent(Long.parseLong(line.substring(1)), sent + 1);
                             }
                             p.complete(post, sent + 2, 204);
                         }));
                     case 1 ->
-                        events.add(new Event(sent + 1, order[0]++, () -> p.complete(post, sent + 1, NoticePlan.NO_ANSWER)));
+                        events.add(new Event(
+                                sent + 1, order[0]++, () -> p.complete(post, sent + 1, NoticePlan.NO_ANSWER)));
                     case 2 -> events.add(new Event(sent + 1, order[0]++, () -> p.complete(post, sent + 1, 400)));
                     default ->
                         events.add(new Event(
--- a/src/test/java/firstair/relay/platform/NoticesTest.java
+++ b/src/test/java/firstair/relay/platform/NoticesTest.java
@@ -50,7 +50,7 @@
         platform.close();
     }
 
-    /** Each is posted until it is confirmed; that it is not is told once, however often. */
+    /** Each notice is posted until it is confirmed; the rejections are logged only once. */
     @Test
     void aPlatformThatConfirmsNothingDoesNotFillTheLog() throws Exception {
         platform(r -> r.answer(calls.get() <= 12 ? 503 : 204));
@@ -71,7 +71,7 @@
         notices = new Notices(wire, limits, loop, platform.address(), new Random(1), confirmed::add, () -> {});
     }
 
-    private void owe(long id, boolean handedBack, double afterMs) {
+    private void addNotice(long id, boolean handedBack, double afterMs) {
         loop.post(() -> notices.add(id, "r" + id, new OwedNotice(handedBack, afterMs), loop.now() + 300));
     }
 
@@ -84,20 +84,20 @@
     @Test
     void theTwoKindsOfNotice() throws Exception {
         platform(r -> r.answer(204));
-        owe(1, false, 0);
+        addNotice(1, false, 0);
         assertThat(next(confirmed)).isEqualTo(1);
         assertThat(next(posts)).isEqualTo("POST /status {\"message\":\"r1\",\"outcome\":\"given_up\"}\n");
-        owe(2, true, 500.2);
+        addNotice(2, true, 500.2);
         assertThat(next(confirmed)).isEqualTo(2);
         assertThat(next(posts))
                 .isEqualTo("POST /status {\"message\":\"r2\",\"outcome\":\"handed_back\",\"retry_in_ms\":500}\n");
-        owe(3, true, 0);
+        addNotice(3, true, 0);
         assertThat(next(confirmed)).isEqualTo(3);
         assertThat(next(posts)).doesNotContain("retry_in_ms");
     }
 
     @Test
-    void oneIsRepeatedUntilItIsConfirmed() throws Exception {
+    void aNoticeIsRepeatedUntilItIsConfirmed() throws Exception {
         platform(r -> {
             switch (calls.get()) {
                 case 1 -> r.reset();
@@ -106,14 +106,14 @@
                 default -> r.answer(204);
             }
         });
-        owe(1, false, 0);
+        addNotice(1, false, 0);
         assertThat(next(confirmed)).isEqualTo(1);
         assertThat(calls.get()).isEqualTo(4);
         assertThat(confirmed).isEmpty();
     }
 
     @Test
-    void oneThatCannotBeReadHoldsUpNoOther() throws Exception {
+    void anUnreadableNoticeDelaysNoOther() throws Exception {
         platform(r -> r.answer(new String(r.body(), StandardCharsets.UTF_8).contains("r1") ? 400 : 204));
         loop.post(() -> {
             notices.add(1, "r1", new OwedNotice(false, 0), loop.now() + 300);
