--- a/src/main/java/firstair/relay/store/LedgerFile.java
+++ b/src/main/java/firstair/relay/store/LedgerFile.java
@@ -17,28 +17,27 @@
 import java.util.logging.Logger;
 
 /**
- * What a voter must not forget, in one file that is only appended to: records as in {@link Store}'s file, each with
- * one change of its {@link LedgerMemory}. When the file has grown beyond its bound, and beyond twice what is still
- * needed, what is needed goes to a new file that takes its place.
+ * The persistent state of a voter, in one append-only file: records in the format of {@link Store}'s file, each with
+ * one change of its {@link LedgerMemory}. When the file exceeds its size limit and twice the size of its live records,
+ * the live records are written to a new file that replaces it.
  *
- * <p>{@link #force} syncs, where {@link Store} does not. A message that is lost with its machine is one that its
- * client has not heard the end of, and sends again. But a voter that forgets its vote votes twice in one term, and
- * one that forgets an entry that it confirmed lets a majority form without it: the others have agreed on what then
- * never was. So the engine goes on only when the disk has it.
+ * <p>{@link #force} syncs, where {@link Store} does not. A message that is lost with its machine has not been confirmed
+ * to its client, which sends it again. But a voter that loses its vote may vote twice in one term, and one that loses
+ * an entry that it confirmed lets a majority form without that entry, although the others hold it as agreed. So the
+ * engine continues only after the change is on disk.
  *
- * <p>At the end of the file the beginning of a record may stand whose write was cut off; nobody was told of it, and
- * it is dropped. Anything else that cannot be read is damage, and a voter is never started from that: what was
- * confirmed could be missing. That is also so for a record at the very end that has its whole length and a wrong
- * checksum.
+ * <p>An incomplete record at the end of the file is a write that was interrupted; it was never confirmed to another
+ * node, and it is dropped. Anything else that cannot be read is corruption, and a voter is never started from that:
+ * confirmed entries could be missing. This includes a last record with its full length and a wrong checksum.
  *
- * <p>A voter whose folder is empty looks like one that has never voted, and must not be taken for one: it would vote
- * again in a term in which it has voted, and for a candidate that lacks what this voter had confirmed. The engine
- * offers nothing that makes its return safe by itself, for the leader still counts what the voter confirmed before.
- * So a folder without a ledger is accepted only where the settings say that this voter starts for the first time;
- * else opening fails with {@link Fault.LedgerLost} and the node is not started. Three voters agree without one, five
- * without two. To say {@code first start} is the operator's word that no ledger of this voter has ever been; it has
- * to be taken back once the voter has started. The one safe way to replace voters whose folders are gone is to stop
- * the voters and to found a fleet with a new name, with what the others hold put in anew.
+ * <p>A voter with an empty folder looks like one that has never voted, but must not be treated as one: it could vote
+ * again in a term in which it has voted, and for a candidate that lacks entries that this voter had confirmed. The
+ * engine has no safe way to readmit it, because the leader still counts what the voter confirmed before. So a folder
+ * without a ledger is accepted only if the settings declare the first start of this voter; otherwise opening fails
+ * with {@link Fault.LedgerLost} and the node is not started. Three voters keep a quorum without one, five without two.
+ * With {@code first start} the operator asserts that this voter has never had a ledger; the setting must be removed
+ * once the voter has started. The only safe way to replace voters whose folders are lost is to stop the voters and to
+ * found a fleet under a new name, entering the data of the remaining voters again.
  */
 public final class LedgerFile implements Keeper {
     private static final Logger LOG = Logger.getLogger(LedgerFile.class.getName());
@@ -49,11 +48,11 @@
     private final Path folder;
     private final long maxBytes;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
-    private FileChannel lock; // held while open: two processes that write would both forget
+    private FileChannel lock; // held while open: two writing processes would lose each other's records
     private LedgerMemory memory;
     private FileChannel file;
     private long size;
-    private long liveBytes; // bytes of the memory when the file was opened or written anew
+    private long liveBytes; // size of the live records when the file was opened or last rewritten
     private IOException failure;
 
     private LedgerFile(Path folder, long maxBytes) {
@@ -65,11 +64,11 @@
      * Opens the ledger in a folder.
      *
      * @param fleet      name of the fleet
-     * @param self       the voter whose ledger it is
+     * @param self       the voter that owns the ledger
      * @param voters     all voters
-     * @param firstStart whether this voter starts for the first time ever: only then may there be no ledger
-     * @param maxBytes  beyond this it is written anew
-     * @throws Fault.LedgerLost      if there is none and it is no first start
+     * @param firstStart whether this is the first start of this voter ever: only then may the ledger be missing
+     * @param maxBytes  size in bytes above which the file is rewritten
+     * @throws Fault.LedgerLost      if there is no ledger and this is not the first start
      * @throws Fault.TornLedger      if it is damaged
      * @throws Fault.LedgerUnwritten if the folder cannot be read or written, or another process has it open
      */
@@ -80,7 +79,8 @@
         try {
             Files.createDirectories(folder);
             ledger.lock();
-            Files.deleteIfExists(folder.resolve(TEMP_NAME)); // it would have got its name once whole
+            Files.deleteIfExists(
+                    folder.resolve(TEMP_NAME)); // left by an interrupted rewrite; a complete one is renamed
             Path named = folder.resolve(FILE_NAME);
             if (Files.exists(named)) {
                 ledger.read(named);
@@ -108,7 +108,7 @@
                 return;
             }
         } catch (OverlappingFileLockException e) {
-            LOG.fine("ledger: open twice in this process"); // the same to whoever opens it
+            LOG.fine("ledger: already open in this process"); // reported to the caller like another process
         }
         throw new Fault.LedgerUnwritten("another process uses " + folder);
     }
@@ -119,7 +119,7 @@
                 lock.close();
             }
         } catch (IOException e) {
-            LOG.warning("ledger: cannot let go of " + folder + ": " + e);
+            LOG.warning("ledger: cannot unlock " + folder + ": " + e);
         }
     }
 
@@ -142,10 +142,10 @@
         try {
             memory = LedgerMemory.of(changes);
         } catch (Fault.Unreadable e) {
-            throw new Fault.TornLedger(named.toString(), at); // whole records, but not those of a ledger
+            throw new Fault.TornLedger(named.toString(), at); // valid records, but not of a ledger
         }
         if (at < all.length) {
-            LOG.info("ledger: last record was cut off, " + (all.length - at) + " bytes dropped");
+            LOG.info("ledger: incomplete last record, " + (all.length - at) + " bytes dropped");
         }
         file = FileChannel.open(named, StandardOpenOption.WRITE);
         file.truncate(at);
@@ -157,7 +157,7 @@
                 .sum();
     }
 
-    /** Whether a whole record stands behind a place: then what is there was not the last to be written. */
+    /** Whether a valid record follows an offset: then the bytes at the offset were not the last ones written. */
     private static boolean anyRecordAfter(byte[] all, int at) {
         for (int i = at + 1; i < all.length; i++) {
             if (Records.validLength(all, i) >= 0) {
@@ -167,7 +167,7 @@
         return false;
     }
 
-    /** What the voter remembers; it changes with what the engine keeps. */
+    /** The state of the voter; updated as the engine records changes. */
     public LedgerMemory memory() {
         return memory;
     }
@@ -201,7 +201,7 @@
             }
             file.force(false);
         } catch (IOException e) {
-            failure = e; // whether the disk has it is not known, and asking again would not tell
+            failure = e; // it is unknown whether the data is on disk, and a retry would not reveal it
             throw e;
         }
     }
@@ -212,7 +212,7 @@
         }
     }
 
-    /** Writes all that is needed to a new file. The memory holds what is pending too. */
+    /** Writes all live records to a new file. The memory includes the pending changes. */
     private void rewrite() throws IOException {
         pending.reset();
         Path draft = folder.resolve(TEMP_NAME);
@@ -232,7 +232,7 @@
             next.force(true);
             Files.move(draft, folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
             try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-                names.force(true); // the new name has to last as well
+                names.force(true); // the rename must be durable too
             }
         } catch (IOException e) {
             next.close();
@@ -246,7 +246,7 @@
         liveBytes = written;
     }
 
-    /** Closes the file; what was not forced is not in it. */
+    /** Closes the file; changes that were not forced are discarded. */
     public void close() throws IOException {
         pending.reset();
         failure = new IOException("closed");
--- a/src/main/java/firstair/relay/store/OwedNotice.java
+++ b/src/main/java/firstair/relay/store/OwedNotice.java
@@ -3,7 +3,7 @@
 /**
  * A notice that the platform has not confirmed yet.
  *
- * @param handedBack the message is handed back; otherwise given up
- * @param afterMs    when its client should come again, 0 to say nothing of it
+ * @param handedBack whether the message is handed back to its client; otherwise it is given up
+ * @param afterMs    after how many milliseconds the client should retry, 0 to leave that out
  */
 public record OwedNotice(boolean handedBack, double afterMs) {}
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -10,14 +10,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of the file: records, each with a mark, the length of its content, a checksum and the content. The
- * mark lets a reader find the next whole record behind a damaged one.
+ * The file format: records, each with a marker, the length of its content, a checksum and the content. The marker lets
+ * a reader find the next valid record after a damaged one.
  */
 final class Records {
     static final int HEADER = 10;
     private static final short MARK = (short) 0xF1A1;
 
-    /** Gets what the records say. */
+    /** Receives the decoded records. */
     interface Reader {
         void taken(StoredMessage taken);
 
@@ -32,7 +32,7 @@
         void clock(StoredTimes.ClockReading mark);
     }
 
-    /** What was found besides whole records. */
+    /** What was found besides valid records: damaged places, and bytes of an incomplete record at the end. */
     record ReadResult(int damaged, int truncatedBytes) {}
 
     private enum Type {
@@ -62,7 +62,7 @@
             out.writeBoolean(t.fromDead());
             out.writeInt(t.body().length);
             out.write(t.body());
-            if (t.tenant() != null || t.booking() != null) { // where neither is used, as it always was
+            if (t.tenant() != null || t.booking() != null) { // without both, the format is that of earlier versions
                 out.writeUTF(t.tenant() == null ? "" : t.tenant());
                 out.writeUTF(t.booking() == null ? "" : t.booking());
             }
@@ -91,7 +91,7 @@
         });
     }
 
-    /** The clocks as a file is begun: what the times in it belong to. */
+    /** The clocks when a file is created; its stored times refer to them. */
     static byte[] clock(StoredTimes.ClockReading mark) {
         return record(Type.CLOCK, 0, out -> {
             out.writeUTF(mark.boot());
@@ -112,14 +112,17 @@
             out.writeLong(id);
             content.write(out);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a stream into memory, or a text longer than a head can hold
+            throw new UncheckedIOException(e); // in-memory stream: only a string that exceeds the limit of writeUTF
         }
         return withHeader(bytes.toByteArray());
     }
 
-    /** Writes mark, length and checksum into the first bytes of a record, which are left free for them. */
+    /** Writes marker, length and checksum into the first {@link #HEADER} bytes of a record, which are reserved for them. */
     static byte[] withHeader(byte[] all) {
-        ByteBuffer.wrap(all).putShort(MARK).putInt(all.length - HEADER).putInt(checksum(all, HEADER, all.length - HEADER));
+        ByteBuffer.wrap(all)
+                .putShort(MARK)
+                .putInt(all.length - HEADER)
+                .putInt(checksum(all, HEADER, all.length - HEADER));
         return all;
     }
 
@@ -129,11 +132,11 @@
         return (int) crc.getValue();
     }
 
-    /** Reads all whole records; what is damaged is passed over, what is cut off at the end dropped. */
+    /** Reads all valid records; skips damaged ones and drops an incomplete one at the end. */
     static ReadResult read(byte[] file, Reader reader) {
         int damaged = 0;
         int at = 0;
-        int bad = -1; // start of what cannot be read
+        int bad = -1; // start of unreadable bytes, or -1
         while (at < file.length) {
             int length = validLength(file, at);
             if (length < 0) {
@@ -146,14 +149,14 @@
                 bad = -1;
             }
             if (!readContent(file, at + HEADER, length, reader)) {
-                damaged++; // whole, but not of this program's making
+                damaged++; // valid checksum, but unknown content
             }
             at += HEADER + length;
         }
         return new ReadResult(damaged, bad < 0 ? 0 : file.length - bad);
     }
 
-    /** Whether what is left from a place on is the beginning of a record that was being written. */
+    /** Whether the bytes from an offset on are the beginning of a record whose write was interrupted. */
     static boolean isTruncatedRecord(byte[] file, int at) {
         ByteBuffer rest = ByteBuffer.wrap(file, at, file.length - at);
         if (rest.remaining() < Short.BYTES) {
@@ -165,7 +168,7 @@
         return rest.remaining() < Integer.BYTES || rest.getInt() > file.length - at - HEADER;
     }
 
-    /** Length of the content of the record at a place, or -1 if there is no whole one. */
+    /** Length of the content of the record at an offset, or -1 if there is no valid record. */
     static int validLength(byte[] file, int at) {
         if (file.length - at < HEADER) {
             return -1;
@@ -181,7 +184,7 @@
         return header.getInt() == checksum(file, at + HEADER, length) ? length : -1;
     }
 
-    /** Hands over one record; false if it says nothing that this program knows. */
+    /** Decodes one record and passes it to the reader; false if its type or content is unknown. */
     private static boolean readContent(byte[] file, int at, int length, Reader reader) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(file, at, length))) {
             int number = in.readByte();
@@ -225,7 +228,7 @@
             }
             return true;
         } catch (IOException | IllegalArgumentException e) {
-            return false; // shorter than its kind, or with a length that none has
+            return false; // too short for its type, or with an impossible length
         }
     }
 }
--- a/src/main/java/firstair/relay/store/StateFolder.java
+++ b/src/main/java/firstair/relay/store/StateFolder.java
@@ -15,9 +15,9 @@
 import java.util.stream.Stream;
 
 /**
- * The files of a {@link Store} in the folder that lasts: generations, of which the highest counts, and a draft that
- * becomes the next one by its name. A file that is no longer needed and cannot be deleted is emptied, and deleted
- * later.
+ * The files of a {@link Store} in the state folder: numbered generations, of which the highest is current, and a
+ * temporary file that is renamed to become the next one. A file that is obsolete but cannot be deleted is truncated,
+ * and deleted later.
  */
 final class StateFolder {
     private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Makes the folder if it is not there.
+     * Creates the folder if it does not exist.
      *
-     * @throws UnusableFolderException if something else stands in its place or in that of its files
+     * @throws UnusableFolderException if the folder's path is not a directory, or the path of a file is one
      */
     void prepare() throws IOException {
         if (Files.exists(folder) && !Files.isDirectory(folder)) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** All generations, the oldest first. */
+    /** All generations, oldest first. */
     List<Path> generations() throws IOException {
         List<Path> found;
         try (Stream<Path> all = Files.list(folder)) {
@@ -65,13 +65,13 @@
         return found;
     }
 
-    /** The number of a generation, -1 if the file is none. */
+    /** The number of a generation, -1 if the file is not a generation. */
     static long generation(Path file) {
         Matcher m = NAME.matcher(file.getFileName().toString());
         return m.matches() ? Long.parseLong(m.group(1)) : -1;
     }
 
-    /** Where a generation stands. */
+    /** Path of the file of a generation. */
     Path pathOf(long generation) {
         return folder.resolve("messages-" + generation + ".log");
     }
@@ -80,13 +80,13 @@
         return folder.resolve(TEMP_NAME);
     }
 
-    /** An empty draft to be written. */
+    /** Opens an empty temporary file for writing. */
     FileChannel newTempFile() throws IOException {
         return FileChannel.open(
                 tempFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
     }
 
-    /** Gives the draft its name; all of it is written by then. */
+    /** Renames the completely written temporary file to its final name. */
     void publish(Path named) throws IOException {
         try {
             Files.move(tempFile(), named, StandardCopyOption.ATOMIC_MOVE);
@@ -94,20 +94,20 @@
             if (!Files.exists(named) || Files.exists(tempFile())) {
                 throw e;
             }
-            // It has its name all the same, and the next start would read it: so it counts.
+            // The rename took effect despite the error, and the next start would read the file: it is current.
         }
     }
 
-    /** A draft that is not to become a generation. */
+    /** Deletes a temporary file that is not to become a generation. */
     void deleteTempFile() {
         try {
             Files.deleteIfExists(tempFile());
         } catch (IOException e) {
-            // the next draft begins by emptying it
+            // the next newTempFile() truncates it
         }
     }
 
-    /** A generation that has a successor. */
+    /** Deletes a generation that has been replaced, or truncates it if it cannot be deleted. */
     void discard(Path old) {
         if (delete(old)) {
             return;
@@ -116,7 +116,7 @@
         try (FileChannel emptied = FileChannel.open(old, StandardOpenOption.WRITE)) {
             emptied.truncate(0);
         } catch (IOException e) {
-            // it takes up room until it can be deleted
+            // it uses disk space until it can be deleted
         }
     }
 
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -18,31 +18,31 @@
 import java.util.logging.Logger;
 
 /**
- * The messages that the relay owes an end, in memory and in one file that is only appended to. When the file
- * has grown to half of the room, what is still open goes to a new file, which then takes the old one's place;
- * so both fit at every moment. Nothing is synced: the folder outlives the process, not the machine.
+ * The messages that have not been completed, in memory and in one append-only file. When the file has grown to half of
+ * the disk space, the open messages are written to a new file that replaces it, so both always fit. Nothing is synced:
+ * the folder outlives the process, not the machine.
  */
 public final class Store {
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
     private static final long READ_TIMEOUT_MS = 5000; // a relay has to be ready within 10 s
     private static final long READ_RETRY_MS = 50;
     private static final long LOGGED_CLOCK_STEP_MS = 1000;
-    private static final int DISK_RESERVE_BYTES = 8192; // bytes of the room left alone: partly used blocks, the folder
-    private static final int ATTEMPTS_RESERVE_BYTES = 1024; // bytes kept for the calls and the end of each message
-    private static final int MAX_BYTES_WITHOUT_BODY = 512; // bytes that a message without its body takes at most
+    private static final int DISK_RESERVE_BYTES = 8192; // not used for records: partly filled blocks, the folder
+    private static final int ATTEMPTS_RESERVE_BYTES = 1024; // reserved for the calls and the outcome of each message
+    private static final int MAX_BYTES_WITHOUT_BODY = 512; // upper bound for the record of a message without its body
 
-    /** A message that is not over, and what is known of it. */
+    /** A message that is not completed, with its calls and its notice. */
     public static final class Open {
         private StoredMessage taken;
         private final List<StoredAttempt> tries = new ArrayList<>();
         private OwedNotice owed;
-        private int attemptBytes; // of the records of its calls
+        private int attemptBytes; // size of the records of its calls
 
         private Open(StoredMessage taken) {
             this.taken = taken;
         }
 
-        /** The message; without its bytes once only its notice is owed. */
+        /** The message; without its body once only its notice is pending. */
         public StoredMessage taken() {
             return taken;
         }
@@ -52,7 +52,7 @@
             return List.copyOf(tries);
         }
 
-        /** The notice that is owed, or null. */
+        /** The notice that the platform has not confirmed yet, or null. */
         public OwedNotice owed() {
             return owed;
         }
@@ -78,7 +78,7 @@
     private long size;
     private long reservedBytes;
     private boolean incomplete; // the file lacks records that could not be written
-    private boolean torn; // the file may hold records of a write that failed
+    private boolean torn; // the file may contain part of a failed write
     private final RateLimitedLogger failures = new RateLimitedLogger(LOG, Level.SEVERE);
     private boolean writeFailureLogged; // that it cannot be written
 
@@ -89,12 +89,12 @@
     }
 
     /**
-     * Reads what is in the folder and begins a new file with what is still open. A folder that fails for a moment is
-     * tried again.
+     * Reads the current file in the folder and writes a new one with the open messages. Transient read failures are
+     * retried.
      *
-     * @param diskBytes bytes that the folder may hold
-     * @param clock     what deadlines and times of calls are told by
-     * @throws UnusableFolderException if the folder cannot be used, or goes on failing
+     * @param diskBytes bytes that the folder may use
+     * @param clock     the clock of deadlines and of the times of calls
+     * @throws UnusableFolderException if the folder cannot be used, or reading still fails after the retries
      */
     public static Store open(Path folder, long diskBytes, BootClock clock) throws IOException {
         Store store = new Store(folder, diskBytes, clock);
@@ -102,7 +102,7 @@
         try {
             store.rewrite();
         } catch (IOException e) {
-            // What was read is still owed: serve it, take nothing new, and try again with each round.
+            // Deliver the messages that were read, accept no new ones, and retry the write with each flush.
             store.incomplete = true;
             store.writeFailureLogged = store.failures.log("store: cannot write: " + UnusableFolderException.reason(e));
         }
@@ -128,7 +128,7 @@
                 if (clock.nowMs() >= end) {
                     throw UnusableFolderException.unreadable(of, e);
                 }
-                failures.log("store: cannot read, trying again: " + UnusableFolderException.reason(e));
+                failures.log("store: cannot read, retrying: " + UnusableFolderException.reason(e));
                 waitBeforeRetry();
             }
         }
@@ -139,7 +139,7 @@
             TimeUnit.MILLISECONDS.sleep(READ_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("told to end while the folder was read");
+            throw new InterruptedIOException("interrupted while reading the state folder");
         }
     }
 
@@ -191,33 +191,34 @@
         StoredTimes times = new StoredTimes(fileClock[0], clock);
         open.values().forEach(o -> o.convertTimes(times));
         if (Math.abs(times.wallStepMs()) >= LOGGED_CLOCK_STEP_MS) {
-            LOG.info("store: the wall clock was stepped by " + times.wallStepMs() + " ms, which moves no deadline");
+            LOG.info("store: the wall clock was stepped by " + times.wallStepMs() + " ms; deadlines are not affected");
         }
         open.values().forEach(o -> reservedBytes += o.reservedBytes());
         if (found.damaged() > 0) {
-            LOG.severe("store: " + found.damaged() + " damaged places in " + path.getFileName() + " passed over");
+            LOG.severe("store: " + found.damaged() + " damaged places in " + path.getFileName() + " skipped");
         }
         if (found.truncatedBytes() > 0) {
-            LOG.info("store: last record was cut off, " + found.truncatedBytes() + " bytes dropped");
+            LOG.info("store: incomplete last record, " + found.truncatedBytes() + " bytes dropped");
         }
     }
 
-    /** The messages that are not over. */
+    /** The messages that are not completed. */
     public Collection<Open> open() {
         return List.copyOf(open.values());
     }
 
-    /** The highest number that any message here has, or -1. */
+    /** The highest id of the open messages, or -1. */
     public long lastId() {
         return open.keySet().stream().mapToLong(Long::longValue).max().orElse(-1);
     }
 
-    /** Whether there is room for one more message with so many bytes. */
+    /** Whether there is space for one more message with a body of this size. */
     public boolean fits(int bodyBytes) {
-        return !incomplete && reservedBytes + bodyBytes + MAX_BYTES_WITHOUT_BODY + ATTEMPTS_RESERVE_BYTES <= maxFileBytes();
+        return !incomplete
+                && reservedBytes + bodyBytes + MAX_BYTES_WITHOUT_BODY + ATTEMPTS_RESERVE_BYTES <= maxFileBytes();
     }
 
-    /** A message is about to be taken on. */
+    /** Records a message that is about to be accepted. */
     public void taken(StoredMessage t) {
         Open o = new Open(t);
         open.put(t.id(), o);
@@ -225,13 +226,13 @@
         pending.writeBytes(Records.taken(t));
     }
 
-    /** Calls of a message that have been noted, -1 if the message is over. */
+    /** Number of recorded calls of a message, -1 if the message is completed. */
     public int tries(long id) {
         Open o = open.get(id);
         return o == null ? -1 : o.tries.size();
     }
 
-    /** A call is about to be written; returns its number among the calls of the message. */
+    /** Records a call that is about to be sent; returns its index among the calls of the message. */
     public int called(long id, String endpoint, long sentAt) {
         Open o = open.get(id);
         StoredAttempt t = new StoredAttempt(endpoint, sentAt, true);
@@ -244,7 +245,7 @@
         return o.tries.size() - 1;
     }
 
-    /** What is known of a call by now. */
+    /** Records whether a call may have run. */
     public void ended(long id, int attempt, boolean maybeRan) {
         Open o = open.get(id);
         if (o != null && attempt < o.tries.size()) {
@@ -254,7 +255,7 @@
         }
     }
 
-    /** The message has ended and a notice of it is owed; its bytes are no longer needed. */
+    /** Records that the message has ended and its notice is pending; its body is no longer needed. */
     public void owed(long id, OwedNotice owed) {
         Open o = open.get(id);
         if (o != null) {
@@ -266,7 +267,7 @@
         }
     }
 
-    /** Nothing more is owed for the message. */
+    /** Records that the message is completed. */
     public void over(long id) {
         Open o = open.remove(id);
         if (o != null) {
@@ -275,7 +276,7 @@
         }
     }
 
-    /** Writes what has been noted since the last call; false if it is not in the file now. */
+    /** Writes all records since the last flush; false if they could not be written. */
     public boolean flush() {
         if (pending.size() == 0 && !incomplete) {
             return true;
@@ -289,21 +290,22 @@
                 append(bytes);
             }
             if (writeFailureLogged) {
-                LOG.info("store: writing again");
+                LOG.info("store: writes succeed again");
             }
             writeFailureLogged = false;
             incomplete = false;
             return true;
         } catch (IOException e) {
-            writeFailureLogged = writeFailureLogged || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
+            writeFailureLogged =
+                    writeFailureLogged || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
             incomplete = true;
             return false;
         }
     }
 
     /**
-     * Whether nothing that a failed {@link #flush} was to write is in a file all the same: then the next start will not
-     * find it.
+     * Whether the file is known to contain nothing of a failed {@link #flush}, so that the next start cannot read any of
+     * it.
      */
     public boolean certain() {
         return !torn;
@@ -319,7 +321,7 @@
         }
     }
 
-    /** Takes back what a failed write has left behind the last whole record. */
+    /** Removes what a failed write has left after the last complete record. */
     private void truncateFailedWrite() {
         try {
             file.truncate(size);
@@ -335,14 +337,14 @@
         }
     }
 
-    /** Bytes that one file may hold, so that it and its successor fit beside what could not be deleted. */
+    /** Size limit in bytes of one file: it and its successor must fit beside the files that could not be deleted. */
     private long maxFileBytes() {
         return (diskBytes - folder.undeletedBytes()) / 2 - DISK_RESERVE_BYTES;
     }
 
     private void rewrite() throws IOException {
         if (folder.undeletedBytes() + size + reservedBytes > diskBytes - DISK_RESERVE_BYTES) {
-            throw new IOException("no room beside files that cannot be deleted");
+            throw new IOException("not enough disk space beside files that cannot be deleted");
         }
         FileChannel next = folder.newTempFile();
         Path named = folder.pathOf(generation + 1);
@@ -355,7 +357,7 @@
             folder.deleteTempFile();
             throw e;
         }
-        // From here on the new file is the one that counts, whatever becomes of the old one.
+        // From here on the new file is current, even if closing or deleting the old one fails.
         FileChannel before = file;
         Path old = path;
         generation++;
@@ -397,11 +399,11 @@
                 file.close();
             }
         } catch (IOException e) {
-            // nothing is buffered here: what was written is with the system
+            // nothing is buffered here: the operating system has all that was written
         }
     }
 
-    /** Writes what is left to be written and closes the file. */
+    /** Flushes and closes the file. */
     public void close() {
         flush();
         close(file);
--- a/src/main/java/firstair/relay/store/StoredMessage.java
+++ b/src/main/java/firstair/relay/store/StoredMessage.java
@@ -1,18 +1,18 @@
 package firstair.relay.store;
 
 /**
- * A message that the relay has taken on.
+ * A message that the relay has accepted.
  *
  * @param id         the relay's own number for it
- * @param requestId  the id under which it was handed in
+ * @param requestId  the request id under which the client submitted it
  * @param className  name of its class
  * @param key        its key, or null
- * @param deadlineAt end of its time, by {@link BootClock#nowMs}
- * @param again      it was handed in before and refused
- * @param fromDead   a relay had it when that relay died
- * @param body       its bytes as they came
- * @param tenant     whose it is, or null
- * @param booking    what it draws on, or null
+ * @param deadlineAt its deadline, by {@link BootClock#nowMs}
+ * @param again      whether it was submitted before and refused
+ * @param fromDead   whether a relay held it when that relay crashed
+ * @param body       its bytes as received
+ * @param tenant     the tenant that it belongs to, or null
+ * @param booking    the booking that it is charged to, or null
  */
 public record StoredMessage(
         long id,
@@ -27,7 +27,7 @@
         String tenant,
         String booking) {
 
-    /** One of no tenant and on no booking. */
+    /** A message without a tenant and without a booking. */
     public StoredMessage(
             long id,
             String requestId,
--- a/src/main/java/firstair/relay/store/UnusableFolderException.java
+++ b/src/main/java/firstair/relay/store/UnusableFolderException.java
@@ -4,7 +4,7 @@
 import java.nio.file.FileSystemException;
 import java.nio.file.Path;
 
-/** The folder that lasts cannot be used; the message is one line for an operator, with what to do. */
+/** The state folder cannot be used; the message is one line that tells the operator what to do. */
 public final class UnusableFolderException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -12,19 +12,19 @@
         super(message, cause);
     }
 
-    /** Something else stands where the folder belongs. */
+    /** The folder's path is something other than a directory. */
     static UnusableFolderException notADirectory(Path folder) {
         return new UnusableFolderException(
                 "ROUTER_STATE: " + folder + " is no folder; move it away or name another folder", null);
     }
 
-    /** Something else stands where a file of the relay belongs. */
+    /** A directory has the path of one of the relay's files. */
     static UnusableFolderException notAFile(Path file) {
         return new UnusableFolderException(
                 "ROUTER_STATE: " + file + " stands where a file of the relay belongs; move it away", null);
     }
 
-    /** It goes on failing. */
+    /** Reading still fails after the last retry. */
     static UnusableFolderException unreadable(Path folder, IOException last) {
         return new UnusableFolderException(
                 "ROUTER_STATE: " + folder + " cannot be read: " + reason(last)
@@ -32,7 +32,7 @@
                 last);
     }
 
-    /** What went wrong, without the names of Java's classes. */
+    /** The cause for an operator, without Java class names. */
     static String reason(IOException e) {
         if (e instanceof FileSystemException failed) {
             String why = failed.getReason() == null ? e.getClass().getSimpleName() : failed.getReason();
--- a/src/main/java/firstair/relay/store/package-info.java
+++ b/src/main/java/firstair/relay/store/package-info.java
@@ -1,2 +1,2 @@
-/** What survives the process: messages taken on, what was tried for them, and how they ended. */
+/** State that survives the process: accepted messages, their delivery attempts and their outcomes. */
 package firstair.relay.store;
--- a/src/test/java/firstair/relay/store/LedgerFileTest.java
+++ b/src/test/java/firstair/relay/store/LedgerFileTest.java
@@ -36,7 +36,7 @@
 
 class LedgerFileTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
-    private static final long MOST = 200_000;
+    private static final long MAX_BYTES = 200_000;
     private static final Logger LOG = Logger.getLogger(LedgerFile.class.getName());
 
     @TempDir
@@ -47,17 +47,17 @@
     private double now;
 
     @BeforeAll
-    static void sayNothingOfEachCut() {
+    static void silenceTruncationLog() {
         LOG.setLevel(Level.WARNING);
     }
 
     @AfterAll
-    static void sayEverything() {
+    static void restoreLogLevel() {
         LOG.setLevel(null);
     }
 
     private LedgerFile open(boolean first) {
-        return LedgerFile.open(folder, "fleet", "a", VOTERS, first, MOST);
+        return LedgerFile.open(folder, "fleet", "a", VOTERS, first, MAX_BYTES);
     }
 
     private void voter(String name, LedgerMemory memory, Keeper keeper) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Three voters, of which a keeps its ledger in the file. */
+    /** Three voters; voter a stores its ledger in the file. */
     private LedgerFile fleet(LedgerFile file, Keeper keeper) {
         voter("a", file.memory(), keeper);
         for (String other : List.of("b", "c")) {
@@ -111,7 +111,7 @@
         return fleet(file, file);
     }
 
-    /** Has versions agreed, ten at a time. */
+    /** Proposes versions and waits for agreement, ten at a time. */
     private void agree(int from, int count) {
         for (int i = from; i < from + count; i += 10) {
             List<Outcome> came = new ArrayList<>();
@@ -125,14 +125,14 @@
     }
 
     @Test
-    void theFileStaysBoundedOverTenThousandOperationsAndComesBack() throws IOException {
+    void theFileStaysBoundedOverTenThousandOperationsAndIsReadAgain() throws IOException {
         LedgerFile file = fleet();
         long highest = 0;
         for (int i = 0; i < 10_000; i += 100) {
             agree(i, 100);
             highest = Math.max(highest, Files.size(folder.resolve("ledger.log")));
         }
-        assertThat(highest).isLessThan(2 * MOST);
+        assertThat(highest).isLessThan(2 * MAX_BYTES);
         run(2000);
         long last = file.memory().last();
         file.close();
@@ -151,8 +151,8 @@
     }
 
     @Test
-    void cutAtAnyByteItComesBackWithAllThatWasForcedBefore() throws IOException {
-        TreeMap<Long, List<byte[]>> forced = new TreeMap<>(); // what the memory was at each size of the file
+    void truncatedAtAnyByteItKeepsAllThatWasForcedBefore() throws IOException {
+        TreeMap<Long, List<byte[]>> forced = new TreeMap<>(); // the memory at each size of the file
         LedgerFile file = open(true);
         forced.put(file.size(), file.memory().changes());
         fleet(file, new Keeper() {
@@ -191,25 +191,25 @@
     }
 
     @Test
-    void aBentByteInTheMiddleStopsTheStart() throws IOException {
+    void aCorruptByteInTheMiddlePreventsTheStart() throws IOException {
         LedgerFile file = fleet();
         agree(0, 10);
         file.close();
         byte[] all = Files.readAllBytes(folder.resolve("ledger.log"));
         for (int at = 0; at < all.length * 2 / 3; at++) {
-            byte[] bent = all.clone();
-            bent[at] ^= 0x10;
-            Files.write(folder.resolve("ledger.log"), bent);
+            byte[] corrupt = all.clone();
+            corrupt[at] ^= 0x10;
+            Files.write(folder.resolve("ledger.log"), corrupt);
             assertThatThrownBy(() -> open(false)).as("byte %d", at).isInstanceOf(Fault.TornLedger.class);
         }
-        byte[] bent = all.clone();
-        bent[all.length - 1] ^= 1; // whole in length: not cut off, but damaged
-        Files.write(folder.resolve("ledger.log"), bent);
+        byte[] corrupt = all.clone();
+        corrupt[all.length - 1] ^= 1; // full length: corrupt, not truncated
+        Files.write(folder.resolve("ledger.log"), corrupt);
         assertThatThrownBy(() -> open(false)).isInstanceOf(Fault.TornLedger.class);
     }
 
     @Test
-    void anEmptyFolderIsNoFirstStartUnlessToldSo() throws IOException {
+    void anEmptyFolderIsAcceptedOnlyForADeclaredFirstStart() throws IOException {
         assertThatThrownBy(() -> open(false)).isInstanceOf(Fault.LedgerLost.class);
         open(true).close();
         LedgerFile held = open(false);
@@ -217,18 +217,18 @@
                 .isInstanceOf(Fault.LedgerUnwritten.class)
                 .hasMessageContaining("another");
         held.close();
-        Files.write(folder.resolve("ledger.log"), new byte[0]); // emptied, not gone
+        Files.write(folder.resolve("ledger.log"), new byte[0]); // truncated, not deleted
         assertThatThrownBy(() -> open(true)).isInstanceOf(Fault.TornLedger.class);
     }
 
     @Test
-    void onceItCannotWriteItNeverPretendsToAgain() throws IOException {
+    void afterAFailedWriteAllLaterOnesFail() throws IOException {
         LedgerFile file = open(true);
         file.close(); // the next write fails
         assertThatThrownBy(() -> file.keep(new byte[1])).isInstanceOf(IOException.class);
         assertThatThrownBy(file::force).isInstanceOf(IOException.class);
         Path blocked = folder.resolve("ledger.log").resolve("below-a-file");
-        assertThatThrownBy(() -> LedgerFile.open(blocked, "fleet", "a", VOTERS, true, MOST))
+        assertThatThrownBy(() -> LedgerFile.open(blocked, "fleet", "a", VOTERS, true, MAX_BYTES))
                 .isInstanceOf(Fault.LedgerUnwritten.class);
     }
 }
--- a/src/test/java/firstair/relay/store/StoreClockTest.java
+++ b/src/test/java/firstair/relay/store/StoreClockTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Times of a file whose clock is another one's: another boot's, or the wall's in earlier programs (row C6). */
+/** Files whose times are of another clock: of another boot, or the wall clock in earlier versions (row C6). */
 class StoreClockTest {
     private static final long DISK = 200_000;
     private static final long WALL = 1_790_000_000_000L;
@@ -25,8 +25,8 @@
                 .next();
     }
 
-    /** A file begun at 500,000 on the clock of boot one, with a message that has until 520,000. */
-    private void leave() throws IOException {
+    /** Leaves a file created at 500,000 ms on the clock of boot "one", with a message whose deadline is 520,000 ms. */
+    private void writeFile() throws IOException {
         Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
         s.taken(new StoredMessage(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
         s.called(1, "e1", 505_000);
@@ -35,9 +35,9 @@
     }
 
     @Test
-    void withinOneBootTheWallClockDecidesNothing() throws IOException {
+    void withinOneBootTheWallClockIsIgnored() throws IOException {
         for (long step : new long[] {0, 3_600_000, -3_600_000}) {
-            leave();
+            writeFile();
             Store.Open o = reopened("one", 506_000, WALL + 6_000 + step);
             assertThat(o.taken().deadlineAt()).isEqualTo(520_000);
             assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 505_000, true));
@@ -47,7 +47,7 @@
 
     /** Clients may give up to fifteen digits of milliseconds (row P5). */
     @Test
-    void aDeadlineThatIsDecadesAwayIsNoTimeOfTheWall() throws IOException {
+    void aDeadlineDecadesAwayIsNotTakenForUnixTime() throws IOException {
         for (long left : new long[] {1_000_000_000_000L, 999_999_999_999_999L}) {
             Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
             s.taken(new StoredMessage(1, "r1", "order", 7, null, 500_000 + left, false, false, new byte[3]));
@@ -60,21 +60,21 @@
     }
 
     @Test
-    void afterABootWhatMayHaveRunIsLongAgoAndNoDeadlineIsFurtherThanItWas() throws IOException {
+    void afterARebootCallsCountAsLongAgoAndNoDeadlineIsExtended() throws IOException {
         for (long step : new long[] {0, -3_600_000}) {
-            leave();
+            writeFile();
             Store.Open o = reopened("two", 40_000, WALL + 6_000 + step);
             assertThat(o.taken().deadlineAt()).isBetween(40_000 + 14_000L, 40_000 + 20_000L);
             assertThat(o.tries().get(0).sentAt()).isLessThan(40_000 - 24 * 3_600_000L);
             Files.delete(folder.resolve("messages-2.log"));
         }
-        leave();
+        writeFile();
         assertThat(reopened("two", 40_000, WALL + 3_600_000).taken().deadlineAt())
                 .isLessThan(40_000);
     }
 
     @Test
-    void whereTheSystemDoesNotNameItsBootItIsAnotherOne() throws IOException {
+    void withoutABootIdEachStartCountsAsAReboot() throws IOException {
         Store s = Store.open(folder, DISK, new Clocks("", 500_000, WALL));
         s.taken(new StoredMessage(1, "r1", "order", 7, null, 520_000, false, false, new byte[3]));
         s.called(1, "e1", 505_000);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aFileOfAnEarlierProgramHasTheWallsTimes() throws IOException {
+    void aFileOfAnEarlierVersionHoldsUnixTimes() throws IOException {
         Files.write(
                 folder.resolve("messages-3.log"),
                 Records.taken(new StoredMessage(1, "r1", "order", 7, null, WALL + 20_000, false, false, new byte[3])));
--- a/src/test/java/firstair/relay/store/StoreTest.java
+++ b/src/test/java/firstair/relay/store/StoreTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void whatIsOverIsGoneAndNumbersGoOn() throws IOException {
+    void completedMessagesAreRemovedAndIdsContinue() throws IOException {
         Store s = reopened();
         s.taken(message(1, 5));
         s.taken(message(2, 5));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aNoticeIsOwedWithoutTheBytes() throws IOException {
+    void aPendingNoticeKeepsNoBody() throws IOException {
         Store s = reopened();
         s.taken(message(1, 5_000));
         s.owed(1, new OwedNotice(true, 250));
@@ -85,7 +85,7 @@
         assertThat(o.taken().body()).isEmpty();
     }
 
-    /** A process that is killed while it writes leaves a part of a record: nothing before it may be lost. */
+    /** A process killed during a write leaves an incomplete record; the records before it must be kept. */
     @Test
     void aTornLastRecordIsDroppedWhereverItWasCut() throws IOException {
         Store s = reopened();
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aWholeRecordOfAnotherKindIsPassedOver() throws IOException {
+    void aValidRecordOfUnknownTypeIsSkipped() throws IOException {
         Store s = reopened();
         s.taken(message(1, 40));
         s.flush();
@@ -154,15 +154,15 @@
         assertThat(only(reopened()).taken().id()).isEqualTo(1);
     }
 
-    /** With the right checksum, and figures that no record of ours has: it must not keep the relay from starting. */
+    /** A record with a valid checksum but impossible values must not keep the relay from starting. */
     @Test
-    void aWholeRecordWithImpossibleFiguresIsPassedOver() throws IOException {
+    void aValidRecordWithImpossibleValuesIsSkipped() throws IOException {
         Store s = reopened();
         s.taken(message(1, 40));
         s.called(1, "e1", 11);
         s.flush();
         byte[] taken = Records.taken(message(2, 0));
-        java.nio.ByteBuffer.wrap(taken).putInt(taken.length - Integer.BYTES, -1); // its body's length
+        java.nio.ByteBuffer.wrap(taken).putInt(taken.length - Integer.BYTES, -1); // length of the body
         byte[] ended = Records.ended(1, -1, false);
         Path file = files().get(0);
         for (byte[] odd : List.of(taken, ended)) {
@@ -173,9 +173,9 @@
         assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 11, true));
     }
 
-    /** Whatever is spoilt in between, cut away or put in: each message whose records are whole is there. */
+    /** Bytes overwritten, removed or inserted at random: each message whose records are intact is still read. */
     @Test
-    void whateverIsSpoiltWhatIsWholeIsKept() throws IOException {
+    void intactRecordsSurviveAnyCorruption() throws IOException {
         for (long seed = 1; seed <= 200; seed++) {
             java.util.Random random = new java.util.Random(seed);
             Path folderOfSeed = folder.resolve("s" + seed);
@@ -217,9 +217,9 @@
         }
     }
 
-    /** Calls have no number that the store knows of: their records count as they come. */
+    /** The number of calls of a message is not limited: the size of their records must be counted. */
     @Test
-    void messagesWithVeryManyCallsStayWithinTheRoom() throws IOException {
+    void messagesWithVeryManyCallsStayWithinTheDiskLimit() throws IOException {
         Store s = reopened();
         int taken = 0;
         while (s.fits(100) && taken < 40) {
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void oldAndNewFileTogetherStayWithinTheRoom() throws IOException {
+    void oldAndNewFileTogetherStayWithinTheDiskLimit() throws IOException {
         Store s = reopened();
         for (int i = 0; i < 3_000; i++) {
             s.taken(message(i, 300));
@@ -244,7 +244,7 @@
             if (i >= 20) {
                 s.over(i - 20);
             }
-            assertThat(onDisk()).isLessThanOrEqualTo(DISK / 2); // beside it a new one of the same size has room
+            assertThat(onDisk()).isLessThanOrEqualTo(DISK / 2); // a successor of the same size must fit beside it
         }
         assertThat(files()).hasSize(1);
         s.flush();
@@ -252,7 +252,7 @@
     }
 
     @Test
-    void aFullStoreSaysSoAndTakesAgainOnceMessagesEnd() throws IOException {
+    void aFullStoreRejectsMessagesUntilOthersComplete() throws IOException {
         Store s = reopened();
         int taken = 0;
         while (s.fits(1_000)) {
@@ -272,14 +272,14 @@
     }
 
     @Test
-    void aFolderThatCannotBeWrittenRefusesAndIsTriedAgain() throws IOException {
+    void writesToAnUnwritableFolderFailAndAreRetried() throws IOException {
         Store s = reopened();
         Files.delete(files().get(0));
         Files.delete(folder);
         s.taken(message(1, 30_000));
         s.taken(message(2, 30_000));
         s.taken(message(3, 30_000));
-        s.taken(message(4, 30_000)); // more than the open file may grow to: a new one has to be made
+        s.taken(message(4, 30_000)); // exceeds the limit of the open file: a new one must be created
         assertThat(s.flush()).isFalse();
         assertThat(s.fits(1)).isFalse();
         s.over(2);
@@ -292,7 +292,7 @@
     }
 
     @Test
-    void anUnfinishedNewFileIsPassedOver() throws IOException {
+    void anIncompleteTemporaryFileIsIgnored() throws IOException {
         Store s = reopened();
         s.taken(message(1, 5));
         s.flush();
@@ -302,7 +302,7 @@
     }
 
     @Test
-    void whereTwoFilesStandTheNewerOneHolds() throws IOException {
+    void ofTwoGenerationsTheNewerIsRead() throws IOException {
         Store s = reopened();
         s.taken(message(1, 5));
         s.flush();
@@ -310,7 +310,8 @@
         s.over(1);
         s.taken(message(2, 5));
         s.close();
-        Files.write(folder.resolve("messages-0.log"), old); // killed between naming the new and deleting the old
+        Files.write(
+                folder.resolve("messages-0.log"), old); // killed between renaming the new file and deleting the old one
         assertThat(only(reopened()).taken().id()).isEqualTo(2);
     }
 }
