--- a/src/main/java/firstair/relay/platform/NoticePlan.java
+++ b/src/main/java/firstair/relay/platform/NoticePlan.java
@@ -264,9 +264,9 @@
     }
 
     /**
-     * One notice of the post cannot be parsed, or the connection is corrupted. The post is split in halves, so that a bad
-     * notice does not delay others; a single notice is sent again over a new connection at once, and backs off if that
-     * fails too.
+     * One notice of the post cannot be parsed, or the connection is corrupted. The post is split in halves, so that a
+     * bad notice does not delay others; a single notice is sent again over a new connection at once, and backs off if
+     * that fails too.
      */
     private void handleBadRequest(Post p, double now) {
         int half = Math.max(1, p.notices.size() / 2);
--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -164,7 +164,7 @@
         }
     }
 
-    /** One post. Its timers are set before a connection is opened, so that no exception can keep it in flight forever. */
+    /** One post. Its timers are set before a connection is opened, so no exception can keep it in flight forever. */
     private final class Post implements Link.Exchange {
         private final NoticePlan.Post planned;
         private final InetSocketAddress to = address;
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -117,7 +117,7 @@
         return withHeader(bytes.toByteArray());
     }
 
-    /** Writes marker, length and checksum into the first {@link #HEADER} bytes of a record, which are reserved for them. */
+    /** Writes marker, length and checksum into the first {@link #HEADER} bytes of a record, reserved for them. */
     static byte[] withHeader(byte[] all) {
         ByteBuffer.wrap(all)
                 .putShort(MARK)
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -304,8 +304,8 @@
     }
 
     /**
-     * Whether the file is known to contain nothing of a failed {@link #flush}, so that the next start cannot read any of
-     * it.
+     * Whether the file is known to contain nothing of a failed {@link #flush}, so that the next start cannot read any
+     * of it.
      */
     public boolean certain() {
         return !torn;
--- a/src/test/java/firstair/relay/platform/NoticePlanTest.java
+++ b/src/test/java/firstair/relay/platform/NoticePlanTest.java
@@ -84,7 +84,7 @@
      * 04.221 post over a new connection}.
      */
     @Test
-    void aNoticeAnswered400OnceIsSentAgainAtOnce() {
+    void aNoticeThatWasAnswered400OnceGoesAgainAtOnce() {
         add(1, 300);
         plan.complete(plan.next(0), 20, 400);
         NoticePlan.Post again = plan.next(20);
@@ -104,7 +104,7 @@
      * notices 10: post over a new connection}, the first one with it, when a third of its time had long passed.
      */
     @Test
-    void aNoticeWaitsForAnotherPostNoLongerThanForItsOwn() {
+    void aNoticeWaitsBehindAPostNoLongerThanForAnAnswerOfItsOwn() {
         add(1, 450);
         NoticePlan.Post silent = plan.next(0);
         assertThat(silent.slowAfterMs()).isEqualTo(150);
--- a/src/test/java/firstair/relay/store/StoreClockTest.java
+++ b/src/test/java/firstair/relay/store/StoreClockTest.java
@@ -47,7 +47,7 @@
 
     /** Clients may give up to fifteen digits of milliseconds (row P5). */
     @Test
-    void aDeadlineDecadesAwayIsNotTakenForUnixTime() throws IOException {
+    void aDeadlineThatIsDecadesAwayIsNoTimeOfTheWall() throws IOException {
         for (long left : new long[] {1_000_000_000_000L, 999_999_999_999_999L}) {
             Store s = Store.open(folder, DISK, new Clocks("one", 500_000, WALL));
             s.taken(new StoredMessage(1, "r1", "order", 7, null, 500_000 + left, false, false, new byte[3]));
--- a/src/test/java/firstair/relay/store/StoreTest.java
+++ b/src/test/java/firstair/relay/store/StoreTest.java
@@ -175,7 +175,7 @@
 
     /** Bytes overwritten, removed or inserted at random: each message whose records are intact is still read. */
     @Test
-    void intactRecordsSurviveAnyCorruption() throws IOException {
+    void whateverIsSpoiltWhatIsWholeIsKept() throws IOException {
         for (long seed = 1; seed <= 200; seed++) {
             java.util.Random random = new java.util.Random(seed);
             Path folderOfSeed = folder.resolve("s" + seed);
@@ -302,7 +302,7 @@
     }
 
     @Test
-    void ofTwoGenerationsTheNewerIsRead() throws IOException {
+    void whereTwoFilesStandTheNewerOneHolds() throws IOException {
         Store s = reopened();
         s.taken(message(1, 5));
         s.flush();
