--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -21,8 +21,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tells the platform of messages that end without being delivered, and repeats each notice until it is confirmed.
- * {@link NoticePlan} decides; this opens connections and keeps the time. All methods run on the loop's thread.
+ * Notifies the platform of messages that end without being delivered, and repeats each notice until it is confirmed.
+ * {@link NoticePlan} decides; this class opens connections and sets timers. All methods run on the loop's thread.
  */
 public final class Notices {
     private static final Logger LOG = Logger.getLogger(Notices.class.getName());
@@ -35,22 +35,22 @@
     private final LongConsumer confirmed;
     private final Runnable unreachable;
     private final NoticePlan plan;
-    private final Map<NoticePlan.Post, Post> out = new HashMap<>();
+    private final Map<NoticePlan.Post, Post> inFlight = new HashMap<>();
     private InetSocketAddress address;
     private Link idle;
-    private Loop.Timer again;
-    private double againAt = Double.POSITIVE_INFINITY; // when that is due
-    private final RateLimitedLogger delays = new RateLimitedLogger(LOG, Level.WARNING);
-    private final RateLimitedLogger answers = new RateLimitedLogger(LOG, Level.WARNING);
-    private final RateLimitedLogger faults = new RateLimitedLogger(LOG, Level.SEVERE);
-    private boolean told; // that notices are overdue
-    private long posts; // so far
+    private Loop.Timer wakeTimer;
+    private double wakeAt = Double.POSITIVE_INFINITY; // when wakeTimer is due
+    private final RateLimitedLogger overdueLog = new RateLimitedLogger(LOG, Level.WARNING);
+    private final RateLimitedLogger answerLog = new RateLimitedLogger(LOG, Level.WARNING);
+    private final RateLimitedLogger faultLog = new RateLimitedLogger(LOG, Level.SEVERE);
+    private boolean overdueLogged;
+    private long postCount;
 
     /**
-     * Nothing is owed at first.
+     * Starts without pending notices.
      *
-     * @param confirmed   told of each message whose notice has been confirmed
-     * @param unreachable told when a connection for notices broke or never came up
+     * @param confirmed   receives the id of each message whose notice has been confirmed
+     * @param unreachable called when a connection for notices broke or could not be opened
      */
     public Notices(
             Dialer dialer,
@@ -71,9 +71,9 @@
     }
 
     /**
-     * A notice is owed from now on.
+     * Adds a pending notice.
      *
-     * @param dueAt until when it is in time, on the loop's clock
+     * @param dueAt when it is due, on the loop's clock
      */
     public void add(long id, String requestId, OwedNotice notice, double dueAt) {
         JsonObject o = new JsonObject();
@@ -86,77 +86,77 @@
     }
 
     /**
-     * Notices go elsewhere from now on. What is out at the old place is posted again at once: its answer may never
-     * come, and a notice may come twice.
+     * Sends notices to a new address from now on. Notices in flight to the old address are posted again at once: their
+     * answers may never arrive, so a notice may arrive twice.
      */
     public void move(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
-        keep(null);
-        plan.moved();
+        keepIdle(null);
+        plan.addressChanged();
         flush();
     }
 
-    /** Other limits hold from now on. */
+    /** Replaces the limits. */
     public void tune(Limits.Notices to) {
         limits = to;
-        plan.tune(to);
+        plan.setLimits(to);
     }
 
-    /** How many notices are not confirmed. */
+    /** Number of unconfirmed notices. */
     public int owed() {
-        return plan.owed();
+        return plan.pending();
     }
 
-    /** Whether posts have failed of late while a notice can still be in time. */
+    /** Whether the platform has not confirmed since it failed, and a notice can still be in time. */
     public boolean pressing() {
         return plan.pressing(loop.now());
     }
 
-    /** Posts what is owed, as the plan has it; called at the end of each round. */
+    /** Sends the posts that are ready by the plan; called at the end of each loop round. */
     public void flush() {
-        NoticePlan.Post surplus = plan.surplus();
+        NoticePlan.Post surplus = plan.postToAbandon();
         if (surplus != null) {
-            out.get(surplus).end(NoticePlan.NONE, false);
+            inFlight.get(surplus).end(NoticePlan.NO_ANSWER, false);
         }
         double now = loop.now();
         for (NoticePlan.Post next = plan.next(now); next != null; next = plan.next(now)) {
             Post p = new Post(next);
-            out.put(next, p);
+            inFlight.put(next, p);
             p.start();
         }
-        double at = plan.owed() > 0 ? plan.wakeAt() : Double.POSITIVE_INFINITY;
-        if (at > now && at < againAt) {
-            if (again != null) {
-                again.cancel();
+        double at = plan.pending() > 0 ? plan.wakeAt() : Double.POSITIVE_INFINITY;
+        if (at > now && at < wakeAt) {
+            if (wakeTimer != null) {
+                wakeTimer.cancel();
             }
-            againAt = at;
-            again = loop.after(at - now, () -> {
-                again = null;
-                againAt = Double.POSITIVE_INFINITY;
+            wakeAt = at;
+            wakeTimer = loop.after(at - now, () -> {
+                wakeTimer = null;
+                wakeAt = Double.POSITIVE_INFINITY;
                 flush();
             });
         }
     }
 
-    /** Tells of notices that could not be in time, once for each spell of trouble. */
+    /** Logs overdue notices, once until all of them have been confirmed. */
     public void sweep() {
-        int late = plan.overdue(loop.now());
-        if (late > 0 && !told) {
-            told = delays.log(
+        int late = plan.countOverdue(loop.now());
+        if (late > 0 && !overdueLogged) {
+            overdueLogged = overdueLog.log(
                     late + " notices are overdue: the platform at " + HostPort.of(address) + " has not confirmed them");
         }
-        if (told && plan.recovered()) {
-            told = false;
-            double[] all = plan.lateness();
+        if (overdueLogged && plan.recovered()) {
+            overdueLogged = false;
+            double[] all = plan.takeOverdueStats();
             LOG.warning("the platform confirms again: " + (long) all[0] + " notices were overdue, by "
                     + Math.round(all[1]) + " ms at most");
         }
     }
 
-    private void keep(Link link) {
+    private void keepIdle(Link link) {
         Link before = idle;
         idle = link;
         if (before != null && before != link) {
@@ -164,33 +164,33 @@
         }
     }
 
-    /** One post. Its times are set before anything is opened, so that no fault below can keep it out for ever. */
+    /** One post. Its timers are set before a connection is opened, so no exception can keep it in flight forever. */
     private final class Post implements Link.Exchange {
         private final NoticePlan.Post planned;
         private final InetSocketAddress to = address;
         private Link link;
-        private Loop.Timer slow;
-        private Loop.Timer late;
+        private Loop.Timer slowTimer;
+        private Loop.Timer answerTimer;
         private volatile int status;
-        private final long number = posts++;
+        private final long number = postCount++;
 
         Post(NoticePlan.Post planned) {
             this.planned = planned;
         }
 
         void start() {
-            slow = loop.after(planned.patienceMs(), () -> {
+            slowTimer = loop.after(planned.slowAfterMs(), () -> {
                 plan.slow(planned);
                 flush();
             });
-            late = loop.after(limits.answerMs(), () -> end(status, false));
+            answerTimer = loop.after(limits.answerMs(), () -> end(status, false));
             byte[] request = HttpWriter.request("POST", "/status", HostPort.of(to))
                     .header("Content-Type", "application/x-ndjson")
                     .body(planned.body());
-            trace((planned.fresh() ? "post over a new connection, " : "post, ") + planned.patienceMs()
-                    + " ms of patience: " + new String(planned.body(), StandardCharsets.UTF_8).replace('\n', ' '));
+            trace((planned.newConnection() ? "post over a new connection, " : "post, ") + planned.slowAfterMs()
+                    + " ms until slow: " + new String(planned.body(), StandardCharsets.UTF_8).replace('\n', ' '));
             try {
-                Link kept = planned.fresh() ? null : idle;
+                Link kept = planned.newConnection() ? null : idle;
                 if (kept != null) {
                     idle = null;
                     if (kept.send(request, this)) {
@@ -200,8 +200,8 @@
                 }
                 link = dialer.open(to, maxBody, request, this, () -> {});
             } catch (RuntimeException e) {
-                faults.log("fault under a notice", e);
-                loop.post(() -> end(NoticePlan.NONE, false));
+                faultLog.log("unexpected exception while posting notices", e);
+                loop.post(() -> end(NoticePlan.NO_ANSWER, false));
             }
         }
 
@@ -212,21 +212,21 @@
         }
 
         private void end(int how, boolean reusable) {
-            if (out.remove(planned) == null) {
-                return; // over before: given up for a further one, or answered after its time
+            if (inFlight.remove(planned) == null) {
+                return; // completed before: abandoned for another post, or timed out
             }
-            slow.cancel();
-            late.cancel();
-            trace("post over with " + how);
+            slowTimer.cancel();
+            answerTimer.cancel();
+            trace("post ended with status " + how);
             if (reusable && how == CONFIRMED && to.equals(address)) {
-                keep(link);
+                keepIdle(link);
             } else if (link != null) {
                 link.leave();
             }
-            if (how != NoticePlan.NONE && how != CONFIRMED) {
-                answers.log("platform answered a notice with " + how);
+            if (how != NoticePlan.NO_ANSWER && how != CONFIRMED) {
+                answerLog.log("platform answered a notice with " + how);
             }
-            List<Long> over = plan.ended(planned, loop.now(), how);
+            List<Long> over = plan.complete(planned, loop.now(), how);
             over.forEach(confirmed::accept);
         }
 
@@ -237,7 +237,7 @@
 
         @Override
         public void body(byte[] bytes, int offset, int length) {
-            // what the platform writes beside its status means nothing
+            // only the status is relevant
         }
 
         @Override
@@ -249,7 +249,7 @@
         public void broken(boolean maybeArrived) {
             loop.post(() -> {
                 trace("connection broke");
-                end(NoticePlan.NONE, false);
+                end(NoticePlan.NO_ANSWER, false);
                 unreachable.run();
             });
         }
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -10,14 +10,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of the file: records, each with a mark, the length of its content, a checksum and the content. The
- * mark lets a reader find the next whole record behind a damaged one.
+ * The file format: records, each with a marker, the length of its content, a checksum and the content. The marker lets
+ * a reader find the next valid record after a damaged one.
  */
 final class Records {
     static final int HEADER = 10;
     private static final short MARK = (short) 0xF1A1;
 
-    /** Gets what the records say. */
+    /** Receives the decoded records. */
     interface Reader {
         void taken(StoredMessage taken);
 
@@ -29,11 +29,11 @@
 
         void over(long id);
 
-        void clock(StoredTimes.Mark mark);
+        void clock(StoredTimes.ClockReading mark);
     }
 
-    /** What was found besides whole records. */
-    record Found(int damaged, int tornBytes) {}
+    /** What was found besides valid records: damaged places, and bytes of an incomplete record at the end. */
+    record ReadResult(int damaged, int truncatedBytes) {}
 
     private enum Type {
         TAKEN,
@@ -62,7 +62,7 @@
             out.writeBoolean(t.fromDead());
             out.writeInt(t.body().length);
             out.write(t.body());
-            if (t.tenant() != null || t.booking() != null) { // where neither is used, as it always was
+            if (t.tenant() != null || t.booking() != null) { // without both, the format is that of earlier versions
                 out.writeUTF(t.tenant() == null ? "" : t.tenant());
                 out.writeUTF(t.booking() == null ? "" : t.booking());
             }
@@ -91,8 +91,8 @@
         });
     }
 
-    /** The clocks as a file is begun: what the times in it belong to. */
-    static byte[] clock(StoredTimes.Mark mark) {
+    /** The clocks when a file is created; its stored times refer to them. */
+    static byte[] clock(StoredTimes.ClockReading mark) {
         return record(Type.CLOCK, 0, out -> {
             out.writeUTF(mark.boot());
             out.writeLong(mark.nowMs());
@@ -112,30 +112,33 @@
             out.writeLong(id);
             content.write(out);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a stream into memory, or a text longer than a head can hold
+            throw new UncheckedIOException(e); // in-memory stream: only a string that exceeds the limit of writeUTF
         }
-        return sealed(bytes.toByteArray());
+        return withHeader(bytes.toByteArray());
     }
 
-    /** Writes mark, length and checksum into the first bytes of a record, which are left free for them. */
-    static byte[] sealed(byte[] all) {
-        ByteBuffer.wrap(all).putShort(MARK).putInt(all.length - HEADER).putInt(sum(all, HEADER, all.length - HEADER));
+    /** Writes marker, length and checksum into the first {@link #HEADER} bytes of a record, reserved for them. */
+    static byte[] withHeader(byte[] all) {
+        ByteBuffer.wrap(all)
+                .putShort(MARK)
+                .putInt(all.length - HEADER)
+                .putInt(checksum(all, HEADER, all.length - HEADER));
         return all;
     }
 
-    private static int sum(byte[] bytes, int offset, int length) {
+    private static int checksum(byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, offset, length);
         return (int) crc.getValue();
     }
 
-    /** Reads all whole records; what is damaged is passed over, what is cut off at the end dropped. */
-    static Found read(byte[] file, Reader reader) {
+    /** Reads all valid records; skips damaged ones and drops an incomplete one at the end. */
+    static ReadResult read(byte[] file, Reader reader) {
         int damaged = 0;
         int at = 0;
-        int bad = -1; // start of what cannot be read
+        int bad = -1; // start of unreadable bytes, or -1
         while (at < file.length) {
-            int length = whole(file, at);
+            int length = validLength(file, at);
             if (length < 0) {
                 bad = bad < 0 ? at : bad;
                 at++;
@@ -145,16 +148,16 @@
                 damaged++;
                 bad = -1;
             }
-            if (!content(file, at + HEADER, length, reader)) {
-                damaged++; // whole, but not of this program's making
+            if (!readContent(file, at + HEADER, length, reader)) {
+                damaged++; // valid checksum, but unknown content
             }
             at += HEADER + length;
         }
-        return new Found(damaged, bad < 0 ? 0 : file.length - bad);
+        return new ReadResult(damaged, bad < 0 ? 0 : file.length - bad);
     }
 
-    /** Whether what is left from a place on is the beginning of a record that was being written. */
-    static boolean cutOff(byte[] file, int at) {
+    /** Whether the bytes from an offset on are the beginning of a record whose write was interrupted. */
+    static boolean isTruncatedRecord(byte[] file, int at) {
         ByteBuffer rest = ByteBuffer.wrap(file, at, file.length - at);
         if (rest.remaining() < Short.BYTES) {
             return rest.get() == (byte) (MARK >> 8);
@@ -165,8 +168,8 @@
         return rest.remaining() < Integer.BYTES || rest.getInt() > file.length - at - HEADER;
     }
 
-    /** Length of the content of the record at a place, or -1 if there is no whole one. */
-    static int whole(byte[] file, int at) {
+    /** Length of the content of the record at an offset, or -1 if there is no valid record. */
+    static int validLength(byte[] file, int at) {
         if (file.length - at < HEADER) {
             return -1;
         }
@@ -178,11 +181,11 @@
         if (length <= 0 || length > file.length - at - HEADER) {
             return -1;
         }
-        return header.getInt() == sum(file, at + HEADER, length) ? length : -1;
+        return header.getInt() == checksum(file, at + HEADER, length) ? length : -1;
     }
 
-    /** Hands over one record; false if it says nothing that this program knows. */
-    private static boolean content(byte[] file, int at, int length, Reader reader) {
+    /** Decodes one record and passes it to the reader; false if its type or content is unknown. */
+    private static boolean readContent(byte[] file, int at, int length, Reader reader) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(file, at, length))) {
             int number = in.readByte();
             if (number < 0 || number >= Type.values().length) {
@@ -220,12 +223,12 @@
                 case ENDED -> reader.ended(id, in.readInt(), in.readBoolean());
                 case OWED -> reader.owed(id, new OwedNotice(in.readBoolean(), in.readDouble()));
                 case OVER -> reader.over(id);
-                case CLOCK -> reader.clock(new StoredTimes.Mark(in.readUTF(), in.readLong(), in.readLong()));
+                case CLOCK -> reader.clock(new StoredTimes.ClockReading(in.readUTF(), in.readLong(), in.readLong()));
                 default -> throw new IllegalStateException(type.name());
             }
             return true;
         } catch (IOException | IllegalArgumentException e) {
-            return false; // shorter than its kind, or with a length that none has
+            return false; // too short for its type, or with an impossible length
         }
     }
 }
--- a/src/main/java/firstair/relay/store/StateFolder.java
+++ b/src/main/java/firstair/relay/store/StateFolder.java
@@ -15,13 +15,13 @@
 import java.util.stream.Stream;
 
 /**
- * The files of a {@link Store} in the folder that lasts: generations, of which the highest counts, and a draft that
- * becomes the next one by its name. A file that is no longer needed and cannot be deleted is emptied, and deleted
- * later.
+ * The files of a {@link Store} in the state folder: numbered generations, of which the highest is current, and a
+ * temporary file that is renamed to become the next one. A file that is obsolete but cannot be deleted is truncated,
+ * and deleted later.
  */
 final class StateFolder {
     private static final Pattern NAME = Pattern.compile("messages-(\\d{1,18})\\.log");
-    private static final String DRAFT = "messages.tmp";
+    private static final String TEMP_NAME = "messages.tmp";
 
     private final Path folder;
     private final List<Path> undeleted = new ArrayList<>();
@@ -31,23 +31,23 @@
     }
 
     /**
-     * Makes the folder if it is not there.
+     * Creates the folder if it does not exist.
      *
-     * @throws UnusableFolderException if something else stands in its place or in that of its files
+     * @throws UnusableFolderException if the folder's path is not a directory, or the path of a file is one
      */
     void prepare() throws IOException {
         if (Files.exists(folder) && !Files.isDirectory(folder)) {
-            throw UnusableFolderException.noFolder(folder);
+            throw UnusableFolderException.notADirectory(folder);
         }
         if (!Files.isDirectory(folder)) {
             Files.createDirectories(folder);
         }
-        if (Files.isDirectory(draft())) {
-            throw UnusableFolderException.noFile(draft());
+        if (Files.isDirectory(tempFile())) {
+            throw UnusableFolderException.notAFile(tempFile());
         }
     }
 
-    /** All generations, the oldest first. */
+    /** All generations, oldest first. */
     List<Path> generations() throws IOException {
         List<Path> found;
         try (Stream<Path> all = Files.list(folder)) {
@@ -59,55 +59,55 @@
         }
         for (Path p : found) {
             if (Files.isDirectory(p)) {
-                throw UnusableFolderException.noFile(p);
+                throw UnusableFolderException.notAFile(p);
             }
         }
         return found;
     }
 
-    /** The number of a generation, -1 if the file is none. */
+    /** The number of a generation, -1 if the file is not a generation. */
     static long generation(Path file) {
         Matcher m = NAME.matcher(file.getFileName().toString());
         return m.matches() ? Long.parseLong(m.group(1)) : -1;
     }
 
-    /** Where a generation stands. */
-    Path named(long generation) {
+    /** Path of the file of a generation. */
+    Path pathOf(long generation) {
         return folder.resolve("messages-" + generation + ".log");
     }
 
-    private Path draft() {
-        return folder.resolve(DRAFT);
+    private Path tempFile() {
+        return folder.resolve(TEMP_NAME);
     }
 
-    /** An empty draft to be written. */
-    FileChannel newDraft() throws IOException {
+    /** Opens an empty temporary file for writing. */
+    FileChannel newTempFile() throws IOException {
         return FileChannel.open(
-                draft(), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
+                tempFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING);
     }
 
-    /** Gives the draft its name; all of it is written by then. */
+    /** Renames the completely written temporary file to its final name. */
     void publish(Path named) throws IOException {
         try {
-            Files.move(draft(), named, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(tempFile(), named, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            if (!Files.exists(named) || Files.exists(draft())) {
+            if (!Files.exists(named) || Files.exists(tempFile())) {
                 throw e;
             }
-            // It has its name all the same, and the next start would read it: so it counts.
+            // The rename took effect despite the error, and the next start would read the file: it is current.
         }
     }
 
-    /** A draft that is not to become a generation. */
-    void dropDraft() {
+    /** Deletes a temporary file that is not to become a generation. */
+    void deleteTempFile() {
         try {
-            Files.deleteIfExists(draft());
+            Files.deleteIfExists(tempFile());
         } catch (IOException e) {
-            // the next draft begins by emptying it
+            // the next newTempFile() truncates it
         }
     }
 
-    /** A generation that has a successor. */
+    /** Deletes a generation that has been replaced, or truncates it if it cannot be deleted. */
     void discard(Path old) {
         if (delete(old)) {
             return;
@@ -116,7 +116,7 @@
         try (FileChannel emptied = FileChannel.open(old, StandardOpenOption.WRITE)) {
             emptied.truncate(0);
         } catch (IOException e) {
-            // it takes up room until it can be deleted
+            // it uses disk space until it can be deleted
         }
     }
 
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -18,31 +18,31 @@
 import java.util.logging.Logger;
 
 /**
- * The messages that the relay owes an end, in memory and in one file that is only appended to. When the file
- * has grown to half of the room, what is still open goes to a new file, which then takes the old one's place;
- * so both fit at every moment. Nothing is synced: the folder outlives the process, not the machine.
+ * The messages that have not been completed, in memory and in one append-only file. When the file has grown to half of
+ * the disk space, the open messages are written to a new file that replaces it, so both always fit. Nothing is synced:
+ * the folder outlives the process, not the machine.
  */
 public final class Store {
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
-    private static final long READ_PATIENCE_MS = 5000; // a relay has to be ready within 10 s
-    private static final long READ_AGAIN_MS = 50;
-    private static final long STEP_TOLD_MS = 1000;
-    private static final int SLACK = 8192; // bytes of the room left alone: partly used blocks, the folder
-    private static final int PER_MESSAGE = 1024; // bytes kept for the calls and the end of each message
-    private static final int WITHOUT_BODY = 512; // bytes that a message without its body takes at most
-
-    /** A message that is not over, and what is known of it. */
+    private static final long READ_TIMEOUT_MS = 5000; // a relay has to be ready within 10 s
+    private static final long READ_RETRY_MS = 50;
+    private static final long LOGGED_CLOCK_STEP_MS = 1000;
+    private static final int DISK_RESERVE_BYTES = 8192; // not used for records: partly filled blocks, the folder
+    private static final int ATTEMPTS_RESERVE_BYTES = 1024; // reserved for the calls and the outcome of each message
+    private static final int MAX_BYTES_WITHOUT_BODY = 512; // upper bound for the record of a message without its body
+
+    /** A message that is not completed, with its calls and its notice. */
     public static final class Open {
         private StoredMessage taken;
         private final List<StoredAttempt> tries = new ArrayList<>();
         private OwedNotice owed;
-        private int callBytes; // of the records of its calls
+        private int attemptBytes; // size of the records of its calls
 
         private Open(StoredMessage taken) {
             this.taken = taken;
         }
 
-        /** The message; without its bytes once only its notice is owed. */
+        /** The message; without its body once only its notice is pending. */
         public StoredMessage taken() {
             return taken;
         }
@@ -52,18 +52,18 @@
             return List.copyOf(tries);
         }
 
-        /** The notice that is owed, or null. */
+        /** The notice that the platform has not confirmed yet, or null. */
         public OwedNotice owed() {
             return owed;
         }
 
-        private void convert(StoredTimes times) {
+        private void convertTimes(StoredTimes times) {
             taken = taken.withDeadlineAt(times.deadlineAt(taken.deadlineAt()));
             tries.replaceAll(t -> new StoredAttempt(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
         }
 
-        private int cost() {
-            return taken.body().length + WITHOUT_BODY + Math.max(PER_MESSAGE, callBytes);
+        private int reservedBytes() {
+            return taken.body().length + MAX_BYTES_WITHOUT_BODY + Math.max(ATTEMPTS_RESERVE_BYTES, attemptBytes);
         }
     }
 
@@ -76,11 +76,11 @@
     private Path path;
     private long generation;
     private long size;
-    private long cost;
-    private boolean behind; // the file lacks records that could not be written
-    private boolean torn; // the file may hold records of a write that failed
+    private long reservedBytes;
+    private boolean incomplete; // the file lacks records that could not be written
+    private boolean torn; // the file may contain part of a failed write
     private final RateLimitedLogger failures = new RateLimitedLogger(LOG, Level.SEVERE);
-    private boolean told; // that it cannot be written
+    private boolean writeFailureLogged; // that it cannot be written
 
     private Store(Path folder, long diskBytes, BootClock clock) {
         this.clock = clock;
@@ -89,12 +89,12 @@
     }
 
     /**
-     * Reads what is in the folder and begins a new file with what is still open. A folder that fails for a moment is
-     * tried again.
+     * Reads the current file in the folder and writes a new one with the open messages. Transient read failures are
+     * retried.
      *
-     * @param diskBytes bytes that the folder may hold
-     * @param clock     what deadlines and times of calls are told by
-     * @throws UnusableFolderException if the folder cannot be used, or goes on failing
+     * @param diskBytes bytes that the folder may use
+     * @param clock     the clock of deadlines and of the times of calls
+     * @throws UnusableFolderException if the folder cannot be used, or reading still fails after the retries
      */
     public static Store open(Path folder, long diskBytes, BootClock clock) throws IOException {
         Store store = new Store(folder, diskBytes, clock);
@@ -102,15 +102,15 @@
         try {
             store.rewrite();
         } catch (IOException e) {
-            // What was read is still owed: serve it, take nothing new, and try again with each round.
-            store.behind = true;
-            store.told = store.failures.log("store: cannot write: " + UnusableFolderException.reason(e));
+            // Deliver the messages that were read, accept no new ones, and retry the write with each flush.
+            store.incomplete = true;
+            store.writeFailureLogged = store.failures.log("store: cannot write: " + UnusableFolderException.reason(e));
         }
         return store;
     }
 
     private void read(Path of) throws IOException {
-        long end = clock.nowMs() + READ_PATIENCE_MS;
+        long end = clock.nowMs() + READ_TIMEOUT_MS;
         while (true) {
             try {
                 folder.prepare();
@@ -118,7 +118,7 @@
                 if (!files.isEmpty()) {
                     path = files.get(files.size() - 1);
                     generation = StateFolder.generation(path);
-                    take(Files.readAllBytes(path));
+                    load(Files.readAllBytes(path));
                 }
                 files.subList(0, Math.max(0, files.size() - 1)).forEach(folder::discard);
                 return;
@@ -126,26 +126,26 @@
                 throw e;
             } catch (IOException e) {
                 if (clock.nowMs() >= end) {
-                    throw UnusableFolderException.failing(of, e);
+                    throw UnusableFolderException.unreadable(of, e);
                 }
-                failures.log("store: cannot read, trying again: " + UnusableFolderException.reason(e));
-                pause();
+                failures.log("store: cannot read, retrying: " + UnusableFolderException.reason(e));
+                waitBeforeRetry();
             }
         }
     }
 
-    private static void pause() throws IOException {
+    private static void waitBeforeRetry() throws IOException {
         try {
-            TimeUnit.MILLISECONDS.sleep(READ_AGAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(READ_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("told to end while the folder was read");
+            throw new InterruptedIOException("interrupted while reading the state folder");
         }
     }
 
-    private void take(byte[] file) {
-        StoredTimes.Mark[] begun = new StoredTimes.Mark[1];
-        Records.Found found = Records.read(file, new Records.Reader() {
+    private void load(byte[] file) {
+        StoredTimes.ClockReading[] fileClock = new StoredTimes.ClockReading[1];
+        Records.ReadResult found = Records.read(file, new Records.Reader() {
             @Override
             public void taken(StoredMessage t) {
                 open.put(t.id(), new Open(t));
@@ -156,7 +156,7 @@
                 Open o = open.get(id);
                 if (o != null) {
                     o.tries.add(t);
-                    o.callBytes += Records.called(id, t).length;
+                    o.attemptBytes += Records.called(id, t).length;
                 }
             }
 
@@ -184,67 +184,68 @@
             }
 
             @Override
-            public void clock(StoredTimes.Mark mark) {
-                begun[0] = mark;
+            public void clock(StoredTimes.ClockReading mark) {
+                fileClock[0] = mark;
             }
         });
-        StoredTimes times = new StoredTimes(begun[0], clock);
-        open.values().forEach(o -> o.convert(times));
-        if (Math.abs(times.wallStepMs()) >= STEP_TOLD_MS) {
-            LOG.info("store: the wall clock was stepped by " + times.wallStepMs() + " ms, which moves no deadline");
+        StoredTimes times = new StoredTimes(fileClock[0], clock);
+        open.values().forEach(o -> o.convertTimes(times));
+        if (Math.abs(times.wallStepMs()) >= LOGGED_CLOCK_STEP_MS) {
+            LOG.info("store: the wall clock was stepped by " + times.wallStepMs() + " ms; deadlines are not affected");
         }
-        open.values().forEach(o -> cost += o.cost());
+        open.values().forEach(o -> reservedBytes += o.reservedBytes());
         if (found.damaged() > 0) {
-            LOG.severe("store: " + found.damaged() + " damaged places in " + path.getFileName() + " passed over");
+            LOG.severe("store: " + found.damaged() + " damaged places in " + path.getFileName() + " skipped");
         }
-        if (found.tornBytes() > 0) {
-            LOG.info("store: last record was cut off, " + found.tornBytes() + " bytes dropped");
+        if (found.truncatedBytes() > 0) {
+            LOG.info("store: incomplete last record, " + found.truncatedBytes() + " bytes dropped");
         }
     }
 
-    /** The messages that are not over. */
+    /** The messages that are not completed. */
     public Collection<Open> open() {
         return List.copyOf(open.values());
     }
 
-    /** The highest number that any message here has, or -1. */
+    /** The highest id of the open messages, or -1. */
     public long lastId() {
         return open.keySet().stream().mapToLong(Long::longValue).max().orElse(-1);
     }
 
-    /** Whether there is room for one more message with so many bytes. */
+    /** Whether there is space for one more message with a body of this size. */
     public boolean fits(int bodyBytes) {
-        return !behind && cost + bodyBytes + WITHOUT_BODY + PER_MESSAGE <= room();
+        return !incomplete
+                && reservedBytes + bodyBytes + MAX_BYTES_WITHOUT_BODY + ATTEMPTS_RESERVE_BYTES <= maxFileBytes();
     }
 
-    /** A message is about to be taken on. */
+    /** Records a message that is about to be accepted. */
     public void taken(StoredMessage t) {
         Open o = new Open(t);
         open.put(t.id(), o);
-        cost += o.cost();
+        reservedBytes += o.reservedBytes();
         pending.writeBytes(Records.taken(t));
     }
 
-    /** Calls of a message that have been noted, -1 if the message is over. */
+    /** Number of recorded calls of a message, -1 if the message is completed. */
     public int tries(long id) {
         Open o = open.get(id);
         return o == null ? -1 : o.tries.size();
     }
 
-    /** A call is about to be written; returns its number among the calls of the message. */
+    /** Records a call that is about to be sent; returns its index among the calls of the message. */
     public int called(long id, String endpoint, long sentAt) {
         Open o = open.get(id);
         StoredAttempt t = new StoredAttempt(endpoint, sentAt, true);
         byte[] record = Records.called(id, t);
-        cost -= o.cost();
+        reservedBytes -= o.reservedBytes();
         o.tries.add(t);
-        o.callBytes += record.length;
-        cost += o.cost();
+        o.attemptBytes += record.length;
+        reservedBytes += o.reservedBytes();
         pending.writeBytes(record);
         return o.tries.size() - 1;
     }
 
-    /** What is known of a call by now. */
+    /** Records whether a call may have run. */
     public void ended(long id, int attempt, boolean maybeRan) {
         Open o = open.get(id);
         if (o != null && attempt < o.tries.size()) {
@@ -254,56 +255,57 @@
         }
     }
 
-    /** The message has ended and a notice of it is owed; its bytes are no longer needed. */
+    /** Records that the message has ended and its notice is pending; its body is no longer needed. */
     public void owed(long id, OwedNotice owed) {
         Open o = open.get(id);
         if (o != null) {
-            cost -= o.cost();
+            reservedBytes -= o.reservedBytes();
             o.owed = owed;
             o.taken = o.taken.withoutBody();
-            cost += o.cost();
+            reservedBytes += o.reservedBytes();
             pending.writeBytes(Records.owed(id, owed));
         }
     }
 
-    /** Nothing more is owed for the message. */
+    /** Records that the message is completed. */
     public void over(long id) {
         Open o = open.remove(id);
         if (o != null) {
-            cost -= o.cost();
+            reservedBytes -= o.reservedBytes();
             pending.writeBytes(Records.over(id));
         }
     }
 
-    /** Writes what has been noted since the last call; false if it is not in the file now. */
+    /** Writes all records since the last flush; false if they could not be written. */
     public boolean flush() {
-        if (pending.size() == 0 && !behind) {
+        if (pending.size() == 0 && !incomplete) {
             return true;
         }
         byte[] bytes = pending.toByteArray();
         pending.reset();
         try {
-            if (behind || size + bytes.length > room()) {
+            if (incomplete || size + bytes.length > maxFileBytes()) {
                 rewrite();
             } else {
                 append(bytes);
             }
-            if (told) {
-                LOG.info("store: writing again");
+            if (writeFailureLogged) {
+                LOG.info("store: writes succeed again");
             }
-            told = false;
-            behind = false;
+            writeFailureLogged = false;
+            incomplete = false;
             return true;
         } catch (IOException e) {
-            told = told || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
-            behind = true;
+            writeFailureLogged =
+                    writeFailureLogged || failures.log("store: cannot write: " + UnusableFolderException.reason(e));
+            incomplete = true;
             return false;
         }
     }
 
     /**
-     * Whether nothing that a failed {@link #flush} was to write is in a file all the same: then the next start will not
-     * find it.
+     * Whether the file is known to contain nothing of a failed {@link #flush}, so that the next start cannot read any
+     * of it.
      */
     public boolean certain() {
         return !torn;
@@ -314,13 +316,13 @@
             write(file, bytes);
             size += bytes.length;
         } catch (IOException e) {
-            cutBack();
+            truncateFailedWrite();
             throw e;
         }
     }
 
-    /** Takes back what a failed write has left behind the last whole record. */
-    private void cutBack() {
+    /** Removes what a failed write has left after the last complete record. */
+    private void truncateFailedWrite() {
         try {
             file.truncate(size);
         } catch (IOException e) {
@@ -335,27 +337,27 @@
         }
     }
 
-    /** Bytes that one file may hold, so that it and its successor fit beside what could not be deleted. */
-    private long room() {
-        return (diskBytes - folder.undeletedBytes()) / 2 - SLACK;
+    /** Size limit in bytes of one file: it and its successor must fit beside the files that could not be deleted. */
+    private long maxFileBytes() {
+        return (diskBytes - folder.undeletedBytes()) / 2 - DISK_RESERVE_BYTES;
     }
 
     private void rewrite() throws IOException {
-        if (folder.undeletedBytes() + size + cost > diskBytes - SLACK) {
-            throw new IOException("no room beside files that cannot be deleted");
+        if (folder.undeletedBytes() + size + reservedBytes > diskBytes - DISK_RESERVE_BYTES) {
+            throw new IOException("not enough disk space beside files that cannot be deleted");
         }
-        FileChannel next = folder.newDraft();
-        Path named = folder.named(generation + 1);
+        FileChannel next = folder.newTempFile();
+        Path named = folder.pathOf(generation + 1);
         long written;
         try {
             written = writeAll(next);
             folder.publish(named);
         } catch (IOException e) {
             close(next);
-            folder.dropDraft();
+            folder.deleteTempFile();
             throw e;
         }
-        // From here on the new file is the one that counts, whatever becomes of the old one.
+        // From here on the new file is current, even if closing or deleting the old one fails.
         FileChannel before = file;
         Path old = path;
         generation++;
@@ -371,7 +373,7 @@
 
     private long writeAll(FileChannel next) throws IOException {
         ByteArrayOutputStream block = new ByteArrayOutputStream();
-        block.writeBytes(Records.clock(StoredTimes.Mark.of(clock)));
+        block.writeBytes(Records.clock(StoredTimes.ClockReading.of(clock)));
         long written = 0;
         for (Open o : open.values()) {
             block.writeBytes(Records.taken(o.taken));
@@ -381,7 +383,7 @@
             if (o.owed != null) {
                 block.writeBytes(Records.owed(o.taken.id(), o.owed));
             }
-            if (block.size() >= SLACK) {
+            if (block.size() >= DISK_RESERVE_BYTES) {
                 write(next, block.toByteArray());
                 written += block.size();
                 block.reset();
@@ -397,11 +399,11 @@
                 file.close();
             }
         } catch (IOException e) {
-            // nothing is buffered here: what was written is with the system
+            // nothing is buffered here: the operating system has all that was written
         }
     }
 
-    /** Writes what is left to be written and closes the file. */
+    /** Flushes and closes the file. */
     public void close() {
         flush();
         close(file);
