--- a/src/main/java/firstair/fleet/member/Member.java
+++ b/src/main/java/firstair/fleet/member/Member.java
@@ -2,42 +2,42 @@
 
 import firstair.fleet.talk.Note;
 
-/** What we hold of one other member. */
+/** The local view of one other member. */
 final class Member {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final String name;
     long incarnation; // 0 until heard of
     int refutation;
-    Note.Status status = Note.Status.GONE; // nobody is there before it is heard of
-    double heardAt = NEVER; // any note of this incarnation
-    double answeredAt = NEVER; // an answer to something that we asked, so both ways work
-    int toTell; // how often its rumour goes out with preference
+    Note.Status status = Note.Status.GONE; // until the first note or rumour about it
+    double heardAt = NEVER; // latest note of this incarnation
+    double answeredAt = NEVER; // latest answer to a request of ours: both directions work
+    int pendingBroadcasts; // remaining times its rumour is sent with priority
 
     double suspectedAt;
-    double goneAt; // end of the suspicion, where nothing refutes it
-    boolean ours; // we ourselves found no way to it
-    boolean kept; // to ourselves: it began while we had doubts about ourselves
-    boolean lastCall; // the second half of the suspicion, with a majority behind us
-    int asks; // since then, without an answer
-    double askedAt = NEVER;
-    long askNonce;
+    double suspicionEndsAt; // unless it is refuted before
+    boolean detectedLocally; // our own probes of it failed
+    boolean unpublished; // suspicion not gossiped: it began while our own health was degraded
+    boolean confirming; // final phase of the suspicion, while a majority answers us
+    int unansweredProbes; // since the suspicion or its final phase began
+    double reprobedAt = NEVER;
+    long reprobeNonce;
 
     Probe probe;
 
-    /** A hello that waits for its answer. */
+    /** A hello whose answer is pending. */
     static final class Probe {
         final long nonce;
         final double startedAt;
-        final boolean counts; // whether its outcome says something about ourselves
-        double endsAt;
-        int tries = 1;
+        final boolean affectsHealth; // whether a missing answer counts against our own health
+        double deadline;
+        int attempts = 1;
 
         Probe(long nonce, double startedAt, double endsAt, boolean counts) {
             this.nonce = nonce;
             this.startedAt = startedAt;
-            this.endsAt = endsAt;
-            this.counts = counts;
+            this.deadline = endsAt;
+            this.affectsHealth = counts;
         }
     }
 
@@ -49,8 +49,8 @@
         return new Note.Rumour(name, incarnation, refutation, status);
     }
 
-    /** Whether a rumour says more than what is held. */
-    boolean olderThan(Note.Rumour r) {
+    /** Whether a rumour is newer than the local view. */
+    boolean supersededBy(Note.Rumour r) {
         if (r.incarnation() != incarnation) {
             return r.incarnation() > incarnation;
         } else if (r.refutation() != refutation) {
@@ -59,8 +59,8 @@
         return r.status().compareTo(status) > 0;
     }
 
-    /** Nothing of an earlier incarnation is kept. */
-    void startAnew(long newer) {
+    /** Switches to a newer incarnation and discards the state of the earlier one. */
+    void resetTo(long newer) {
         incarnation = newer;
         heardAt = NEVER;
         answeredAt = NEVER;
--- a/src/main/java/firstair/fleet/member/Membership.java
+++ b/src/main/java/firstair/fleet/member/Membership.java
@@ -16,61 +16,64 @@
 import java.util.Random;
 
 /**
- * Who is there, as far as this relay can know. Every {@code helloMs} it says hello to one other member, to each once in
- * a round of its own order. Who doesn't answer is asked for by others; who is not reached by them either is suspected,
- * and everybody hears of that, the suspected one as well, which refutes it. Who doesn't for long is gone, until it is
- * heard again: one that is gone is still tried in every third round.
+ * Membership as seen by this relay, by SWIM-style probing and gossip. Every {@code helloMs} it sends a hello to one other
+ * member, to each once per round in random order. A member that doesn't answer is probed through other members; if they
+ * don't reach it either, it is suspected. The suspicion is gossiped to all, the suspected member included, which refutes
+ * it. A member that doesn't refute it in time is gone until it is heard again; gone members are still probed in every
+ * third round.
  *
- * <p>A relay that hears little itself, or was stopped for a while, tells nobody of its suspicions and declares nobody
- * gone; and nobody is declared gone before a majority of all members has answered us since the suspicion began, so a
- * relay that is cut off cannot do it. A status is a help to choose whom to ask. Nothing that must hold hangs on it.
+ * <p>A relay whose own health is degraded, or that was suspended for a while, doesn't publish its suspicions and declares
+ * no member gone. None is declared gone before a majority of all members has answered us since the suspicion began,
+ * so an isolated relay cannot do it. Status is a hint for choosing whom to ask; no safety property depends on it.
  *
- * <p>No I/O, no clock, no thread: {@code now} is in milliseconds of the relay's own advancing clock.
+ * <p>No I/O, no clock, no thread: {@code now} is in milliseconds of the relay's monotonic clock.
  */
 public class Membership {
-    private static final int TRIES = 3; // of one hello; all but the first also through others
-    private static final int HELPERS = 3; // asked for one who doesn't answer
-    private static final int ASKS = 4; // further ones without an answer before anybody is gone
-    private static final int GONE_EVERY = 3; // rounds between hellos to one that is gone
-    private static final int TOLD_FIRST = 10; // rumours in a message at most
-    private static final int TOLD = 5; // a message is filled up to so many with what is long known
-    private static final double TELLINGS = 1.5; // of one rumour by one relay, times the logarithm of the members
-    private static final double SUSPICION = 8; // hellos until a suspected one is gone, times that logarithm
-    private static final int MOST_REFUTATION = Integer.MAX_VALUE - 1;
-    private static final int FAREWELLS = 10; // members that hear of our end from ourselves
-    private static final int ERRANDS = 4; // hellos on behalf of others that are under way, for each member
-
-    /** A hello on behalf of another member. */
-    private record Errand(String asker, long nonce, String about, double endsAt) {}
+    private static final int PROBE_ATTEMPTS = 3; // per hello; all but the first also through other members
+    private static final int INDIRECT_PROBES = 3; // members asked to probe one that doesn't answer
+    private static final int MIN_UNANSWERED_PROBES = 4; // further unanswered hellos before a suspect is gone
+    private static final int GONE_PROBE_ROUNDS = 3; // a gone member is probed once in so many rounds
+    private static final int MAX_RUMOURS = 10; // most rumours in a message
+    private static final int FILL_RUMOURS = 5; // a message is filled up to so many with older rumours
+    private static final double BROADCAST_FACTOR =
+            1.5; // sends of a rumour by one relay, times log2 of the member count
+    private static final double SUSPICION_FACTOR =
+            8; // hello intervals until a suspect is gone, times log2 of the member count
+    private static final int MAX_REFUTATION = Integer.MAX_VALUE - 1;
+    private static final int MAX_LEAVING_NOTES = 10; // members that we notify of our shutdown ourselves
+    private static final int MAX_INDIRECT_PER_MEMBER = 4; // pending hellos on behalf of others, times the other members
+
+    /** A hello sent on behalf of another member. */
+    private record IndirectProbe(String requester, long nonce, String target, double endsAt) {}
 
     private final Setup setup;
     private final long incarnation;
     private final Random random;
     private final Outbox out;
     private final Map<String, Member> others = new LinkedHashMap<>();
-    private final List<Member> known; // the same ones, in an order of our own
-    private final Map<Long, Errand> errands = new LinkedHashMap<>();
-    private final Health health;
+    private final List<Member> known; // the same members in this relay's random order
+    private final Map<Long, IndirectProbe> indirectProbes = new LinkedHashMap<>();
+    private final LocalHealth health;
     private final double suspicionMs;
-    private final int tellings;
+    private final int broadcasts;
 
     private int refutation;
     private long nonce;
     private List<Member> round = List.of();
     private int rounds;
     private int nextInRound;
-    private int nextToTell;
-    private int nextSuspect;
-    private double helloAt = Double.NaN; // not started
+    private int rumourCursor;
+    private int suspectCursor;
+    private double nextHelloAt = Double.NaN; // not started
     private double wakeAt = Double.POSITIVE_INFINITY;
     private Fault steppedBack;
     private boolean left;
 
     /**
-     * A relay that knows the names of all members and has heard of none.
+     * Starts with the names of all members, none of which has been heard yet.
      *
-     * @param incarnation of our process: higher than that of all before it under our name, above 0
-     * @param random      for the order in which others are asked
+     * @param incarnation of this process: above 0 and higher than that of any earlier process of this name
+     * @param random      for the order in which members are probed
      */
     public Membership(Setup setup, long incarnation, Random random, Outbox out) {
         this.setup = setup;
@@ -84,20 +87,20 @@
         }
         known = new ArrayList<>(others.values());
         Collections.shuffle(known, random);
-        health = new Health(others.size(), 2 * setup.delayMs());
+        health = new LocalHealth(others.size(), 2 * setup.delayMs());
         double logarithm = Math.max(1, Math.log(setup.members().size() + 1.0) / Math.log(2));
-        suspicionMs = SUSPICION * logarithm * setup.helloMs();
-        tellings = (int) Math.ceil(TELLINGS * logarithm);
+        suspicionMs = SUSPICION_FACTOR * logarithm * setup.helloMs();
+        broadcasts = (int) Math.ceil(BROADCAST_FACTOR * logarithm);
         nonce = random.nextLong();
     }
 
     // ---- events ----
 
     /**
-     * A note came from a member, of whatever kind: that it came counts as well.
+     * Handles a note of any kind; receiving it also shows that its sender is alive.
      *
-     * @param from   the sender; others than members are ignored
-     * @param sender its incarnation; notes of an earlier one than the newest heard of are ignored
+     * @param from   the sender; ignored unless it is a member
+     * @param sender its incarnation; notes of an incarnation older than the newest known are ignored
      */
     public void heard(double now, String from, long sender, Note note) {
         if (from.equals(setup.self()) && sender > incarnation) {
@@ -107,65 +110,65 @@
         if (m == null || silent() || sender <= 0 || sender < m.incarnation) {
             return;
         }
-        noticePause(now);
+        detectPause(now);
         if (sender > m.incarnation) {
-            adopt(m, new Rumour(from, sender, 0, Status.ALIVE), now);
+            apply(m, new Rumour(from, sender, 0, Status.ALIVE), now);
         }
         m.heardAt = now;
         if (note instanceof Note.Hello hello) {
             hello.rumours().forEach(r -> learn(r, now));
-            say(m, new Note.HelloBack(hello.nonce(), rumours(m)));
+            send(m, new Note.HelloBack(hello.nonce(), rumours(m)));
         } else if (note instanceof Note.HelloBack back) {
-            answered(m, back.nonce(), now, true);
+            onAnswer(m, back.nonce(), now, true);
             back.rumours().forEach(r -> learn(r, now));
-            Errand errand = errands.get(back.nonce());
-            if (errand != null && errand.about().equals(from)) {
-                errands.remove(back.nonce());
-                say(others.get(errand.asker()), new Note.HeardOf(errand.nonce(), from, sender));
+            IndirectProbe errand = indirectProbes.get(back.nonce());
+            if (errand != null && errand.target().equals(from)) {
+                indirectProbes.remove(back.nonce());
+                send(others.get(errand.requester()), new Note.HeardOf(errand.nonce(), from, sender));
             }
         } else if (note instanceof Note.AskAbout ask) {
-            runErrand(m, ask, now);
+            probeOnBehalf(m, ask, now);
         } else if (note instanceof Note.HeardOf heard) {
             Member about = others.get(heard.member());
             learn(new Rumour(heard.member(), heard.incarnation(), 0, Status.ALIVE), now);
             if (about != null && heard.incarnation() == about.incarnation) {
-                answered(about, heard.nonce(), now, false);
+                onAnswer(about, heard.nonce(), now, false);
             }
         } else if (note instanceof Note.Leaving) {
-            m.answeredAt = Double.NEGATIVE_INFINITY; // what it answered before its end says nothing now
+            m.answeredAt = Double.NEGATIVE_INFINITY; // answers from before its shutdown are no evidence any more
             learn(new Rumour(from, sender, m.refutation, Status.GONE), now);
         }
     }
 
-    /** Does what is due. Returns when it wants to be called again, on the same clock; infinite for never. */
+    /** Runs due timers. Returns when to call it next, on the same clock; infinite for never. */
     public double timer(double now) {
         if (silent() || others.isEmpty()) {
             return Double.POSITIVE_INFINITY;
         }
-        if (Double.isNaN(helloAt)) {
-            helloAt = now;
+        if (Double.isNaN(nextHelloAt)) {
+            nextHelloAt = now;
         }
-        noticePause(now);
-        errands.values().removeIf(e -> e.endsAt() <= now);
+        detectPause(now);
+        indirectProbes.values().removeIf(e -> e.endsAt() <= now);
         for (Member m : others.values()) {
-            if (m.probe != null && m.probe.endsAt <= now) {
-                unanswered(m, now);
+            if (m.probe != null && m.probe.deadline <= now) {
+                onTimeout(m, now);
             }
-            if (m.status == Status.SUSPECT && m.goneAt <= now) {
-                suspicionEnds(m, now);
+            if (m.status == Status.SUSPECT && m.suspicionEndsAt <= now) {
+                onSuspicionEnd(m, now);
             }
         }
-        if (helloAt <= now) {
-            // a little uneven, lest all relays of a release speak at once
-            helloAt = Math.max(now, helloAt + setup.helloMs() * (0.95 + 0.1 * random.nextDouble()));
-            hello(now);
-            askAgain(now);
+        if (nextHelloAt <= now) {
+            // jitter: relays deployed together must not send in step
+            nextHelloAt = Math.max(now, nextHelloAt + setup.helloMs() * (0.95 + 0.1 * random.nextDouble()));
+            sendHello(now);
+            reprobeSuspect(now);
         }
         wakeAt = due();
         return wakeAt;
     }
 
-    /** Another process was heard that started later under our name: this one falls silent. */
+    /** A process that started later uses our name: this one stops sending for good. */
     public void nameTaken() {
         if (steppedBack == null) {
             steppedBack = new Fault.NameTaken(setup.self());
@@ -173,18 +176,21 @@
         }
     }
 
-    /** Our process ends in order: some others are told, who tell the rest; after that this one is silent. */
+    /** Orderly shutdown: notifies some members, which gossip it to the rest, then stops sending. */
     public void leave() {
         if (silent()) {
             return;
         }
-        known.stream().filter(m -> m.status == Status.ALIVE).limit(FAREWELLS).forEach(m -> say(m, new Note.Leaving()));
+        known.stream()
+                .filter(m -> m.status == Status.ALIVE)
+                .limit(MAX_LEAVING_NOTES)
+                .forEach(m -> send(m, new Note.Leaving()));
         left = true;
     }
 
-    // ---- what is held ----
+    // ---- local view ----
 
-    /** How a member is held to be; ourselves alive; gone what was never heard of or is no member. */
+    /** Status of a member: ourselves alive; gone where it was never heard of or is no member. */
     public Status status(String member) {
         if (member.equals(setup.self())) {
             return Status.ALIVE;
@@ -193,7 +199,7 @@
         return m == null ? Status.GONE : m.status;
     }
 
-    /** The newest incarnation heard of, 0 for none. */
+    /** The newest known incarnation of a member, 0 for none. */
     public long incarnation(String member) {
         if (member.equals(setup.self())) {
             return incarnation;
@@ -202,7 +208,7 @@
         return m == null ? 0 : m.incarnation;
     }
 
-    /** The other members that are held to be there, in the order of the setup; nobody once we have fallen silent. */
+    /** The other members with status alive, in the order of the setup; empty once this process has stopped sending. */
     public List<String> alive() {
         return silent()
                 ? List.of()
@@ -212,22 +218,22 @@
                         .toList();
     }
 
-    /** How many other members we have heard ourselves within so many ms. */
+    /** Number of other members from which a note arrived directly within the last {@code ms}. */
     public int heardWithin(double now, double ms) {
         return (int) others.values().stream().filter(m -> m.heardAt >= now - ms).count();
     }
 
-    /** Whether we hear too little to judge others; also right after the start, after a pause, and once silent. */
+    /** Whether too few answers arrive to judge others; also right after the start, after a pause and once stopped. */
     public boolean doubtful() {
-        return silent() || health.doubtful();
+        return silent() || health.degraded();
     }
 
-    /** Why this process has fallen silent for good, or null while it has not. */
+    /** Why this process has stopped sending for good, or null while it has not. */
     public Fault steppedBack() {
         return steppedBack;
     }
 
-    /** How long a suspicion lasts at the least before its member is gone, ms. */
+    /** Shortest time from a suspicion to its member being gone, ms. */
     public double suspicionMs() {
         return suspicionMs;
     }
@@ -239,49 +245,49 @@
     // ---- hellos ----
 
     private double due() {
-        double at = helloAt;
+        double at = nextHelloAt;
         for (Member m : others.values()) {
             if (m.probe != null) {
-                at = Math.min(at, m.probe.endsAt);
+                at = Math.min(at, m.probe.deadline);
             }
             if (m.status == Status.SUSPECT) {
-                at = Math.min(at, m.goneAt);
+                at = Math.min(at, m.suspicionEndsAt);
             }
         }
         return at;
     }
 
-    /** Called late, we were stopped or starved: whatever we waited for may have come and not been read. */
-    private void noticePause(double now) {
+    /** A late call means that we were suspended or starved: pending answers may have arrived without being read. */
+    private void detectPause(double now) {
         if (now <= wakeAt + setup.helloMs() / 2) {
             return;
         }
         health.paused();
-        errands.clear();
+        indirectProbes.clear();
         for (Member m : others.values()) {
             m.probe = null;
             if (m.status == Status.SUSPECT) {
-                suspect(m, now, m.ours);
+                suspect(m, now, m.detectedLocally);
             }
         }
-        helloAt = now;
+        nextHelloAt = now;
         wakeAt = now;
     }
 
-    private void hello(double now) {
+    private void sendHello(double now) {
         Member m = nextInRound();
         if (m.probe == null) {
-            m.probe = new Member.Probe(nonce++, now, now + health.patienceMs(), m.status != Status.GONE);
+            m.probe = new Member.Probe(nonce++, now, now + health.timeoutMs(), m.status != Status.GONE);
         }
-        say(m, new Note.Hello(m.probe.nonce, rumours(m)));
+        send(m, new Note.Hello(m.probe.nonce, rumours(m)));
     }
 
     private Member nextInRound() {
-        while (nextInRound >= round.size()) { // after at most three rounds somebody is in it
+        while (nextInRound >= round.size()) { // a round is non-empty after at most three tries
             List<Member> next = new ArrayList<>();
             for (int i = 0; i < known.size(); i++) {
                 Member m = known.get(i);
-                if (m.status != Status.GONE || rounds == 0 || (rounds + i) % GONE_EVERY == 0) {
+                if (m.status != Status.GONE || rounds == 0 || (rounds + i) % GONE_PROBE_ROUNDS == 0) {
                     next.add(m);
                 }
             }
@@ -293,26 +299,26 @@
         return round.get(nextInRound++);
     }
 
-    /** One of those that we suspect by ourselves is tried again, directly and through somebody else. */
-    private void askAgain(double now) {
+    /** Probes one of the locally detected suspects again, directly and through one other member. */
+    private void reprobeSuspect(double now) {
         List<Member> suspects = known.stream()
-                .filter(m -> m.status == Status.SUSPECT && m.ours && !waits(m, now))
+                .filter(m -> m.status == Status.SUSPECT && m.detectedLocally && !awaitingAnswer(m, now))
                 .toList();
         if (suspects.isEmpty()) {
             return;
         }
-        nextSuspect = (nextSuspect + 1) % suspects.size();
-        Member m = suspects.get(nextSuspect);
-        m.asks++;
-        m.askedAt = now;
-        m.askNonce = nonce++;
-        say(m, new Note.Hello(m.askNonce, rumours(m)));
-        helpers(m, 1).forEach(h -> say(h, new Note.AskAbout(m.askNonce, m.name)));
+        suspectCursor = (suspectCursor + 1) % suspects.size();
+        Member m = suspects.get(suspectCursor);
+        m.unansweredProbes++;
+        m.reprobedAt = now;
+        m.reprobeNonce = nonce++;
+        send(m, new Note.Hello(m.reprobeNonce, rumours(m)));
+        helpers(m, 1).forEach(h -> send(h, new Note.AskAbout(m.reprobeNonce, m.name)));
     }
 
-    /** Whether an answer to the last further hello may still come. */
-    private boolean waits(Member m, double now) {
-        return now < m.askedAt + 3 * health.patienceMs(); // directly, and there and back through another
+    /** Whether an answer to the latest repeated probe may still arrive. */
+    private boolean awaitingAnswer(Member m, double now) {
+        return now < m.reprobedAt + 3 * health.timeoutMs(); // one direct round trip and two by way of a helper
     }
 
     private List<Member> helpers(Member about, int most) {
@@ -323,58 +329,58 @@
         return some.subList(0, Math.min(most, some.size()));
     }
 
-    private void runErrand(Member asker, Note.AskAbout ask, double now) {
+    private void probeOnBehalf(Member asker, Note.AskAbout ask, double now) {
         Member about = others.get(ask.member());
         if (about == null || about == asker) {
             return;
         }
-        if (errands.size() >= ERRANDS * others.size()) {
-            Iterator<Errand> oldest = errands.values().iterator();
+        if (indirectProbes.size() >= MAX_INDIRECT_PER_MEMBER * others.size()) {
+            Iterator<IndirectProbe> oldest = indirectProbes.values().iterator();
             oldest.next();
             oldest.remove();
         }
-        errands.put(nonce, new Errand(asker.name, ask.nonce(), about.name, now + 4 * setup.delayMs()));
-        say(about, new Note.Hello(nonce++, rumours(about)));
+        indirectProbes.put(nonce, new IndirectProbe(asker.name, ask.nonce(), about.name, now + 4 * setup.delayMs()));
+        send(about, new Note.Hello(nonce++, rumours(about)));
     }
 
-    private void answered(Member m, long to, double now, boolean directly) {
+    private void onAnswer(Member m, long to, double now, boolean directly) {
         if (m.probe != null && m.probe.nonce == to) {
-            if (directly && m.probe.tries == 1) {
-                health.took(now - m.probe.startedAt);
+            if (directly && m.probe.attempts == 1) {
+                health.recordRoundTrip(now - m.probe.startedAt);
             }
-            end(m, true);
-        } else if (m.askNonce != to || m.askedAt == Double.NEGATIVE_INFINITY) {
+            endProbe(m, true);
+        } else if (m.reprobeNonce != to || m.reprobedAt == Double.NEGATIVE_INFINITY) {
             return;
         }
         m.answeredAt = now;
-        m.asks = 0;
-        if (m.status == Status.SUSPECT && m.kept) {
-            m.status = Status.ALIVE; // nobody else has heard of it
-            m.toTell = 0;
+        m.unansweredProbes = 0;
+        if (m.status == Status.SUSPECT && m.unpublished) {
+            m.status = Status.ALIVE; // the suspicion was never published
+            m.pendingBroadcasts = 0;
         }
     }
 
-    private void unanswered(Member m, double now) {
-        if (m.probe.tries < TRIES && m.probe.counts) {
-            m.probe.tries++;
-            m.probe.endsAt = now + 2 * health.patienceMs(); // there and back, twice
-            say(m, new Note.Hello(m.probe.nonce, rumours(m)));
-            helpers(m, HELPERS).forEach(h -> say(h, new Note.AskAbout(m.probe.nonce, m.name)));
+    private void onTimeout(Member m, double now) {
+        if (m.probe.attempts < PROBE_ATTEMPTS && m.probe.affectsHealth) {
+            m.probe.attempts++;
+            m.probe.deadline = now + 2 * health.timeoutMs(); // two round trips
+            send(m, new Note.Hello(m.probe.nonce, rumours(m)));
+            helpers(m, INDIRECT_PROBES).forEach(h -> send(h, new Note.AskAbout(m.probe.nonce, m.name)));
             return;
         }
-        end(m, false);
+        endProbe(m, false);
         if (m.status == Status.ALIVE) {
-            adopt(m, new Rumour(m.name, m.incarnation, m.refutation, Status.SUSPECT), now);
+            apply(m, new Rumour(m.name, m.incarnation, m.refutation, Status.SUSPECT), now);
             suspect(m, now, true);
-            m.kept = doubts();
-        } else if (m.status == Status.SUSPECT && !m.ours) {
+            m.unpublished = degraded();
+        } else if (m.status == Status.SUSPECT && !m.detectedLocally) {
             suspect(m, now, true);
         }
     }
 
-    private void end(Member m, boolean answered) {
-        if (m.probe.counts || answered) {
-            health.ended(answered);
+    private void endProbe(Member m, boolean answered) {
+        if (m.probe.affectsHealth || answered) {
+            health.recordOutcome(answered);
         }
         m.probe = null;
     }
@@ -383,45 +389,45 @@
 
     private void suspect(Member m, double now, boolean ours) {
         m.suspectedAt = now;
-        m.ours = ours;
-        m.lastCall = false;
-        m.asks = 0;
-        // whoever found no way to it is asked to wait half as long as those who only heard of that
-        m.goneAt = now + (ours ? 0.5 : 1) * suspicionMs;
+        m.detectedLocally = ours;
+        m.confirming = false;
+        m.unansweredProbes = 0;
+        // whoever detected it waits half as long as members that only learned of it; a confirming phase follows
+        m.suspicionEndsAt = now + (ours ? 0.5 : 1) * suspicionMs;
     }
 
-    private void suspicionEnds(Member m, double now) {
-        if (doubts()) {
+    private void onSuspicionEnd(Member m, double now) {
+        if (degraded()) {
             suspect(m, now, true);
-        } else if (!m.ours || m.kept || m.answeredAt >= m.suspectedAt) {
-            suspect(m, now, true); // now we look for ourselves, and all hear of it, the suspected one as well
-            m.kept = false;
-            m.toTell = tellings;
+        } else if (!m.detectedLocally || m.unpublished || m.answeredAt >= m.suspectedAt) {
+            suspect(m, now, true); // probe it ourselves and publish that, to the suspect as well
+            m.unpublished = false;
+            m.pendingBroadcasts = broadcasts;
         } else if (isolated(m.suspectedAt)) {
-            m.goneAt = now + setup.helloMs();
-        } else if (!m.lastCall) {
-            m.lastCall = true; // we may have been cut off until just now: it has as long again to hear of it and answer
-            m.asks = 0;
-            m.goneAt = now + suspicionMs / 2;
-        } else if (m.asks - (waits(m, now) ? 1 : 0) < ASKS) {
-            m.goneAt = now + setup.helloMs();
+            m.suspicionEndsAt = now + setup.helloMs();
+        } else if (!m.confirming) {
+            m.confirming = true; // we may have been isolated until now: it gets as long again to refute
+            m.unansweredProbes = 0;
+            m.suspicionEndsAt = now + suspicionMs / 2;
+        } else if (m.unansweredProbes - (awaitingAnswer(m, now) ? 1 : 0) < MIN_UNANSWERED_PROBES) {
+            m.suspicionEndsAt = now + setup.helloMs();
         } else {
-            adopt(m, new Rumour(m.name, m.incarnation, m.refutation, Status.GONE), now);
+            apply(m, new Rumour(m.name, m.incarnation, m.refutation, Status.GONE), now);
         }
     }
 
-    /** Whether we hear too little now to hold anything against others. */
-    boolean doubts() {
-        return health.doubtful();
+    /** Whether our own health is too poor to judge others. */
+    boolean degraded() {
+        return health.degraded();
     }
 
-    /** Whether too few have answered us since then to say that it is not we who are cut off: no majority with us. */
+    /** Whether no majority, ourselves included, has answered since then, so that we may be the isolated side. */
     boolean isolated(double since) {
         long answered = known.stream().filter(m -> m.answeredAt >= since).count();
         return (1 + answered) * 2 <= setup.members().size();
     }
 
-    /** Somebody holds us to be suspect or gone: what we say next counts more than that. */
+    /** Another member has us as suspect or gone: raises our refutation number above that rumour's. */
     void refute(int heard) {
         refutation = heard + 1;
     }
@@ -435,34 +441,34 @@
             } else if (r.incarnation() == incarnation
                     && r.status() != Status.ALIVE
                     && r.refutation() >= refutation
-                    && r.refutation() < MOST_REFUTATION) {
+                    && r.refutation() < MAX_REFUTATION) {
                 refute(r.refutation());
             }
             return;
         }
         Member m = others.get(r.member());
-        if (m != null && r.incarnation() > 0 && m.olderThan(r)) {
-            adopt(m, r, now);
+        if (m != null && r.incarnation() > 0 && m.supersededBy(r)) {
+            apply(m, r, now);
         }
     }
 
-    private void adopt(Member m, Rumour r, double now) {
+    private void apply(Member m, Rumour r, double now) {
         Status before = m.status;
         boolean first = m.incarnation == 0;
         if (r.incarnation() > m.incarnation) {
-            m.startAnew(r.incarnation());
+            m.resetTo(r.incarnation());
         }
         Status to = r.status();
-        if (to == Status.GONE && before != to && (m.answeredAt >= now - suspicionMs || doubts())) {
-            to = Status.SUSPECT; // we know better, or may hear old news after a pause: we look for ourselves
+        if (to == Status.GONE && before != to && (m.answeredAt >= now - suspicionMs || degraded())) {
+            to = Status.SUSPECT; // it answered lately, or the rumour may be stale after a pause: probe it first
             if (before == to && r.refutation() == m.refutation) {
                 return;
             }
         }
         m.refutation = r.refutation();
         m.status = to;
-        m.toTell = tellings;
-        m.kept = false;
+        m.pendingBroadcasts = broadcasts;
+        m.unpublished = false;
         if (to == Status.SUSPECT) {
             suspect(m, now, false);
         } else if (to == Status.GONE && before != Status.GONE) {
@@ -473,9 +479,9 @@
     }
 
     /**
-     * What a message tells beside what it is for: ourselves, so that every message refutes what is held against us;
-     * what is held against its receiver; then what is new, the worst first; then, up to a number, what is known for
-     * long, so that whoever missed something hears of it in the end.
+     * The rumours carried by a message: ourselves, so that every message refutes suspicions of us; the receiver's own
+     * status if it isn't alive; then new rumours, the worst status first; then older ones up to {@link #FILL_RUMOURS},
+     * so that a member that missed a rumour receives it eventually.
      */
     private List<Rumour> rumours(Member to) {
         List<Rumour> all = new ArrayList<>();
@@ -483,33 +489,35 @@
         if (to.incarnation > 0 && to.status != Status.ALIVE) {
             all.add(to.rumour());
         }
-        boolean doubts = doubts();
+        boolean doubts = degraded();
         List<Member> news = known.stream()
-                .filter(m -> m.toTell > 0 && m != to && tellable(m, doubts))
-                .sorted(Comparator.comparing((Member m) -> m.status).reversed().thenComparing(m -> -m.toTell))
-                .limit(TOLD_FIRST - all.size())
+                .filter(m -> m.pendingBroadcasts > 0 && m != to && mayPublish(m, doubts))
+                .sorted(Comparator.comparing((Member m) -> m.status)
+                        .reversed()
+                        .thenComparing(m -> -m.pendingBroadcasts))
+                .limit(MAX_RUMOURS - all.size())
                 .toList();
         for (Member m : news) {
-            m.toTell--;
+            m.pendingBroadcasts--;
             all.add(m.rumour());
         }
-        for (int i = 0; i < known.size() && all.size() < TOLD; i++) {
-            nextToTell = (nextToTell + 1) % known.size();
-            Member m = known.get(nextToTell);
-            // of a suspicion nobody hears long after: it would go round again once its member is back
-            if (m != to && m.status != Status.SUSPECT && tellable(m, doubts) && !news.contains(m)) {
+        for (int i = 0; i < known.size() && all.size() < FILL_RUMOURS; i++) {
+            rumourCursor = (rumourCursor + 1) % known.size();
+            Member m = known.get(rumourCursor);
+            // old suspicions are not repeated: they would circulate again after their member recovered
+            if (m != to && m.status != Status.SUSPECT && mayPublish(m, doubts) && !news.contains(m)) {
                 all.add(m.rumour());
             }
         }
         return all;
     }
 
-    private static boolean tellable(Member m, boolean doubts) {
-        return m.incarnation > 0 && (m.status == Status.ALIVE || !doubts && !m.kept);
+    private static boolean mayPublish(Member m, boolean doubts) {
+        return m.incarnation > 0 && (m.status == Status.ALIVE || !doubts && !m.unpublished);
     }
 
-    private void say(Member to, Note note) {
-        if (!silent()) { // what was just heard may have silenced us
+    private void send(Member to, Note note) {
+        if (!silent()) { // the note just handled may have stopped us
             out.send(to.name, note);
         }
     }
--- a/src/main/java/firstair/fleet/member/package-info.java
+++ b/src/main/java/firstair/fleet/member/package-info.java
@@ -1,2 +1,2 @@
-/** Who is there. */
+/** Fleet membership by heartbeats, indirect probes and gossip. */
 package firstair.fleet.member;
--- a/src/main/java/firstair/fleet/talk/Codec.java
+++ b/src/main/java/firstair/fleet/talk/Codec.java
@@ -12,53 +12,55 @@
 
 /**
  * Writes and reads {@link Envelope}s as MessagePack: an array of version, fleet, sender, its incarnation, receiver, its
- * incarnation and notes; each note an array of the code of its kind and a map of its fields. Kinds, fields and words
- * that only later programs know are passed over, so that these can talk to earlier ones within one version.
+ * incarnation and notes; each note an array of the code of its kind and a map of its fields. Unknown kinds,
+ * fields and enum values are skipped, so that newer programs can talk to older ones within one version.
  *
- * <p>Any bytes end in an envelope or in a {@link Fault}, and take memory in proportion to their own number only.
+ * <p>Reading any bytes gives an envelope or a {@link Fault}, with memory use proportional to their length.
  */
 public final class Codec {
-    private static final int PARTS = 7;
-    private static final int ROOM = 1500; // a datagram
-    private static final int COUNTED = 2; // a list of up to 10,000 says its length in so many bytes more than an empty
-    private static final MessagePack.PackerConfig PACKING = new MessagePack.PackerConfig().withBufferSize(ROOM);
-
-    /** Where a note or an envelope is written. */
-    private interface Writing {
+    private static final int ENVELOPE_FIELDS = 7;
+    private static final int BUFFER_BYTES = 1500; // size of a datagram
+    private static final int LIST_LENGTH_BYTES =
+            2; // a list header for up to 10,000 items is so much longer than an empty one
+    private static final MessagePack.PackerConfig PACKER_CONFIG =
+            new MessagePack.PackerConfig().withBufferSize(BUFFER_BYTES);
+
+    /** Writes a note or an envelope to a packer. */
+    private interface PackAction {
         void to(MessagePacker packer) throws IOException;
     }
 
-    /** The list within a note, and how to make the same note with another list. */
-    private record Cut<T>(List<T> items, Function<List<T>, Note> with) {}
+    /** The list within a note, and a function that copies the note with another list. */
+    private record SplittableList<T>(List<T> items, Function<List<T>, Note> with) {}
 
     /**
-     * The bytes of an envelope.
+     * Encodes an envelope.
      *
-     * @throws Fault.Unreadable where one of its values passes the bounds that readers check
+     * @throws Fault.Unreadable where one of its values exceeds the bounds that readers check
      */
     public byte[] write(Envelope e) {
         return bytes(to -> write(e, to));
     }
 
-    private static byte[] bytes(Writing what) {
-        try (MessageBufferPacker to = PACKING.newBufferPacker()) {
+    private static byte[] bytes(PackAction what) {
+        try (MessageBufferPacker to = PACKER_CONFIG.newBufferPacker()) {
             what.to(to);
             return to.toByteArray();
         } catch (IOException e) {
-            throw new Fault.Unreadable(e.toString()); // memory does not fail so
+            throw new Fault.Unreadable(e.toString()); // a memory buffer throws no IOException
         }
     }
 
     private static void write(Envelope e, MessagePacker to) throws IOException {
-        if (e.notes().size() > Input.MOST_ITEMS) {
+        if (e.notes().size() > Input.MAX_LIST_ITEMS) {
             throw new Fault.Unreadable(e.notes().size() + " notes");
         }
-        to.packArrayHeader(PARTS).packInt(e.version());
-        Field.NAME.write(e.fleet(), to);
-        Field.NAME.write(e.from(), to);
-        Field.NATURAL.write(e.incarnation(), to);
-        Field.NAME.write(e.to(), to);
-        Field.NATURAL.write(e.toIncarnation(), to);
+        to.packArrayHeader(ENVELOPE_FIELDS).packInt(e.version());
+        FieldCodec.NAME.write(e.fleet(), to);
+        FieldCodec.NAME.write(e.from(), to);
+        FieldCodec.NON_NEGATIVE.write(e.incarnation(), to);
+        FieldCodec.NAME.write(e.to(), to);
+        FieldCodec.NON_NEGATIVE.write(e.toIncarnation(), to);
         to.packArrayHeader(e.notes().size());
         for (Note n : e.notes()) {
             write(n, to);
@@ -66,65 +68,65 @@
     }
 
     private static void write(Note n, MessagePacker to) throws IOException {
-        int code = Forms.code(n);
+        int code = NoteCodecs.code(n);
         to.packArrayHeader(2).packInt(code);
-        write(Forms.form(code), n, to);
+        write(NoteCodecs.codec(code), n, to);
     }
 
-    @SuppressWarnings("unchecked") // the form was found by the note's own class
-    private static <N extends Note> void write(Form<N> form, Note n, MessagePacker to) throws IOException {
+    @SuppressWarnings("unchecked") // the codec was looked up by the note's own class
+    private static <N extends Note> void write(RecordCodec<N> form, Note n, MessagePacker to) throws IOException {
         form.write((N) n, to);
     }
 
     /**
-     * The envelope that some bytes are.
+     * Decodes an envelope.
      *
-     * @throws Fault.OtherVersion where they name another version
-     * @throws Fault.Unreadable   where they are no envelope, or something in it passes its bounds
+     * @throws Fault.OtherVersion where the bytes name another version
+     * @throws Fault.Unreadable   where they are not an envelope, or a value in it exceeds its bounds
      */
     public Envelope read(byte[] bytes) {
         Input from = new Input(bytes);
         try {
-            int parts = from.items();
+            int parts = from.readListSize();
             if (parts < 1) {
-                throw from.bad("an empty list");
+                throw from.unreadable("an empty list");
             }
-            int version = from.small();
+            int version = from.readInt();
             if (version != Envelope.VERSION) {
                 throw new Fault.OtherVersion(version);
             }
-            if (parts < PARTS) {
-                throw from.bad("a list of " + parts);
+            if (parts < ENVELOPE_FIELDS) {
+                throw from.unreadable("a list of " + parts);
             }
-            String fleet = from.name();
-            String sender = from.name();
-            long incarnation = Field.NATURAL.read(from);
-            String to = from.name();
-            long toIncarnation = Field.NATURAL.read(from);
+            String fleet = from.readName();
+            String sender = from.readName();
+            long incarnation = FieldCodec.NON_NEGATIVE.read(from);
+            String to = from.readName();
+            long toIncarnation = FieldCodec.NON_NEGATIVE.read(from);
             List<Note> notes = notes(from);
-            for (int i = PARTS; i < parts; i++) {
+            for (int i = ENVELOPE_FIELDS; i < parts; i++) {
                 from.skip();
             }
-            if (from.left() > 0) {
-                throw from.bad("more behind the end");
+            if (from.remaining() > 0) {
+                throw from.unreadable("more behind the end");
             }
             return new Envelope(fleet, version, sender, incarnation, to, toIncarnation, notes);
         } catch (IOException | MessagePackException e) {
-            throw from.bad(e.getClass().getSimpleName());
+            throw from.unreadable(e.getClass().getSimpleName());
         }
     }
 
     private static List<Note> notes(Input from) throws IOException {
-        int count = from.items();
+        int count = from.readListSize();
         List<Note> notes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            int parts = from.items();
+            int parts = from.readListSize();
             if (parts < 1) {
-                throw from.bad("a note without a kind");
+                throw from.unreadable("a note without a kind");
             }
-            Form<? extends Note> form = Forms.form(from.whole());
+            RecordCodec<? extends Note> form = NoteCodecs.codec(from.readLong());
             if (form != null && parts < 2) {
-                throw from.bad("a note without fields");
+                throw from.unreadable("a note without fields");
             }
             if (form != null) {
                 Note n = form.read(from);
@@ -140,18 +142,18 @@
     }
 
     /**
-     * The same notes in the same order in envelopes of at most {@code most} bytes each. Lists within notes are cut up
-     * where a note does not fit alone; any other note that is too large goes alone, in an envelope larger than that.
+     * Splits an envelope into ones of at most {@code most} bytes, keeping the order of notes. Lists within notes
+     * are split where a note does not fit alone; any other note that is too large gets an envelope of its own above that size.
      */
     public List<Envelope> split(Envelope whole, int most) {
-        int room = most - write(with(whole, List.of())).length - COUNTED;
+        int room = most - write(with(whole, List.of())).length - LIST_LENGTH_BYTES;
         List<Envelope> all = new ArrayList<>();
         List<Note> notes = new ArrayList<>();
         int used = 0;
         for (Note note : whole.notes()) {
             for (Note n : pieces(note, room)) {
                 int size = size(n);
-                if (!notes.isEmpty() && (used + size > room || notes.size() == Input.MOST_ITEMS)) {
+                if (!notes.isEmpty() && (used + size > room || notes.size() == Input.MAX_LIST_ITEMS)) {
                     all.add(with(whole, notes));
                     notes = new ArrayList<>();
                     used = 0;
@@ -177,28 +179,28 @@
 
     private static List<Note> pieces(Note n, int room) {
         if (n instanceof Note.Hello h) {
-            return pieces(n, new Cut<>(h.rumours(), some -> new Note.Hello(h.nonce(), some)), room);
+            return pieces(n, new SplittableList<>(h.rumours(), some -> new Note.Hello(h.nonce(), some)), room);
         } else if (n instanceof Note.HelloBack h) {
-            return pieces(n, new Cut<>(h.rumours(), some -> new Note.HelloBack(h.nonce(), some)), room);
+            return pieces(n, new SplittableList<>(h.rumours(), some -> new Note.HelloBack(h.nonce(), some)), room);
         } else if (n instanceof Note.Counts c) {
-            return pieces(n, new Cut<>(c.counts(), Note.Counts::new), room);
+            return pieces(n, new SplittableList<>(c.counts(), Note.Counts::new), room);
         } else if (n instanceof Note.Signs s) {
-            return pieces(n, new Cut<>(s.signs(), Note.Signs::new), room);
+            return pieces(n, new SplittableList<>(s.signs(), Note.Signs::new), room);
         }
         return List.of(n);
     }
 
-    private static <T> List<Note> pieces(Note whole, Cut<T> cut, int room) {
+    private static <T> List<Note> pieces(Note whole, SplittableList<T> cut, int room) {
         int empty = size(cut.with.apply(List.of()));
         List<Note> pieces = new ArrayList<>();
         List<T> some = new ArrayList<>();
-        int used = empty + COUNTED;
+        int used = empty + LIST_LENGTH_BYTES;
         for (T item : cut.items) {
             int size = size(cut.with.apply(List.of(item))) - empty;
-            if (!some.isEmpty() && (used + size > room || some.size() == Input.MOST_ITEMS)) {
+            if (!some.isEmpty() && (used + size > room || some.size() == Input.MAX_LIST_ITEMS)) {
                 pieces.add(cut.with.apply(List.copyOf(some)));
                 some.clear();
-                used = empty + COUNTED;
+                used = empty + LIST_LENGTH_BYTES;
             }
             some.add(item);
             used += size;
--- a/src/main/java/firstair/fleet/talk/Envelope.java
+++ b/src/main/java/firstair/fleet/talk/Envelope.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Notes of one process to another.
+ * Notes sent from one process to another.
  *
- * @param fleet         name of the fleet; others drop it
- * @param version       of the form in which notes are written
+ * @param fleet         name of the fleet; other fleets drop the envelope
+ * @param version       of the encoding
  * @param from          name of the sender
- * @param incarnation   of the sender's process: higher than that of all before it under this name
+ * @param incarnation   of the sender's process: higher than that of any earlier process of this name
  * @param to            name of the receiver
- * @param toIncarnation of the receiver as the sender knows it, 0 if it knows none
+ * @param toIncarnation newest incarnation of the receiver known to the sender, 0 if none
  */
 public record Envelope(
         String fleet, int version, String from, long incarnation, String to, long toIncarnation, List<Note> notes) {
--- a/src/main/java/firstair/fleet/talk/Field.java
+++ b/src/main/java/firstair/fleet/talk/FieldCodec.java
@@ -8,27 +8,27 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * How one kind of value is written and read. Both sides check the same bounds, so whatever is written can be read.
+ * Encodes and decodes one type of value. Both directions check the same bounds, so whatever is written can be read.
  *
- * @param <T> the kind of value
+ * @param <T> the type of value
  */
-interface Field<T> {
-    /** Longest span, ms. */
-    double DAY = 24 * 3600 * 1000.0;
+interface FieldCodec<T> {
+    /** Longest time span, ms: a day. */
+    double MAX_SPAN_MS = 24 * 3600 * 1000.0;
 
     void write(T value, MessagePacker to) throws IOException;
 
-    /** The value, or null for one that only later versions know. */
+    /** The value, or null for one that only later versions define. */
     T read(Input from) throws IOException;
 
-    /** Any number without a fraction. */
-    Field<Long> ANY = whole(Long.MIN_VALUE);
+    /** Any integer. */
+    FieldCodec<Long> SIGNED = integer(Long.MIN_VALUE);
 
-    /** One that is not negative. */
-    Field<Long> NATURAL = whole(0);
+    /** An integer that is not negative. */
+    FieldCodec<Long> NON_NEGATIVE = integer(0);
 
-    /** One that is not negative and fits into an int. */
-    Field<Integer> COUNT = new Field<>() {
+    /** An integer that is not negative and fits into an int. */
+    FieldCodec<Integer> COUNT = new FieldCodec<>() {
         @Override
         public void write(Integer value, MessagePacker to) throws IOException {
             to.packInt(within(value));
@@ -36,7 +36,7 @@
 
         @Override
         public Integer read(Input from) throws IOException {
-            return within(from.small());
+            return within(from.readInt());
         }
 
         private int within(int value) {
@@ -47,14 +47,14 @@
         }
     };
 
-    /** A span in ms, a day at most. */
-    Field<Double> SPAN = number(DAY);
+    /** A time span in ms, a day at most. */
+    FieldCodec<Double> SPAN = number(MAX_SPAN_MS);
 
-    /** A share of a whole. */
-    Field<Double> SHARE = number(1);
+    /** A fraction from 0 to 1. */
+    FieldCodec<Double> SHARE = number(1);
 
-    /** Yes or no. */
-    Field<Boolean> FLAG = new Field<>() {
+    /** A boolean. */
+    FieldCodec<Boolean> FLAG = new FieldCodec<>() {
         @Override
         public void write(Boolean value, MessagePacker to) throws IOException {
             to.packBoolean(value);
@@ -62,16 +62,16 @@
 
         @Override
         public Boolean read(Input from) throws IOException {
-            return from.flag();
+            return from.readBoolean();
         }
     };
 
-    /** A name, never empty. */
-    Field<String> NAME = new Field<>() {
+    /** A non-empty name in UTF-8. */
+    FieldCodec<String> NAME = new FieldCodec<>() {
         @Override
         public void write(String value, MessagePacker to) throws IOException {
             byte[] text = value.getBytes(StandardCharsets.UTF_8);
-            if (text.length < 1 || text.length > Input.MOST_NAME) {
+            if (text.length < 1 || text.length > Input.MAX_NAME_BYTES) {
                 throw new Fault.Unreadable("a name of " + text.length + " bytes");
             }
             to.packRawStringHeader(text.length).writePayload(text);
@@ -79,12 +79,12 @@
 
         @Override
         public String read(Input from) throws IOException {
-            return from.name();
+            return from.readName();
         }
     };
 
-    /** Bytes that others understand. */
-    Field<byte[]> BYTES = new Field<>() {
+    /** Opaque bytes, interpreted by other components. */
+    FieldCodec<byte[]> BYTES = new FieldCodec<>() {
         @Override
         public void write(byte[] value, MessagePacker to) throws IOException {
             to.packBinaryHeader(value.length).writePayload(value);
@@ -92,12 +92,12 @@
 
         @Override
         public byte[] read(Input from) throws IOException {
-            return from.bytes();
+            return from.readBytes();
         }
     };
 
-    private static Field<Long> whole(long least) {
-        return new Field<>() {
+    private static FieldCodec<Long> integer(long least) {
+        return new FieldCodec<>() {
             @Override
             public void write(Long value, MessagePacker to) throws IOException {
                 to.packLong(within(value));
@@ -105,7 +105,7 @@
 
             @Override
             public Long read(Input from) throws IOException {
-                return within(from.whole());
+                return within(from.readLong());
             }
 
             private long within(long value) {
@@ -117,13 +117,13 @@
         };
     }
 
-    private static Field<Double> number(double most) {
-        return new Field<>() {
+    private static FieldCodec<Double> number(double most) {
+        return new FieldCodec<>() {
             @Override
             public void write(Double value, MessagePacker to) throws IOException {
                 double v = within(value);
                 if (v == (long) v) {
-                    to.packLong((long) v); // most spans have no fraction, and take a third of the bytes so
+                    to.packLong((long) v); // most spans have no fraction and take a third of the bytes this way
                 } else {
                     to.packDouble(v);
                 }
@@ -131,11 +131,11 @@
 
             @Override
             public Double read(Input from) throws IOException {
-                return within(from.number());
+                return within(from.readDouble());
             }
 
             private double within(double value) {
-                if (!(value >= 0 && value <= most)) { // nor is it NaN
+                if (!(value >= 0 && value <= most)) { // rejects NaN too
                     throw new Fault.Unreadable("number " + value + " where 0 to " + most + " may stand");
                 }
                 return value;
@@ -143,10 +143,10 @@
         };
     }
 
-    /** One of some words, written as its place among them: new ones are added behind the others. */
-    static <E extends Enum<E>> Field<E> word(Class<E> of) {
+    /** An enum constant, written as its ordinal: new constants are added after the others. */
+    static <E extends Enum<E>> FieldCodec<E> enumeration(Class<E> of) {
         E[] words = of.getEnumConstants();
-        return new Field<>() {
+        return new FieldCodec<>() {
             @Override
             public void write(E value, MessagePacker to) throws IOException {
                 to.packInt(value.ordinal());
@@ -160,12 +160,12 @@
         };
     }
 
-    /** Some of one form; those with a word that only later versions know are left out. */
-    static <T> Field<List<T>> list(Form<T> form) {
-        return new Field<>() {
+    /** A list of records; those with an enum value that only later versions define are left out. */
+    static <T> FieldCodec<List<T>> list(RecordCodec<T> form) {
+        return new FieldCodec<>() {
             @Override
             public void write(List<T> value, MessagePacker to) throws IOException {
-                if (value.size() > Input.MOST_ITEMS) {
+                if (value.size() > Input.MAX_LIST_ITEMS) {
                     throw new Fault.Unreadable("a list of " + value.size());
                 }
                 to.packArrayHeader(value.size());
@@ -176,7 +176,7 @@
 
             @Override
             public List<T> read(Input from) throws IOException {
-                int count = from.items();
+                int count = from.readListSize();
                 List<T> all = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
                     T item = form.read(from);
--- a/src/main/java/firstair/fleet/talk/Gate.java
+++ b/src/main/java/firstair/fleet/talk/Gate.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * What an envelope must pass before anybody acts on what it says: it comes from the newest process of another member
- * that we know of, and is meant for this process. What does not pass changes nothing but a count.
+ * Validates envelopes before their notes are handled: the sender must be the newest known process of another member and
+ * the receiver this process. A rejected envelope changes nothing but a counter.
  */
 public final class Gate {
     private final Setup setup;
     private final long incarnation;
-    private final Map<String, Long> seen = new LinkedHashMap<>(); // members only
-    private final Map<String, Long> counts = new TreeMap<>(); // codes of faults only
+    private final Map<String, Long> seen = new LinkedHashMap<>(); // newest incarnations, by member only
+    private final Map<String, Long> counts = new TreeMap<>(); // rejected envelopes by fault code only
 
     /** @param incarnation of our own process */
     public Gate(Setup setup, long incarnation) {
@@ -25,14 +25,14 @@
     }
 
     /**
-     * The notes of an envelope that passes.
+     * Returns the notes of a valid envelope.
      *
      * @throws Fault.OtherFleet     where it names another fleet
-     * @throws Fault.OtherVersion   where it is of a version that we do not speak
-     * @throws Fault.Stranger       where its sender is no member
+     * @throws Fault.OtherVersion   where its version is not supported
+     * @throws Fault.Stranger       where its sender is not a member
      * @throws Fault.NameTaken      where a later process than ours has sent under our name, or is known to the sender
      * @throws Fault.OldIncarnation where a later process than the sender's is known, or an earlier one of our name sent
-     * @throws Fault.Echo           where it is our own
+     * @throws Fault.Echo           where we sent it ourselves
      * @throws Fault.NotForUs       where it is for another member or an earlier process of ours
      */
     public List<Note> pass(Envelope e) {
@@ -72,24 +72,24 @@
             throw new Fault.NotForUs(e.to(), e.toIncarnation());
         }
         if (e.toIncarnation() > incarnation) {
-            throw new Fault.NameTaken(setup.self()); // this is how an earlier process hears of the one that follows it
+            throw new Fault.NameTaken(setup.self()); // so an earlier process learns of its successor
         }
         if (e.toIncarnation() != 0 && e.toIncarnation() < incarnation) {
             throw new Fault.NotForUs(e.to(), e.toIncarnation());
         }
     }
 
-    /** Counts something that was dropped elsewhere on its way here, such as bytes that could not be read. */
+    /** Counts input that was dropped before it got here, such as bytes that could not be decoded. */
     public void dropped(Fault f) {
         counts.merge(f.code(), 1L, Long::sum);
     }
 
-    /** The highest incarnation that has passed from a member, 0 if none has. */
+    /** The highest incarnation accepted from a member, 0 if none. */
     public long seen(String member) {
         return seen.getOrDefault(member, 0L);
     }
 
-    /** How many were dropped, by the code of the fault. */
+    /** Number of dropped envelopes by fault code. */
     public Map<String, Long> counts() {
         return new TreeMap<>(counts);
     }
--- a/src/main/java/firstair/fleet/talk/Input.java
+++ b/src/main/java/firstair/fleet/talk/Input.java
@@ -9,14 +9,14 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Bytes from somebody else on their way to an {@link Envelope}. Every length that they tell is checked against what is
- * left of them before anything is set aside for it.
+ * Reads the untrusted bytes of an {@link Envelope}. Every declared length is checked against the remaining bytes before
+ * memory is allocated for it.
  */
 final class Input {
     /** Longest name, bytes. */
-    static final int MOST_NAME = 128;
-    /** Longest list. */
-    static final int MOST_ITEMS = 10_000;
+    static final int MAX_NAME_BYTES = 128;
+    /** Longest list, items. */
+    static final int MAX_LIST_ITEMS = 10_000;
 
     private final int size;
     private final MessageUnpacker from;
@@ -26,41 +26,41 @@
         from = MessagePack.newDefaultUnpacker(bytes);
     }
 
-    /** What is thrown where these bytes cannot be read on. */
-    Fault bad(String why) {
+    /** The fault to throw where these bytes cannot be decoded. */
+    Fault unreadable(String why) {
         return new Fault.Unreadable(why + " at byte " + from.getTotalReadBytes() + " of " + size);
     }
 
-    /** How many bytes have not been read. */
-    long left() {
+    /** Number of unread bytes. */
+    long remaining() {
         return size - from.getTotalReadBytes();
     }
 
-    long whole() throws IOException {
+    long readLong() throws IOException {
         return from.unpackLong();
     }
 
-    int small() throws IOException {
+    int readInt() throws IOException {
         return from.unpackInt();
     }
 
-    boolean flag() throws IOException {
+    boolean readBoolean() throws IOException {
         return from.unpackBoolean();
     }
 
     /** A number that may have been written without a fraction. */
-    double number() throws IOException {
+    double readDouble() throws IOException {
         return switch (from.getNextFormat().getValueType()) {
             case INTEGER -> from.unpackLong();
             case FLOAT -> from.unpackDouble();
-            default -> throw bad("no number");
+            default -> throw unreadable("no number");
         };
     }
 
-    String name() throws IOException {
+    String readName() throws IOException {
         int length = from.unpackRawStringHeader();
-        if (length < 1 || length > MOST_NAME || length > left()) {
-            throw bad("a name of " + length + " bytes");
+        if (length < 1 || length > MAX_NAME_BYTES || length > remaining()) {
+            throw unreadable("a name of " + length + " bytes");
         }
         try {
             return StandardCharsets.UTF_8
@@ -68,42 +68,42 @@
                     .decode(ByteBuffer.wrap(from.readPayload(length)))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw bad("a name that is no text");
+            throw unreadable("a name that is no text");
         }
     }
 
-    byte[] bytes() throws IOException {
+    byte[] readBytes() throws IOException {
         int length = from.unpackBinaryHeader();
-        if (length > left()) {
-            throw bad(length + " bytes told");
+        if (length > remaining()) {
+            throw unreadable(length + " bytes told");
         }
         return from.readPayload(length);
     }
 
     /** Length of a list; each item takes a byte or more. */
-    int items() throws IOException {
+    int readListSize() throws IOException {
         int count = from.unpackArrayHeader();
-        if (count > MOST_ITEMS || count > left()) {
-            throw bad("a list of " + count);
+        if (count > MAX_LIST_ITEMS || count > remaining()) {
+            throw unreadable("a list of " + count);
         }
         return count;
     }
 
     /** Number of fields; each takes two bytes or more. */
-    int fields() throws IOException {
+    int readMapSize() throws IOException {
         int count = from.unpackMapHeader();
-        if (count > left() / 2) {
-            throw bad(count + " fields");
+        if (count > remaining() / 2) {
+            throw unreadable(count + " fields");
         }
         return count;
     }
 
-    /** Passes over one value of any kind, however deep it goes. */
+    /** Skips one value of any type and nesting depth, without recursion. */
     void skip() throws IOException {
         long open = 1;
         while (open > 0) {
-            if (open > left()) {
-                throw bad("something unknown that goes on");
+            if (open > remaining()) {
+                throw unreadable("something unknown that goes on");
             }
             open--;
             switch (from.getNextFormat().getValueType()) {
--- a/src/main/java/firstair/fleet/talk/Note.java
+++ b/src/main/java/firstair/fleet/talk/Note.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * What relays tell each other. None holds content, key or id of a message. Every note may be lost, late, doubled or out
- * of order; who acts on one checks that itself. Spans are milliseconds, never moments: clocks are nobody else's.
+ * Notes exchanged between relays. None holds content, key or id of a message. Every note may be lost, late, duplicated
+ * or out of order; its handler must allow for that. Times are spans in milliseconds, never timestamps: relays don't share
+ * a clock.
  */
 public sealed interface Note {
 
-    /** How a member is held to be. */
+    /** Status of a member; written by ordinal. */
     enum Status {
         ALIVE,
         SUSPECT,
         GONE
     }
 
-    /** What is held of a member; of two the one with the higher incarnation counts, then refutation, then status. */
+    /** A claim about a member; of two the one with the higher incarnation wins, then refutation, then status. */
     record Rumour(String member, long incarnation, int refutation, Status status) {}
 
     /** Asks for a {@link HelloBack}. */
@@ -24,47 +25,47 @@
     /** Answers a {@link Hello}. */
     record HelloBack(long nonce, List<Rumour> rumours) implements Note {}
 
-    /** Asks to say hello to a third one. */
+    /** Asks the receiver to probe a third member. */
     record AskAbout(long nonce, String member) implements Note {}
 
-    /** The third one has answered. */
+    /** Reports that the third member has answered. */
     record HeardOf(long nonce, String member, long incarnation) implements Note {}
 
-    /** The sender ends in order. */
+    /** The sender shuts down in an orderly way. */
     record Leaving() implements Note {}
 
     // ---- budgets ----
 
-    /** Asks a voter for the standing of a member for a term: one's own, or that of one that is silent. */
+    /** Asks a voter for the lease of a member for a term: the sender's own, or that of a member that is silent. */
     record StandingAsk(long nonce, String of) implements Note {}
 
-    /** Answers it; nothing is promised unless {@code granted}. */
+    /** Answers a lease request; nothing is promised unless {@code granted}. */
     record StandingAnswer(long nonce, String of, boolean granted) implements Note {}
 
-    /** The sender uses nothing any more of what it was or will be granted by its asks up to this nonce. */
+    /** The sender gives up every lease that was or will be granted to its requests up to this nonce. */
     record StandingBack(long nonce, String of) implements Note {}
 
-    /** Wants parts of a budget for a while, millionths of the whole; or, of {@code r:7}, so many repeats for good. */
+    /** Requests a loan of a budget, in millionths of the whole; or, of {@code r:7}, a permanent transfer of retries. */
     record LoanAsk(long nonce, String budget, int parts) implements Note {}
 
-    /** Parts lent; the borrower stops {@code termMs} after it sent the {@link LoanAsk} with this nonce. */
+    /** Lends parts of a budget; the borrower stops {@code termMs} after it sent the {@link LoanAsk} with this nonce. */
     record Loan(long nonce, long number, String budget, int parts, double termMs) implements Note {}
 
-    /** The borrower uses them no more. */
+    /** The borrower returns a loan. */
     record LoanBack(long number) implements Note {}
 
-    /** Repeats handed over for good; {@code number} is the nonce of the {@link LoanAsk} that asked for them. */
+    /** Transfers retries permanently; {@code number} is the nonce of the {@link LoanAsk} that asked for them. */
     record Gift(long number, String budget, int repeats) implements Note {}
 
-    // ---- counts and judgements ----
+    // ---- call counts and endpoint health ----
 
-    /** Calls of one member's process in one second of its own; the highest total of a second counts. */
+    /** Calls of one member's process in one second of its own; the highest total of a second applies. */
     record Count(String member, long incarnation, String what, long second, long total, double ageMs) {}
 
-    /** Some counts. */
+    /** A batch of counts. */
     record Counts(List<Count> counts) implements Note {}
 
-    /** What was seen of something. */
+    /** What was observed of a destination or an endpoint; written by ordinal. */
     enum Sight {
         WAIT,
         FAILS,
@@ -72,10 +73,10 @@
     }
 
     /**
-     * What one relay saw of a destination or an endpoint; {@code holdsMs} from now on.
+     * What one relay observed of a destination or an endpoint; valid for {@code holdsMs} from now on.
      *
      * @param subject {@code d:7} for a destination, {@code e:NAME} for an endpoint
-     * @param reach   share of its own recent calls anywhere that were answered
+     * @param reach   fraction of its own recent calls to all endpoints that were answered
      */
     record Sign(
             String by,
@@ -87,23 +88,23 @@
             double holdsMs,
             double reach) {}
 
-    /** Some signs. */
+    /** A batch of signs. */
     record Signs(List<Sign> signs) implements Note {}
 
-    // ---- what the ledger has agreed ----
+    // ---- replicated ledger state ----
 
-    /** Asks a voter for what is agreed behind a version; {@code term} is the newest leader's term seen. */
+    /** Asks a voter for the agreed state after a version. */
     record AgreedAsk(long nonce, long version) implements Note {}
 
-    /** Answers it: the newest version, and if that is newer, its state in pieces of {@code bytes}. */
+    /** Answers with the newest version and, if newer than the one asked for, its state in pieces of {@code bytes}. */
     record Agreed(long nonce, long version, boolean sure, int piece, int pieces, byte[] bytes) implements Note {}
 
-    /** One message of the ledger's engine, as bytes. */
+    /** One encoded message of the ledger's consensus engine. */
     record Engine(byte[] bytes) implements Note {}
 
-    /** Asks a voter to have something agreed. */
+    /** Asks a voter to propose an operation to the ledger. */
     record Propose(long nonce, byte[] operation) implements Note {}
 
-    /** What came of it; {@code result} as the state machine gives it, or a fault's code and text. */
+    /** Outcome of a proposal; {@code result} of the state machine, or a fault's code and text. */
     record Proposed(long nonce, boolean done, byte[] result, double againAfterMs) implements Note {}
 }
--- a/src/main/java/firstair/fleet/talk/package-info.java
+++ b/src/main/java/firstair/fleet/talk/package-info.java
@@ -1,2 +1,2 @@
-/** What relays tell each other, and how it is written. */
+/** Notes exchanged between relays and their binary encoding. */
 package firstair.fleet.talk;
--- a/src/test/java/firstair/fleet/member/MembershipTest.java
+++ b/src/test/java/firstair/fleet/member/MembershipTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class MembershipTest {
-    /** Rounds of hellos in which all agree after everything is mended. */
+    /** Rounds of hellos within which all members agree after every fault is repaired. */
     private static final int ROUNDS = 4;
 
-    /** Planted: what is held against us is not refuted. */
-    private static final class Silent extends Membership {
-        Silent(Setup setup, long incarnation, Random random, Outbox out) {
+    /** Injected bug: suspicions of this member are not refuted. */
+    private static final class WithoutRefutation extends Membership {
+        WithoutRefutation(Setup setup, long incarnation, Random random, Outbox out) {
             super(setup, incarnation, random, out);
         }
 
@@ -30,14 +30,14 @@
         void refute(int heard) {}
     }
 
-    /** Planted: never in doubt about itself. */
-    private static final class Sure extends Membership {
-        Sure(Setup setup, long incarnation, Random random, Outbox out) {
+    /** Injected bug: neither degraded health nor isolation is ever detected. */
+    private static final class WithoutSelfDoubt extends Membership {
+        WithoutSelfDoubt(Setup setup, long incarnation, Random random, Outbox out) {
             super(setup, incarnation, random, out);
         }
 
         @Override
-        boolean doubts() {
+        boolean degraded() {
             return false;
         }
 
@@ -47,11 +47,12 @@
         }
     }
 
-    /** Some minutes of everything that can go wrong, then a mended network for the told number of rounds. */
-    static Net storm(int members, long seed, int troubles, Net.Making making) {
-        Net net = new Net(members, seed, making);
-        net.lost = 0.2;
-        net.doubled = 0.1;
+    /** Some minutes of random faults, then a repaired network for {@link #ROUNDS} rounds. */
+    static SimulatedNetwork runWithFaults(
+            int members, long seed, int troubles, SimulatedNetwork.MembershipFactory making) {
+        SimulatedNetwork net = new SimulatedNetwork(members, seed, making);
+        net.lossRate = 0.2;
+        net.duplicationRate = 0.1;
         net.run(60_000);
         Random random = new Random(seed * 31);
         for (int i = 0; i < troubles; i++) {
@@ -59,7 +60,7 @@
             switch (random.nextInt(7)) {
                 case 0 -> net.pause(some, 3000 + random.nextInt(60_000));
                 case 1 -> net.split(List.of(some));
-                case 2 -> net.names.forEach(x -> net.cut(x, some)); // it can speak and hears nobody
+                case 2 -> net.names.forEach(x -> net.cut(x, some)); // it can send but receives nothing
                 case 3 -> net.names.forEach(x -> net.cut(some, x));
                 case 4 -> net.split(net.names.subList(0, 1 + random.nextInt(members - 1)));
                 case 5 -> {
@@ -77,7 +78,7 @@
             net.run(random.nextInt(40_000));
         }
         net.run(60_000); // the last pause is over
-        net.run(ROUNDS * members * Net.HELLO);
+        net.run(ROUNDS * members * SimulatedNetwork.HELLO);
         return net;
     }
 
@@ -85,10 +86,10 @@
     @CsvSource({"5, 30, 40", "60, 3, 8"})
     void nobodyWhoCanBeReachedIsGoneAndAllAgreeOnceEverythingIsMended(int members, int seeds, int troubles) {
         for (long seed = 1; seed <= seeds; seed++) {
-            Net net = storm(members, seed, troubles, Membership::new);
-            assertThat(net.wrong).as("seed %d", seed).isEmpty();
+            SimulatedNetwork net = runWithFaults(members, seed, troubles, Membership::new);
+            assertThat(net.violations).as("seed %d", seed).isEmpty();
             assertThat(net.agreed(Status.SUSPECT)).as("seed %d", seed).isTrue();
-            net.lost = 0; // with a fifth of all notes lost somebody is always under suspicion
+            net.lossRate = 0; // with a fifth of all notes lost some member is always suspected
             net.run(net.of("relay-0").members.suspicionMs());
             assertThat(net.agreed(Status.ALIVE)).as("seed %d", seed).isTrue();
         }
@@ -96,23 +97,23 @@
 
     @Test
     void theSameSeedGivesTheSameHistory() {
-        Net one = storm(5, 7, 20, Membership::new);
-        Net two = storm(5, 7, 20, Membership::new);
+        SimulatedNetwork one = runWithFaults(5, 7, 20, Membership::new);
+        SimulatedNetwork two = runWithFaults(5, 7, 20, Membership::new);
         assertThat(one.reports).isNotEmpty().isEqualTo(two.reports);
         assertThat(one.sentTo).isEqualTo(two.sentTo);
     }
 
     @Test
     void withoutRefutationOrDoubtAboutOneselfTheSameChecksFail() {
-        assertThat(storm(5, 1, 40, Silent::new).wrong).isNotEmpty();
-        assertThat(storm(5, 1, 40, Sure::new).wrong).isNotEmpty();
+        assertThat(runWithFaults(5, 1, 40, WithoutRefutation::new).violations).isNotEmpty();
+        assertThat(runWithFaults(5, 1, 40, WithoutSelfDoubt::new).violations).isNotEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {5, 60})
     void aStoppedOrLonelyProcessDeclaresNobodyGone(int members) {
-        Net net = new Net(members, 3, Membership::new);
-        net.run(2 * members * Net.HELLO);
+        SimulatedNetwork net = new SimulatedNetwork(members, 3, Membership::new);
+        net.run(2 * members * SimulatedNetwork.HELLO);
         Membership us = net.of("relay-0").members;
         assertThat(us.doubtful()).isFalse();
         net.pause("relay-0", 120_000);
@@ -128,30 +129,30 @@
         assertThat(net.reports).noneMatch(r -> r.startsWith("relay-0:") && r.endsWith("gone"));
         assertThat(net.reports).contains("relay-1: relay relay-0 is gone");
         net.heal();
-        net.run(ROUNDS * members * Net.HELLO);
+        net.run(ROUNDS * members * SimulatedNetwork.HELLO);
         assertThat(net.agreed(Status.ALIVE)).isTrue();
-        assertThat(net.wrong).isEmpty();
+        assertThat(net.violations).isEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {5, 60})
     void halfOfTheFleetOnEachSideFindsTogetherAgain(int members) {
-        Net net = new Net(members, 4, Membership::new);
-        net.run(2 * members * Net.HELLO);
+        SimulatedNetwork net = new SimulatedNetwork(members, 4, Membership::new);
+        net.run(2 * members * SimulatedNetwork.HELLO);
         net.split(net.names.subList(0, members / 3));
-        net.run(10 * members * Net.HELLO);
+        net.run(10 * members * SimulatedNetwork.HELLO);
         String far = net.names.get(members - 1);
         assertThat(net.of(far).members.status("relay-0")).isEqualTo(Status.GONE);
         net.heal();
-        net.run(ROUNDS * members * Net.HELLO);
+        net.run(ROUNDS * members * SimulatedNetwork.HELLO);
         assertThat(net.agreed(Status.ALIVE)).isTrue();
-        assertThat(net.wrong).isEmpty();
+        assertThat(net.violations).isEmpty();
     }
 
     @Test
     void oneThatNeverReturnsIsGoneEverywhereAndCostsAHelloInSomeRounds() {
-        Net net = new Net(20, 5, Membership::new);
-        net.lost = 0.1;
+        SimulatedNetwork net = new SimulatedNetwork(20, 5, Membership::new);
+        net.lossRate = 0.1;
         net.run(40_000);
         net.kill("relay-7");
         net.run(net.of("relay-0").members.suspicionMs() * 2 + 20_000);
@@ -160,16 +161,16 @@
                 .allMatch(p -> p.members.status("relay-7") == Status.GONE
                         && !p.members.alive().contains("relay-7"));
         net.sentTo.clear();
-        net.run(60 * 20 * Net.HELLO);
+        net.run(60 * 20 * SimulatedNetwork.HELLO);
         assertThat(net.sentTo.get("relay-7")).isBetween(19 * 15, 19 * 25); // one in three of its 60 rounds
     }
 
     @Test
     void ofTwoProcessesWithOneNameTheOlderStepsBack() {
-        Net net = new Net(5, 6, Membership::new);
+        SimulatedNetwork net = new SimulatedNetwork(5, 6, Membership::new);
         net.run(20_000);
-        Net.Process old = net.of("relay-2");
-        Net.Process young = net.start("relay-2");
+        SimulatedNetwork.Process old = net.of("relay-2");
+        SimulatedNetwork.Process young = net.start("relay-2");
         net.run(10_000);
         assertThat(old.members.steppedBack()).isInstanceOf(Fault.NameTaken.class);
         assertThat(old.members.alive()).isEmpty();
@@ -183,8 +184,8 @@
     }
 
     @Test
-    void whoLeavesIsHeldToBeThereByNobody() {
-        Net net = new Net(20, 8, Membership::new);
+    void aMemberThatLeftIsAliveToNobody() {
+        SimulatedNetwork net = new SimulatedNetwork(20, 8, Membership::new);
         net.run(40_000);
         net.of("relay-3").members.leave();
         int sent = net.of("relay-3").sent;
@@ -199,14 +200,14 @@
         assertThat(sent).isLessThan(200);
     }
 
-    /** One member alone, told what we like. */
-    private static final class Alone implements Outbox {
+    /** A single member that receives whatever rumours a test sends. */
+    private static final class SingleMember implements Outbox {
         private final List<Note> sent = new ArrayList<>();
         private final List<String> all = List.of("a", "b", "c", "d", "e");
         private final Membership us = new Membership(
                 new Setup("f", "a", "z", all, all.subList(0, 3), 1000, 8000, 200, 0.01, 0.5), 50, new Random(1), this);
 
-        private void told(double now, String member, long incarnation, int refutation, Status status) {
+        private void receiveRumour(double now, String member, long incarnation, int refutation, Status status) {
             us.heard(now, "b", 9, new Note.Hello(1, List.of(new Rumour(member, incarnation, refutation, status))));
         }
 
@@ -225,34 +226,34 @@
 
     @Test
     void rumoursOfAnEarlierProcessDoNotHarmTheNewOne() {
-        Alone a = new Alone();
-        a.told(0, "c", 7, 3, Status.GONE);
+        SingleMember a = new SingleMember();
+        a.receiveRumour(0, "c", 7, 3, Status.GONE);
         assertThat(a.us.status("c")).isEqualTo(Status.GONE);
-        a.told(1, "c", 8, 0, Status.ALIVE);
-        a.told(2, "c", 7, 99, Status.GONE);
+        a.receiveRumour(1, "c", 8, 0, Status.ALIVE);
+        a.receiveRumour(2, "c", 7, 99, Status.GONE);
         a.us.heard(3, "c", 7, new Note.Leaving());
         assertThat(a.us.status("c")).isEqualTo(Status.ALIVE);
         assertThat(a.us.incarnation("c")).isEqualTo(8);
-        a.told(4, "c", 8, 1, Status.SUSPECT);
-        a.told(5, "c", 8, 0, Status.GONE);
+        a.receiveRumour(4, "c", 8, 1, Status.SUSPECT);
+        a.receiveRumour(5, "c", 8, 0, Status.GONE);
         assertThat(a.us.status("c")).isEqualTo(Status.SUSPECT);
-        a.told(6, "c", 8, 2, Status.ALIVE);
+        a.receiveRumour(6, "c", 8, 2, Status.ALIVE);
         assertThat(a.us.alive()).containsExactly("b", "c");
-        a.told(7, "stranger", 8, 2, Status.ALIVE);
+        a.receiveRumour(7, "stranger", 8, 2, Status.ALIVE);
         assertThat(a.us.status("stranger")).isEqualTo(Status.GONE);
     }
 
     @Test
     void whatIsHeldAgainstUsIsRefutedAndALaterProcessOfOurNameSilencesUs() {
-        Alone a = new Alone();
-        a.told(0, "a", 50, 4, Status.GONE);
+        SingleMember a = new SingleMember();
+        a.receiveRumour(0, "a", 50, 4, Status.GONE);
         assertThat(a.ofUs()).isEqualTo(new Rumour("a", 50, 5, Status.ALIVE));
-        a.told(1, "a", 50, 4, Status.GONE);
-        a.told(2, "a", 49, 70, Status.GONE);
-        a.told(3, "a", 50, Integer.MAX_VALUE, Status.GONE);
+        a.receiveRumour(1, "a", 50, 4, Status.GONE);
+        a.receiveRumour(2, "a", 49, 70, Status.GONE);
+        a.receiveRumour(3, "a", 50, Integer.MAX_VALUE, Status.GONE);
         assertThat(a.ofUs().refutation()).isEqualTo(5);
         int sent = a.sent.size();
-        a.told(4, "a", 51, 0, Status.ALIVE);
+        a.receiveRumour(4, "a", 51, 0, Status.ALIVE);
         assertThat(a.us.steppedBack()).isInstanceOf(Fault.NameTaken.class);
         assertThat(a.us.timer(5)).isInfinite();
         a.us.leave();
@@ -263,13 +264,13 @@
     void bytesOfEachRelayStayFlatFromFiveToThreeHundred() {
         List<Double> last = new ArrayList<>();
         for (int members : new int[] {5, 60, 300}) {
-            Net net = new Net(members, 9, Membership::new);
-            net.lost = 0.02;
+            SimulatedNetwork net = new SimulatedNetwork(members, 9, Membership::new);
+            net.lossRate = 0.02;
             net.checked = false;
             List<Double> minutes = new ArrayList<>();
             for (int minute = 0; minute < 5; minute++) {
                 long before = net.processes.stream().mapToLong(p -> p.bytes).sum();
-                net.run(60 * Net.HELLO);
+                net.run(60 * SimulatedNetwork.HELLO);
                 minutes.add((net.processes.stream().mapToLong(p -> p.bytes).sum() - before) / 60.0 / members);
             }
             assertThat(minutes).as("bytes a hello, all begin at once").allMatch(b -> b < 700);
--- a/src/test/java/firstair/fleet/member/Net.java
+++ b/src/test/java/firstair/fleet/member/SimulatedNetwork.java
@@ -19,18 +19,18 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Members in virtual time on a network that loses, doubles, reorders and cuts; all they say goes through the codec. */
-final class Net {
+/** Members in virtual time on a network that loses, duplicates, reorders and cuts; all notes pass through the codec. */
+final class SimulatedNetwork {
     static final double HELLO = 1000;
 
-    /** How a process decides. */
-    interface Making {
+    /** Creates the membership of a process. */
+    interface MembershipFactory {
         Membership of(Setup setup, long incarnation, Random random, Outbox out);
     }
 
     private record Event(double at, long order, Runnable what) {}
 
-    /** One process. */
+    /** One process of a member. */
     final class Process implements Outbox {
         final String name;
         final long incarnation;
@@ -58,8 +58,8 @@
             bytes += written.length;
             sent++;
             sentTo.merge(to, 1, Integer::sum);
-            for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-                if (random.nextDouble() >= lost && !cuts.contains(name + ">" + to)) {
+            for (int copies = random.nextDouble() < duplicationRate ? 2 : 1; copies > 0; copies--) {
+                if (random.nextDouble() >= lossRate && !cutLinks.contains(name + ">" + to)) {
                     at(now + 1 + random.nextDouble() * 150, () -> arrive(to, written));
                 }
             }
@@ -70,11 +70,11 @@
             reports.add(name + ": " + text);
         }
 
-        private void hear(byte[] bytes) {
+        private void receive(byte[] bytes) {
             if (!up) {
                 return;
             } else if (pausedUntil > now) {
-                at(pausedUntil, () -> hear(bytes));
+                at(pausedUntil, () -> receive(bytes));
                 return;
             }
             try {
@@ -107,35 +107,35 @@
 
     final List<String> names;
     final List<Process> processes = new ArrayList<>();
-    final List<String> wrong = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     final List<String> reports = new ArrayList<>();
     final Map<String, Integer> sentTo = new HashMap<>();
-    final Set<String> cuts = new HashSet<>();
+    final Set<String> cutLinks = new HashSet<>();
     final Random random;
-    double lost;
-    double doubled;
+    double lossRate;
+    double duplicationRate;
     double now;
     int dropped;
     boolean checked = true;
-    private final Making making;
+    private final MembershipFactory making;
     private final Codec codec = new Codec();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Map<String, Double> wellSince = new HashMap<>();
+    private final Map<String, Double> healthySince = new HashMap<>();
     private long order;
     private long incarnations = 1000;
 
-    Net(int members, long seed, Making making) {
+    SimulatedNetwork(int members, long seed, MembershipFactory making) {
         this.making = making;
         random = new Random(seed);
         names = IntStream.range(0, members).mapToObj(i -> "relay-" + i).toList();
         names.forEach(this::begin);
-        changed();
+        updateHealthySince();
     }
 
     Process start(String name) {
         Process p = begin(name);
-        changed();
+        updateHealthySince();
         return p;
     }
 
@@ -156,31 +156,33 @@
 
     void kill(String name) {
         of(name).up = false;
-        changed();
+        updateHealthySince();
     }
 
     void pause(String name, double ms) {
         of(name).pausedUntil = now + ms;
-        changed();
-        at(now + ms, this::changed);
+        updateHealthySince();
+        at(now + ms, this::updateHealthySince);
     }
 
     void cut(String from, String to) {
-        cuts.add(from + ">" + to);
-        changed();
+        cutLinks.add(from + ">" + to);
+        updateHealthySince();
     }
 
-    /** No note passes between these and the rest. */
+    /** Partitions the network: no note passes between these and the rest. */
     void split(List<String> some) {
         for (String a : some) {
-            names.stream().filter(b -> !some.contains(b)).forEach(b -> cuts.addAll(List.of(a + ">" + b, b + ">" + a)));
+            names.stream()
+                    .filter(b -> !some.contains(b))
+                    .forEach(b -> cutLinks.addAll(List.of(a + ">" + b, b + ">" + a)));
         }
-        changed();
+        updateHealthySince();
     }
 
     void heal() {
-        cuts.clear();
-        changed();
+        cutLinks.clear();
+        updateHealthySince();
     }
 
     void at(double when, Runnable what) {
@@ -198,54 +200,54 @@
     }
 
     private void arrive(String to, byte[] bytes) {
-        List.copyOf(processes).stream().filter(p -> p.name.equals(to)).forEach(p -> p.hear(bytes));
+        List.copyOf(processes).stream().filter(p -> p.name.equals(to)).forEach(p -> p.receive(bytes));
     }
 
-    /** Whoever is up and has both ways to a majority, itself included, is well from now on. */
-    private void changed() {
+    /** Marks as healthy from now on who runs and has links both ways to a majority, itself included. */
+    private void updateHealthySince() {
         for (String m : names) {
             long reached = names.stream()
-                    .filter(x -> runs(x) && !cuts.contains(m + ">" + x) && !cuts.contains(x + ">" + m))
+                    .filter(x -> running(x) && !cutLinks.contains(m + ">" + x) && !cutLinks.contains(x + ">" + m))
                     .count();
-            if (runs(m) && reached > names.size() / 2) {
-                wellSince.putIfAbsent(m, now);
+            if (running(m) && reached > names.size() / 2) {
+                healthySince.putIfAbsent(m, now);
             } else {
-                wellSince.remove(m);
+                healthySince.remove(m);
             }
         }
     }
 
-    private boolean runs(String name) {
+    private boolean running(String name) {
         return processes.stream().anyMatch(p -> p.name.equals(name) && p.up && p.pausedUntil <= now);
     }
 
-    /** How long a member has been well without a break, ms. */
-    private double well(String name) {
-        Double since = wellSince.get(name);
+    /** How long a member has been healthy without interruption, ms. */
+    private double healthyMs(String name) {
+        Double since = healthySince.get(name);
         return since == null ? 0 : now - since;
     }
 
-    /** Nobody declares gone who has been well for as long as a suspicion lasts, nor does anybody well hold it so. */
+    /** No member that was healthy for as long as a suspicion lasts is declared gone or, by healthy ones, still held so. */
     private void check(Process at) {
         if (!checked) {
             return;
         }
-        double bound = at.members.suspicionMs() + 10 * HELLO; // a rumour of before needs some hellos to go round
+        double bound = at.members.suspicionMs() + 10 * HELLO; // an earlier rumour needs some hellos to spread
         for (String m : names) {
             Status held = at.members.status(m);
             Status old = at.before.put(m, held);
             if (held != Status.GONE || m.equals(at.name)) {
                 continue;
             }
-            if (old != null && old != Status.GONE && well(m) > bound) {
-                wrong.add(at.name + " declared " + m + " gone at " + now);
-            } else if (Math.min(well(m), well(at.name)) > bound + 3 * names.size() * HELLO) {
-                wrong.add(at.name + " still holds " + m + " gone at " + now);
+            if (old != null && old != Status.GONE && healthyMs(m) > bound) {
+                violations.add(at.name + " declared " + m + " gone at " + now);
+            } else if (Math.min(healthyMs(m), healthyMs(at.name)) > bound + 3 * names.size() * HELLO) {
+                violations.add(at.name + " still holds " + m + " gone at " + now);
             }
         }
     }
 
-    /** Whether all newest processes hold each other by their right incarnations, and to be no worse than told. */
+    /** Whether all newest processes know each other's newest incarnation, with a status no worse than given. */
     boolean agreed(Status worst) {
         return names.stream().allMatch(a -> names.stream()
                 .allMatch(b -> of(a).members.status(b).compareTo(worst) <= 0
--- a/src/test/java/firstair/fleet/talk/CodecTest.java
+++ b/src/test/java/firstair/fleet/talk/CodecTest.java
@@ -23,12 +23,12 @@
 class CodecTest {
     private final Codec codec = new Codec();
 
-    /** What a later program could write. */
-    private interface Later {
+    /** Writes what a later version could write. */
+    private interface PackAction {
         void to(MessageBufferPacker packer) throws IOException;
     }
 
-    private static byte[] head(int parts, int version, Later rest) throws IOException {
+    private static byte[] head(int parts, int version, PackAction rest) throws IOException {
         MessageBufferPacker p = MessagePack.newDefaultBufferPacker();
         p.packArrayHeader(parts)
                 .packInt(version)
@@ -68,7 +68,7 @@
     }
 
     @Property(tries = 300)
-    void spoiltEnvelopesAreEnvelopesOrFaultsAndTakeLittleMemory(@ForAll long seed) {
+    void corruptedEnvelopesAreEnvelopesOrFaultsAndTakeLittleMemory(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] whole = codec.write(Notes.envelope(random, 1 + random.nextInt(6)));
         for (int i = 0; i < 60; i++) {
@@ -86,9 +86,9 @@
         assertThat(readable(longer)).as("seed %d", seed).isFalse();
     }
 
-    /** Whether it could be read; everything but a fault is an error, and so is much memory. */
+    /** Whether it could be read; fails on any exception but a fault and on excessive allocation. */
     private boolean readable(byte[] bytes) {
-        boolean first = read(bytes); // the first time loads classes, which takes memory of its own
+        boolean first = read(bytes); // the first call loads classes, which allocates memory too
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long before = threads.getCurrentThreadAllocatedBytes();
         boolean second = read(bytes);
@@ -107,8 +107,8 @@
     }
 
     @Test
-    void toldLengthsAreNotBelieved() throws IOException {
-        List<Later> lies = List.of(
+    void declaredLengthsAreCheckedAgainstTheRemainingBytes() throws IOException {
+        List<PackAction> lies = List.of(
                 p -> p.packArrayHeader(Integer.MAX_VALUE),
                 p -> p.packArrayHeader(1)
                         .packArrayHeader(2)
@@ -130,13 +130,13 @@
                         .packArrayHeader(Integer.MAX_VALUE)
                         .packArrayHeader(Integer.MAX_VALUE),
                 p -> p.packArrayHeader(1).packArrayHeader(2).packInt(99).packRawStringHeader(Integer.MAX_VALUE));
-        for (Later lie : lies) {
+        for (PackAction lie : lies) {
             assertThat(readable(head(7, 1, lie))).isFalse();
         }
         assertThat(readable(head(
                         7,
                         1,
-                        p -> { // 100,000 deep, and its end is there
+                        p -> { // 100,000 levels deep and complete
                             p.packArrayHeader(1).packArrayHeader(2).packInt(99);
                             for (int i = 0; i < 100_000; i++) {
                                 p.packArrayHeader(1);
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void whatOnlyLaterProgramsKnowIsPassedOver() throws IOException {
+    void unknownKindsFieldsAndEnumValuesAreSkipped() throws IOException {
         byte[] later = head(9, 1, p -> {
             p.packArrayHeader(4);
             p.packArrayHeader(3)
@@ -155,12 +155,12 @@
                     .packMapHeader(1)
                     .packString("x")
                     .packDouble(1)
-                    .packNil(); // a kind
+                    .packNil(); // an unknown kind
             p.packArrayHeader(2)
                     .packInt(4)
                     .packMapHeader(4)
                     .packInt(9)
-                    .packMapHeader(0) // a field
+                    .packMapHeader(0) // an unknown field
                     .packInt(2)
                     .packLong(5)
                     .packInt(0)
@@ -174,7 +174,7 @@
                     .packLong(7)
                     .packInt(1)
                     .packArrayHeader(2);
-            for (int status = 9; status >= 1; status -= 8) { // a word
+            for (int status = 9; status >= 1; status -= 8) { // an unknown enum value
                 p.packMapHeader(4)
                         .packInt(0)
                         .packString("m")
@@ -191,7 +191,7 @@
                     .packInt(0)
                     .packLong(8)
                     .packString("more");
-            p.packArrayHeader(1).packNil().packBoolean(true); // parts behind the notes
+            p.packArrayHeader(1).packNil().packBoolean(true); // fields after the notes
         });
         assertThat(codec.read(later).notes())
                 .containsExactly(
@@ -204,7 +204,7 @@
     @Test
     void numbersAndNamesOutsideTheirBoundsAreNeitherWrittenNorRead() throws IOException {
         List<Note> wrong = new ArrayList<>();
-        for (double ms : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, Field.DAY + 1}) {
+        for (double ms : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, FieldCodec.MAX_SPAN_MS + 1}) {
             wrong.add(new Note.Loan(1, 2, "b", 3, ms));
         }
         wrong.add(new Note.Loan(1, 2, "b", -3, 4));
@@ -217,7 +217,7 @@
                     .as("%s", n)
                     .isInstanceOf(Fault.Unreadable.class);
         }
-        for (double ms : new double[] {Double.NaN, Double.NEGATIVE_INFINITY, -0.5, Field.DAY + 0.5}) {
+        for (double ms : new double[] {Double.NaN, Double.NEGATIVE_INFINITY, -0.5, FieldCodec.MAX_SPAN_MS + 0.5}) {
             byte[] bytes = head(7, 1, p -> p.packArrayHeader(1)
                     .packArrayHeader(2)
                     .packInt(10)
--- a/src/test/java/firstair/fleet/talk/GateTest.java
+++ b/src/test/java/firstair/fleet/talk/GateTest.java
@@ -18,7 +18,7 @@
                 "f", Envelope.VERSION, from, incarnation, to, toIncarnation, List.of(new Note.LoanBack(incarnation)));
     }
 
-    private void stopped(Envelope e, Class<? extends Fault> by) {
+    private void assertRejected(Envelope e, Class<? extends Fault> by) {
         assertThatThrownBy(() -> gate.pass(e)).isInstanceOf(by);
     }
 
@@ -26,28 +26,28 @@
     void onlyTheNewestProcessOfAnotherMemberPassesAndOnlyToUs() {
         assertThat(gate.pass(from("a", 7, "b", 0))).containsExactly(new Note.LoanBack(7));
         assertThat(gate.pass(from("a", 7, "b", 50))).hasSize(1);
-        stopped(new Envelope("g", Envelope.VERSION, "a", 7, "b", 50, List.of()), Fault.OtherFleet.class);
-        stopped(new Envelope("f", 2, "a", 7, "b", 50, List.of()), Fault.OtherVersion.class);
-        stopped(from("x", 7, "b", 50), Fault.Stranger.class);
-        stopped(from("a", 7, "c", 50), Fault.NotForUs.class);
-        stopped(from("a", 7, "b", 49), Fault.NotForUs.class);
+        assertRejected(new Envelope("g", Envelope.VERSION, "a", 7, "b", 50, List.of()), Fault.OtherFleet.class);
+        assertRejected(new Envelope("f", 2, "a", 7, "b", 50, List.of()), Fault.OtherVersion.class);
+        assertRejected(from("x", 7, "b", 50), Fault.Stranger.class);
+        assertRejected(from("a", 7, "c", 50), Fault.NotForUs.class);
+        assertRejected(from("a", 7, "b", 49), Fault.NotForUs.class);
         assertThat(gate.pass(from("a", 8, "b", 50))).hasSize(1);
-        stopped(from("a", 7, "b", 50), Fault.OldIncarnation.class);
+        assertRejected(from("a", 7, "b", 50), Fault.OldIncarnation.class);
         assertThat(gate.counts()).isEqualTo(Map.of("F101", 1L, "F103", 1L, "F106", 1L, "F108", 2L, "F104", 1L));
     }
 
     @Test
-    void anotherProcessOfOurNameIsToldFromOurOwnEcho() {
-        stopped(from("b", 50, "b", 50), Fault.Echo.class);
-        stopped(from("b", 49, "b", 0), Fault.OldIncarnation.class);
-        stopped(from("b", 51, "b", 0), Fault.NameTaken.class);
-        stopped(from("a", 7, "b", 51), Fault.NameTaken.class); // the sender knows of one that followed us
+    void anotherProcessOfOurNameIsDistinguishedFromOurOwnEcho() {
+        assertRejected(from("b", 50, "b", 50), Fault.Echo.class);
+        assertRejected(from("b", 49, "b", 0), Fault.OldIncarnation.class);
+        assertRejected(from("b", 51, "b", 0), Fault.NameTaken.class);
+        assertRejected(from("a", 7, "b", 51), Fault.NameTaken.class); // the sender knows a successor of ours
     }
 
     @Test
     void whatDoesNotPassDoesNotCountAsSeen() {
-        stopped(from("a", 1000, "b", 49), Fault.NotForUs.class);
-        stopped(new Envelope("g", Envelope.VERSION, "a", 1000, "b", 50, List.of()), Fault.OtherFleet.class);
+        assertRejected(from("a", 1000, "b", 49), Fault.NotForUs.class);
+        assertRejected(new Envelope("g", Envelope.VERSION, "a", 1000, "b", 50, List.of()), Fault.OtherFleet.class);
         assertThat(gate.seen("a")).isZero();
         assertThat(gate.pass(from("a", 7, "b", 50))).hasSize(1);
         assertThat(gate.seen("a")).isEqualTo(7);
--- a/src/test/java/firstair/fleet/talk/Notes.java
+++ b/src/test/java/firstair/fleet/talk/Notes.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** Notes of every kind that there is, made from their record components: a new kind needs nothing here. */
+/** Random notes of every kind, made by reflection from their record components: a new kind needs no change here. */
 final class Notes {
     private static final String LETTERS = "ab7:-\u00e4\u0f00\uD83D\uDE80";
 
@@ -32,7 +32,7 @@
                         .toList());
     }
 
-    /** A record with values from all over their bounds. */
+    /** A record with random values from the whole range of each field. */
     static Object some(Class<?> kind, Random random) {
         try {
             RecordComponent[] parts = kind.getRecordComponents();
@@ -55,7 +55,7 @@
         } else if (type == int.class) {
             return (int) (natural(random) & Integer.MAX_VALUE);
         } else if (type == double.class) {
-            double most = part.getName().equals("reach") ? 1 : Field.DAY;
+            double most = part.getName().equals("reach") ? 1 : FieldCodec.MAX_SPAN_MS;
             return random.nextInt(4) == 0 ? (random.nextBoolean() ? 0 : most) : random.nextDouble() * most;
         } else if (type == boolean.class) {
             return random.nextBoolean();
@@ -75,11 +75,11 @@
     }
 
     private static long natural(Random random) {
-        return random.nextLong() >>> (1 + random.nextInt(63)); // as often short as long
+        return random.nextLong() >>> (1 + random.nextInt(63)); // all bit lengths equally often
     }
 
     private static String name(Random random) {
-        int most = random.nextInt(4) == 0 ? Input.MOST_NAME : 12;
+        int most = random.nextInt(4) == 0 ? Input.MAX_NAME_BYTES : 12;
         StringBuilder name = new StringBuilder("n");
         while (true) {
             int at = LETTERS.offsetByCodePoints(0, random.nextInt(LETTERS.codePointCount(0, LETTERS.length())));
