--- a/src/main/java/firstair/fleet/member/Membership.java
+++ b/src/main/java/firstair/fleet/member/Membership.java
@@ -16,13 +16,13 @@
 import java.util.Random;
 
 /**
- * Membership as seen by this relay, by SWIM-style probing and gossip. Every {@code helloMs} it sends a hello to one other
+ * Membership as seen by this relay, by SWIM-style probing and gossip. Every {@code helloMs} it says hello to one other
  * member, to each once per round in random order. A member that doesn't answer is probed through other members; if they
- * don't reach it either, it is suspected. The suspicion is gossiped to all, the suspected member included, which refutes
+ * don't reach it either, it is suspected. The suspicion is gossiped to all, the suspect included, which refutes
  * it. A member that doesn't refute it in time is gone until it is heard again; gone members are still probed in every
  * third round.
  *
- * <p>A relay whose own health is degraded, or that was suspended for a while, doesn't publish its suspicions and declares
+ * <p>A relay whose own health is degraded, or that was suspended for a while, doesn't publish suspicions and declares
  * no member gone. None is declared gone before a majority of all members has answered us since the suspicion began,
  * so an isolated relay cannot do it. Status is a hint for choosing whom to ask; no safety property depends on it.
  *
--- a/src/main/java/firstair/fleet/talk/Codec.java
+++ b/src/main/java/firstair/fleet/talk/Codec.java
@@ -143,7 +143,7 @@
 
     /**
      * Splits an envelope into ones of at most {@code most} bytes, keeping the order of notes. Lists within notes
-     * are split where a note does not fit alone; any other note that is too large gets an envelope of its own above that size.
+     * are split where a note does not fit alone; any other note that is too large gets an envelope of its own above it.
      */
     public List<Envelope> split(Envelope whole, int most) {
         int room = most - write(with(whole, List.of())).length - LIST_LENGTH_BYTES;
--- a/src/main/java/firstair/fleet/talk/Note.java
+++ b/src/main/java/firstair/fleet/talk/Note.java
@@ -4,8 +4,8 @@
 
 /**
  * Notes exchanged between relays. None holds content, key or id of a message. Every note may be lost, late, duplicated
- * or out of order; its handler must allow for that. Times are spans in milliseconds, never timestamps: relays don't share
- * a clock.
+ * or out of order; its handler must allow for that. Times are spans in milliseconds, never timestamps: relays share
+ * no clock.
  */
 public sealed interface Note {
 
--- a/src/test/java/firstair/fleet/member/SimulatedNetwork.java
+++ b/src/test/java/firstair/fleet/member/SimulatedNetwork.java
@@ -227,7 +227,7 @@
         return since == null ? 0 : now - since;
     }
 
-    /** No member that was healthy for as long as a suspicion lasts is declared gone or, by healthy ones, still held so. */
+    /** No member that was healthy for as long as a suspicion lasts is declared gone or, by healthy ones, held so. */
     private void check(Process at) {
         if (!checked) {
             return;
