--- a/src/main/java/firstair/fleet/member/Membership.java
+++ b/src/main/java/firstair/fleet/member/Membership.java
@@ -66,7 +66,7 @@
     private int suspectCursor;
     private double nextHelloAt = Double.NaN; // not started
     private double wakeAt = Double.POSITIVE_INFINITY;
-    private Fault steppedBack;
+    private Fault stopReason;
     private boolean left;
 
     /**
@@ -102,7 +102,7 @@
      * @param from   the sender; ignored unless it is a member
      * @param sender its incarnation; notes of an incarnation older than the newest known are ignored
      */
-    public void heard(double now, String from, long sender, Note note) {
+    public void receive(double now, String from, long sender, Note note) {
         if (from.equals(setup.self()) && sender > incarnation) {
             nameTaken();
         }
@@ -117,18 +117,18 @@
         m.heardAt = now;
         if (note instanceof Note.Hello hello) {
             hello.rumours().forEach(r -> learn(r, now));
-            send(m, new Note.HelloBack(hello.nonce(), rumours(m)));
-        } else if (note instanceof Note.HelloBack back) {
+            send(m, new Note.HelloAnswer(hello.nonce(), rumours(m)));
+        } else if (note instanceof Note.HelloAnswer back) {
             onAnswer(m, back.nonce(), now, true);
             back.rumours().forEach(r -> learn(r, now));
             IndirectProbe errand = indirectProbes.get(back.nonce());
             if (errand != null && errand.target().equals(from)) {
                 indirectProbes.remove(back.nonce());
-                send(others.get(errand.requester()), new Note.HeardOf(errand.nonce(), from, sender));
+                send(others.get(errand.requester()), new Note.ProbeAnswer(errand.nonce(), from, sender));
             }
-        } else if (note instanceof Note.AskAbout ask) {
+        } else if (note instanceof Note.ProbeRequest ask) {
             probeOnBehalf(m, ask, now);
-        } else if (note instanceof Note.HeardOf heard) {
+        } else if (note instanceof Note.ProbeAnswer heard) {
             Member about = others.get(heard.member());
             learn(new Rumour(heard.member(), heard.incarnation(), 0, Status.ALIVE), now);
             if (about != null && heard.incarnation() == about.incarnation) {
@@ -170,9 +170,9 @@
 
     /** A process that started later uses our name: this one stops sending for good. */
     public void nameTaken() {
-        if (steppedBack == null) {
-            steppedBack = new Fault.NameTaken(setup.self());
-            out.report(steppedBack.line());
+        if (stopReason == null) {
+            stopReason = new Fault.NameTaken(setup.self());
+            out.report(stopReason.line());
         }
     }
 
@@ -229,8 +229,8 @@
     }
 
     /** Why this process has stopped sending for good, or null while it has not. */
-    public Fault steppedBack() {
-        return steppedBack;
+    public Fault stopReason() {
+        return stopReason;
     }
 
     /** Shortest time from a suspicion to its member being gone, ms. */
@@ -239,7 +239,7 @@
     }
 
     private boolean silent() {
-        return left || steppedBack != null;
+        return left || stopReason != null;
     }
 
     // ---- hellos ----
@@ -313,7 +313,7 @@
         m.reprobedAt = now;
         m.reprobeNonce = nonce++;
         send(m, new Note.Hello(m.reprobeNonce, rumours(m)));
-        helpers(m, 1).forEach(h -> send(h, new Note.AskAbout(m.reprobeNonce, m.name)));
+        helpers(m, 1).forEach(h -> send(h, new Note.ProbeRequest(m.reprobeNonce, m.name)));
     }
 
     /** Whether an answer to the latest repeated probe may still arrive. */
@@ -329,7 +329,7 @@
         return some.subList(0, Math.min(most, some.size()));
     }
 
-    private void probeOnBehalf(Member asker, Note.AskAbout ask, double now) {
+    private void probeOnBehalf(Member asker, Note.ProbeRequest ask, double now) {
         Member about = others.get(ask.member());
         if (about == null || about == asker) {
             return;
@@ -365,7 +365,7 @@
             m.probe.attempts++;
             m.probe.deadline = now + 2 * health.timeoutMs(); // two round trips
             send(m, new Note.Hello(m.probe.nonce, rumours(m)));
-            helpers(m, INDIRECT_PROBES).forEach(h -> send(h, new Note.AskAbout(m.probe.nonce, m.name)));
+            helpers(m, INDIRECT_PROBES).forEach(h -> send(h, new Note.ProbeRequest(m.probe.nonce, m.name)));
             return;
         }
         endProbe(m, false);
--- a/src/main/java/firstair/fleet/talk/Gate.java
+++ b/src/main/java/firstair/fleet/talk/EnvelopeFilter.java
@@ -11,14 +11,14 @@
  * Validates envelopes before their notes are handled: the sender must be the newest known process of another member and
  * the receiver this process. A rejected envelope changes nothing but a counter.
  */
-public final class Gate {
+public final class EnvelopeFilter {
     private final Setup setup;
     private final long incarnation;
     private final Map<String, Long> seen = new LinkedHashMap<>(); // newest incarnations, by member only
     private final Map<String, Long> counts = new TreeMap<>(); // rejected envelopes by fault code only
 
     /** @param incarnation of our own process */
-    public Gate(Setup setup, long incarnation) {
+    public EnvelopeFilter(Setup setup, long incarnation) {
         this.setup = setup;
         this.incarnation = incarnation;
         setup.members().forEach(m -> seen.put(m, 0L));
@@ -35,7 +35,7 @@
      * @throws Fault.Echo           where we sent it ourselves
      * @throws Fault.NotForUs       where it is for another member or an earlier process of ours
      */
-    public List<Note> pass(Envelope e) {
+    public List<Note> accept(Envelope e) {
         try {
             check(e);
         } catch (Fault f) {
--- a/src/main/java/firstair/relay/store/LedgerFile.java
+++ b/src/main/java/firstair/relay/store/LedgerFile.java
@@ -1,8 +1,8 @@
 package firstair.relay.store;
 
 import firstair.fleet.fault.Fault;
-import firstair.fleet.ledger.Keeper;
-import firstair.fleet.ledger.LedgerMemory;
+import firstair.fleet.ledger.LedgerState;
+import firstair.fleet.ledger.LedgerStore;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
 
 /**
  * The persistent state of a voter, in one append-only file: records in the format of {@link Store}'s file, each with
- * one change of its {@link LedgerMemory}. When the file exceeds its size limit and twice the size of its live records,
+ * one change of its {@link LedgerState}. When the file exceeds its size limit and twice the size of its live records,
  * the live records are written to a new file that replaces it.
  *
  * <p>{@link #force} syncs, where {@link Store} does not. A message that is lost with its machine has not been confirmed
@@ -39,7 +39,7 @@
  * once the voter has started. The only safe way to replace voters whose folders are lost is to stop the voters and to
  * found a fleet under a new name, entering the data of the remaining voters again.
  */
-public final class LedgerFile implements Keeper {
+public final class LedgerFile implements LedgerStore {
     private static final Logger LOG = Logger.getLogger(LedgerFile.class.getName());
     private static final String FILE_NAME = "ledger.log";
     private static final String TEMP_NAME = "ledger.tmp";
@@ -49,7 +49,7 @@
     private final long maxBytes;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private FileChannel lock; // held while open: two writing processes would lose each other's records
-    private LedgerMemory memory;
+    private LedgerState memory;
     private FileChannel file;
     private long size;
     private long liveBytes; // size of the live records when the file was opened or last rewritten
@@ -85,7 +85,7 @@
             if (Files.exists(named)) {
                 ledger.read(named);
             } else if (firstStart) {
-                ledger.memory = LedgerMemory.founded(fleet, self, voters);
+                ledger.memory = LedgerState.initial(fleet, self, voters);
                 ledger.rewrite();
             } else {
                 throw new Fault.LedgerLost(folder.toString());
@@ -140,7 +140,7 @@
             throw new Fault.TornLedger(named.toString(), at);
         }
         try {
-            memory = LedgerMemory.of(changes);
+            memory = LedgerState.of(changes);
         } catch (Fault.Unreadable e) {
             throw new Fault.TornLedger(named.toString(), at); // valid records, but not of a ledger
         }
@@ -168,7 +168,7 @@
     }
 
     /** The state of the voter; updated as the engine records changes. */
-    public LedgerMemory memory() {
+    public LedgerState memory() {
         return memory;
     }
 
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void keep(byte[] change) throws IOException {
+    public void append(byte[] change) throws IOException {
         checkUsable();
         byte[] record = new byte[Records.HEADER + change.length];
         System.arraycopy(change, 0, record, Records.HEADER, change.length);
@@ -221,7 +221,7 @@
         long written = 0;
         try {
             for (byte[] change : memory.changes()) {
-                keep(change);
+                append(change);
                 written += pending.size();
                 ByteBuffer buffer = ByteBuffer.wrap(pending.toByteArray());
                 pending.reset();
