--- a/src/main/java/firstair/control/Control.java
+++ b/src/main/java/firstair/control/Control.java
@@ -137,7 +137,7 @@
         boolean inFlight; // an attempt has not ended
         boolean finished; // the final answer is known
         Set<Integer> zones; // where it may be sent, null for everywhere
-        Lane bookedCalls; // calls booked for it, null for none
+        BookedCapacity bookedCalls; // calls booked for it, null for none
 
         List<Endpoint> permittedEndpoints() {
             if (zones == null) {
@@ -173,7 +173,7 @@
         double maxTimeoutMs = INFINITE; // the longest that all its messages permit
         int messages, unanswered;
         boolean trial, recorded;
-        Lane bookedCalls; // calls booked for its messages, null for none
+        BookedCapacity bookedCalls; // calls booked for its messages, null for none
         boolean reused, longIdle; // its connection: was used before; was idle for long
         boolean waitApplied; // the wait in its answer is in force already
     }
@@ -203,7 +203,7 @@
         }
 
         int activeCount() {
-            return kind.routesApart() ? 1 : Math.max(1, destination.active.size());
+            return kind.separateLimits() ? 1 : Math.max(1, destination.active.size());
         }
     }
 
@@ -296,18 +296,18 @@
     // ---- events ----
 
     @Override
-    public void list(double now, News news, List<Entry> entries) {
-        if (news == News.OVERDUE) {
+    public void list(double now, ListUpdate news, List<Entry> entries) {
+        if (news == ListUpdate.OVERDUE) {
             askForListAt = now + jittered(LIST_RETRY_OVERDUE_MS);
             return;
         }
-        if (news == News.FAILED) {
+        if (news == ListUpdate.FAILED) {
             // A failure does not tell whether the watch is active, and changes matter once discovery is back.
             double most = settings.rules().askEveryMs() > 0 ? settings.rules().askEveryMs() / 8 : INFINITE;
             askForListAt = now + jittered(Math.min(most, LIST_RETRY_MS));
             return;
         }
-        if (news != News.CHANGES) {
+        if (news != ListUpdate.CHANGES) {
             endpoints.values().forEach(e -> unlist(now, e));
         }
         for (Entry entry : entries) {
@@ -352,7 +352,7 @@
         if (added.destination.destinationRoute == null) {
             added.destination.destinationRoute = new Route(added.destination, added.kind);
         }
-        added.route = added.kind.routesApart()
+        added.route = added.kind.separateLimits()
                 ? new Route(added.destination, added.kind)
                 : added.destination.destinationRoute;
         boolean returning =
@@ -366,7 +366,7 @@
     }
 
     @Override
-    public void taken(double now, Message message) {
+    public void accepted(double now, Message message) {
         if (Double.isNaN(startedAt)) {
             startedAt = now;
         }
@@ -383,9 +383,9 @@
             // The earliest send in a history that this relay never saw.
             pending.inDoubtSince = pending.firstAcceptedAt;
         }
-        pending.backoffs = pending.attempts = message.tried().size();
+        pending.backoffs = pending.attempts = message.earlierAttempts().size();
         // Attempts before a restart of this relay: what may have run still may.
-        for (Try earlier : message.tried()) {
+        for (EarlierAttempt earlier : message.earlierAttempts()) {
             if (!earlier.maybeRan() || pending.inDoubt()) {
                 continue;
             }
@@ -397,7 +397,7 @@
         if (pending.ordered()) {
             KeyQueue queue = keyQueues.computeIfAbsent(message.key(), k -> new KeyQueue());
             queue.messages.add(pending);
-            if (message.tried().stream().anyMatch(Try::maybeRan)) {
+            if (message.earlierAttempts().stream().anyMatch(EarlierAttempt::maybeRan)) {
                 queue.settledAt =
                         Math.max(queue.settledAt, now + settings.rules().settleAfterDoubtMs());
             }
@@ -428,7 +428,7 @@
     }
 
     @Override
-    public void warned(double now, String endpoint, double waitUntil, double avoidUntil) {
+    public void peerWarning(double now, String endpoint, double waitUntil, double avoidUntil) {
         Endpoint known = endpoints.get(endpoint);
         if (known == null) {
             return;
@@ -438,7 +438,7 @@
     }
 
     @Override
-    public void terms(double now, long id, Set<Integer> zones, Lane lane) {
+    public void restrict(double now, long id, Set<Integer> zones, BookedCapacity lane) {
         if (!unfinishedMessages.containsKey(id)) {
             return;
         }
@@ -496,7 +496,7 @@
     }
 
     @Override
-    public void waits(double now, String endpoint, long id, int attempt, double waitMs) {
+    public void waitReceived(double now, String endpoint, long id, int attempt, double waitMs) {
         Attempt sent = attempts.get(attemptKey(id, attempt));
         if (sent != null) {
             sent.call.waitApplied = true;
@@ -590,7 +590,7 @@
             keyQueue.settledAt =
                     Math.max(keyQueue.settledAt, now + settings.rules().settleAfterDoubtMs());
         }
-        if (outcome.over()) {
+        if (outcome.messageEnded()) {
             finish(pending);
         }
         if (pending.finished) {
@@ -739,7 +739,7 @@
         endpoint.down = false;
         endpoint.slowStartBeganAt = at;
         // A random part of what a full call counts for.
-        endpoint.owedCalls = random.nextDouble() * (1 + EXTRA_MESSAGE_COST * (endpoint.kind.bundleMax() - 1));
+        endpoint.owedCalls = random.nextDouble() * (1 + EXTRA_MESSAGE_COST * (endpoint.kind.maxBatch() - 1));
         endpoint.slowStartCallAt = at;
     }
 
@@ -772,7 +772,7 @@
             return route.limit;
         }
         double weight = route.endpoints.get(route.endpoints.size() - 1).weight;
-        return weight / (settings.weight() == Weight.ROUGH ? WEIGHT_ERROR_FACTOR : 1);
+        return weight / (settings.weight() == Weight.ESTIMATED ? WEIGHT_ERROR_FACTOR : 1);
     }
 
     /** Whether relays exceed the limit: unless reported, rejections, which use it up, are the only sign. */
@@ -803,7 +803,7 @@
         if (maxRate > 0) {
             // An even share is enough where messages can share calls, or rejections use up the limit for all.
             boolean evenShare =
-                    route.rejectedShare >= REJECTION_BOUND && route.kind.bundleMax() > 1 || overloaded(route);
+                    route.rejectedShare >= REJECTION_BOUND && route.kind.maxBatch() > 1 || overloaded(route);
             route.rate = Math.min(
                     route.rate,
                     evenShare ? Math.max(BATCH_SHARE * maxRate / settings.group(), minRate(route)) : maxRate);
@@ -819,7 +819,7 @@
     /** This relay's share of the route, calls a second: an even one, or its demand where that is more. */
     private double ownShare(double now, Route route) {
         double demand = 1000.0 * route.destination.accepted / Math.max(DEMAND_SPAN_MS, now - startedAt);
-        if (route.kind.routesApart()) {
+        if (route.kind.separateLimits()) {
             demand /= Math.max(1, route.destination.active.size());
         }
         double all = knownLimit(route) > 0 ? knownLimit(route) : DEFAULT_RATE;
@@ -941,7 +941,7 @@
         for (Endpoint endpoint : permitted) {
             double callAt = pending.bookedCalls == null || endpoint.down
                     ? nextCallAt(now, endpoint)
-                    : pending.bookedCalls.opensAt(now);
+                    : pending.bookedCalls.nextCallAt(now);
             earliest = Math.min(earliest, Math.max(now, Math.max(endpoint.route.waitUntil, callAt)));
             reported = Math.min(reported, endpoint.route.reportedWaitUntil);
         }
@@ -1097,7 +1097,7 @@
         if (pending.attempts > 0 && pending.destination.share.repeats() <= 0) {
             return; // the fleet grants no repeat until the next share
         }
-        double bookedAt = pending.bookedCalls == null ? now : pending.bookedCalls.opensAt(now);
+        double bookedAt = pending.bookedCalls == null ? now : pending.bookedCalls.nextCallAt(now);
         if (bookedAt > now && !postpone(bookedAt)) {
             return;
         }
@@ -1129,7 +1129,7 @@
     /** Whether a call of this round has room; what cannot join it is sent there in another round. */
     private static boolean callHasRoom(double now, Endpoint endpoint) {
         Call call = endpoint.latestCall;
-        return call != null && call.sentAt == now && !call.trial && call.messages < endpoint.kind.bundleMax();
+        return call != null && call.sentAt == now && !call.trial && call.messages < endpoint.kind.maxBatch();
     }
 
     /** A call has one time-out; a message that joins must not shorten it, nor need a longer one itself. */
@@ -1184,7 +1184,7 @@
     }
 
     /** Whether a new call may be sent to it now; requests a wake-up where time alone will permit one. */
-    private boolean mayCall(double now, Endpoint endpoint, Lane bookedCalls) {
+    private boolean mayCall(double now, Endpoint endpoint, BookedCapacity bookedCalls) {
         Route route = endpoint.route;
         if (route.waitUntil > now) {
             return postpone(route.waitUntil);
@@ -1251,7 +1251,7 @@
             if (pending.bookedCalls == null) {
                 endpoint.route.tokens -= 1;
             } else {
-                pending.bookedCalls.used(now);
+                pending.bookedCalls.callSent(now);
             }
         }
         call.timeoutMs = callTimeout(now, pending, endpoint, call);
@@ -1263,7 +1263,7 @@
             endpoint.slowStartCallAt = now;
         }
         if (pending.attempts > 0) {
-            pending.destination.share = pending.destination.share.repeated();
+            pending.destination.share = pending.destination.share.withoutOneRepeat();
         }
         attempts.put(attemptKey(pending.message.id(), pending.attempts++), new Attempt(pending, call));
         pending.inFlight = true;
--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -33,7 +33,7 @@
     enum Weight {
         NONE,
         NOMINAL,
-        ROUGH
+        ESTIMATED
     }
 
     /**
@@ -77,7 +77,7 @@
     }
 
     /** Kind of an update of the list. */
-    enum News {
+    enum ListUpdate {
         CHANGES,
         COMPLETE,
         STORED,
@@ -106,7 +106,7 @@
             double lateWorth) {}
 
     /** A kind of destination: whether each endpoint has a limit of its own, and the most messages of a call. */
-    record Kind(boolean routesApart, int bundleMax) {}
+    record Kind(boolean separateLimits, int maxBatch) {}
 
     /** Limits of the installation. */
     record Limits(
@@ -155,7 +155,7 @@
     record Entry(String endpoint, int destination, int kind, int zone, double weight, Listing listing) {}
 
     /** An attempt before a restart; {@code maybeRan} unless it is known that it never ran. */
-    record Try(String endpoint, double sentAt, boolean maybeRan) {}
+    record EarlierAttempt(String endpoint, double sentAt, boolean maybeRan) {}
 
     /**
      * A message accepted by this relay, or resumed after a restart with its earlier attempts {@code tried}, in
@@ -169,9 +169,9 @@
             String key,
             double deadlineAt,
             double workMs,
-            boolean again,
+            boolean resubmitted,
             boolean fromDeadRelay,
-            List<Try> tried) {}
+            List<EarlierAttempt> earlierAttempts) {}
 
     /** What a destination reported of its limit; NaN if nothing. */
     record Load(double allowanceLeft, double limitPerS) {
@@ -183,29 +183,29 @@
      * This relay's share of a destination's limit: {@code part} of it until a time and the guaranteed part
      * {@code sure} afterwards, and how many repeats may be sent there from now on.
      */
-    record Share(double part, double until, double sure, int repeats) {
+    record Share(double part, double until, double guaranteed, int repeats) {
         /** No restriction. */
         public static final Share ALL =
                 new Share(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, Integer.MAX_VALUE);
 
         /** The part of the limit at a time. */
         public double at(double now) {
-            return now < until ? part : sure;
+            return now < until ? part : guaranteed;
         }
 
         /** The share after one repeat was sent. */
-        public Share repeated() {
-            return repeats == Integer.MAX_VALUE ? this : new Share(part, until, sure, repeats - 1);
+        public Share withoutOneRepeat() {
+            return repeats == Integer.MAX_VALUE ? this : new Share(part, until, guaranteed, repeats - 1);
         }
     }
 
     /** Calls that were booked at a destination; they count against no other limit. */
-    interface Lane {
+    interface BookedCapacity {
         /** When the next call may be sent: not after {@code now} if it may be now, infinite if never. */
-        double opensAt(double now);
+        double nextCallAt(double now);
 
         /** A call is sent. */
-        void used(double now);
+        void callSent(double now);
     }
 
     /** The end of an attempt; {@code over} if the message ended with it, {@code waitMs} 0 if it named no wait. */
@@ -215,7 +215,7 @@
             String endpoint,
             Result result,
             double tookMs,
-            boolean over,
+            boolean messageEnded,
             double waitMs,
             Load load) {}
 
@@ -249,11 +249,13 @@
         void report(String text);
     }
 
-    /** An update of the list of endpoints; without entries for {@link News#FAILED} and {@link News#OVERDUE}. */
-    void list(double now, News news, List<Entry> entries);
+    /**
+     * An update of the list of endpoints; without entries for {@link ListUpdate#FAILED} and {@link ListUpdate#OVERDUE}.
+     */
+    void list(double now, ListUpdate news, List<Entry> entries);
 
     /** A message was accepted; it must get exactly one final answer. */
-    void taken(double now, Message message);
+    void accepted(double now, Message message);
 
     /**
      * The connection for an attempt was opened later than in the round that asked for it. Returns the time-out for its
@@ -272,10 +274,10 @@
      * A wait was read at {@code now} in an answer to an attempt, before the answer's end; the attempt may have ended
      * by now. Its outcome repeats the same wait.
      */
-    default void waits(double now, String endpoint, long id, int attempt, double waitMs) {}
+    default void waitReceived(double now, String endpoint, long id, int attempt, double waitMs) {}
 
     /** The answer to an attempt of a streaming class has begun. */
-    default void begun(double now, long id, int attempt) {}
+    default void answerBegun(double now, long id, int attempt) {}
 
     /** The message was withdrawn; its attempts continue. */
     void withdrawn(double now, long id);
@@ -290,7 +292,7 @@
     default void share(double now, int destination, Share share) {}
 
     /** Other relays received a wait of an endpoint, which binds here as well, or consider it unhealthy. */
-    default void warned(double now, String endpoint, double waitUntil, double avoidUntil) {}
+    default void peerWarning(double now, String endpoint, double waitUntil, double avoidUntil) {}
 
     /**
      * Restrictions of a message beyond its class, from now on; without this event it has none.
@@ -298,7 +300,7 @@
      * @param zones zones in which it may be sent, or null for all
      * @param lane  calls that were booked for it, or null
      */
-    default void terms(double now, long id, Set<Integer> zones, Lane lane) {}
+    default void restrict(double now, long id, Set<Integer> zones, BookedCapacity lane) {}
 
     /** All events of this round were passed: decides, and calls the actions. */
     void decide(double now);
--- a/src/main/java/firstair/fleet/AgreedBookings.java
+++ b/src/main/java/firstair/fleet/AgreedBookings.java
@@ -6,22 +6,22 @@
 import firstair.fleet.booking.Result;
 import firstair.fleet.booking.Rules;
 import firstair.fleet.fault.Fault;
-import firstair.fleet.ledger.Agreement;
-import firstair.fleet.ledger.Agreements;
+import firstair.fleet.ledger.LedgerStateMachines;
+import firstair.fleet.ledger.ReplicatedStateMachine;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
 /** The ledger's state machine for bookings: each operation carries the time at which it was proposed. */
-public final class AgreedBookings implements Agreement {
+public final class AgreedBookings implements ReplicatedStateMachine {
     private static final byte[] EMPTY = new byte[0];
 
-    private Bookings bookings = new Bookings(Rules.usual());
+    private Bookings bookings = new Bookings(Rules.defaults());
 
     /** Encodes an operation for the ledger. */
     static byte[] operation(long atMs, Operation operation) {
         byte[] text = Operations.write(operation);
-        return Agreements.operation(
-                Agreements.BOOKINGS,
+        return LedgerStateMachines.operation(
+                LedgerStateMachines.BOOKINGS,
                 ByteBuffer.allocate(Long.BYTES + text.length)
                         .putLong(atMs)
                         .put(text)
@@ -37,7 +37,7 @@
         long atMs = ByteBuffer.wrap(operation).getLong();
         Operation parsed = Operations.read(Arrays.copyOfRange(operation, Long.BYTES, operation.length));
         Result result = bookings.apply(atMs, parsed).orThrow();
-        return result.booking() == null ? EMPTY : Operations.show(result.booking());
+        return result.booking() == null ? EMPTY : Operations.writeBooking(result.booking());
     }
 
     /** The current bookings; callers must not change them. */
--- a/src/main/java/firstair/fleet/BookingTokenBucket.java
+++ b/src/main/java/firstair/fleet/BookingTokenBucket.java
@@ -1,9 +1,9 @@
 package firstair.fleet;
 
-import firstair.control.Controller.Lane;
+import firstair.control.Controller.BookedCapacity;
 
 /** Limits the calls on one booking to one destination: a token bucket whose rate is set until a given time. */
-final class BookingTokenBucket implements Lane {
+final class BookingTokenBucket implements BookedCapacity {
     private static final double BURST_MS = 400; // the bucket holds this much of the rate, as for other calls
 
     private double rate; // calls per second, in force while now < until
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public double opensAt(double now) {
+    public double nextCallAt(double now) {
         refill(now);
         if (now >= until || rate <= 0) {
             return Double.POSITIVE_INFINITY;
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void used(double now) {
+    public void callSent(double now) {
         refill(now);
         tokens -= 1;
         sent++;
--- a/src/main/java/firstair/fleet/ContractJson.java
+++ b/src/main/java/firstair/fleet/ContractJson.java
@@ -78,9 +78,9 @@
 
     /** The outcome of a proposal of contracts, for operators. */
     static String describe(Outcome outcome) {
-        if (outcome instanceof Outcome.Agreed agreed) {
+        if (outcome instanceof Outcome.Committed agreed) {
             AgreedContracts.Put put = AgreedContracts.result(agreed.result());
-            return put.taken() ? "agreed" : "rejected, version " + put.version() + " is in force";
+            return put.accepted() ? "agreed" : "rejected, version " + put.version() + " is in force";
         } else if (outcome instanceof Outcome.Refused refused) {
             return refused.code() + ": " + refused.what() + "; " + refused.step();
         }
--- a/src/main/java/firstair/fleet/Fleet.java
+++ b/src/main/java/firstair/fleet/Fleet.java
@@ -1,12 +1,12 @@
 package firstair.fleet;
 
-import firstair.control.Controller.Lane;
+import firstair.control.Controller.BookedCapacity;
 import firstair.control.Controller.Share;
-import firstair.fleet.booking.Booked;
 import firstair.fleet.booking.Booking;
 import firstair.fleet.booking.Bookings;
 import firstair.fleet.booking.Operation;
 import firstair.fleet.booking.Operations;
+import firstair.fleet.booking.RelayBookings;
 import firstair.fleet.budget.Allocation;
 import firstair.fleet.budget.Budgets;
 import firstair.fleet.count.CallCounts;
@@ -14,20 +14,20 @@
 import firstair.fleet.fault.Fault;
 import firstair.fleet.judge.HealthEvidence;
 import firstair.fleet.ledger.AgreedContracts;
-import firstair.fleet.ledger.Agreement;
-import firstair.fleet.ledger.Agreements;
 import firstair.fleet.ledger.Follower;
-import firstair.fleet.ledger.Keeper;
 import firstair.fleet.ledger.Ledger;
-import firstair.fleet.ledger.LedgerMemory;
+import firstair.fleet.ledger.LedgerState;
+import firstair.fleet.ledger.LedgerStateMachines;
+import firstair.fleet.ledger.LedgerStore;
 import firstair.fleet.ledger.Outcome;
 import firstair.fleet.ledger.Proposer;
+import firstair.fleet.ledger.ReplicatedStateMachine;
 import firstair.fleet.member.Membership;
 import firstair.fleet.residency.Contract;
 import firstair.fleet.residency.Contracts;
 import firstair.fleet.residency.Residency;
 import firstair.fleet.talk.Envelope;
-import firstair.fleet.talk.Gate;
+import firstair.fleet.talk.EnvelopeFilter;
 import firstair.fleet.talk.Note;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -82,7 +82,7 @@
         void warned(String endpoint, double waitUntil, double avoidUntil);
 
         /** The zones of held messages may have changed: {@link Fleet#terms} has to be called for each of them again. */
-        void confine();
+        void recheckZones();
 
         /** Logs a line for the operators. */
         void report(String text);
@@ -151,14 +151,14 @@
     private final Sharing sharing;
     private final long incarnation;
     private final Actions actions;
-    private final Gate gate;
+    private final EnvelopeFilter gate;
     private final Membership members;
     private final Budgets budgets;
     private final CallCounts counts;
     private final HealthEvidence health;
     private final Contracts contracts;
     private final Residency residency;
-    private final Booked booked;
+    private final RelayBookings booked;
     private final Ledger ledger; // at voters, if there is anything to agree on
     private final Follower follower; // at other members
     private final Proposer proposer;
@@ -197,8 +197,8 @@
             Sharing sharing,
             long incarnation,
             long seed,
-            LedgerMemory memory,
-            Keeper keeper,
+            LedgerState memory,
+            LedgerStore keeper,
             double at,
             double epochMs,
             Actions actions) {
@@ -210,27 +210,34 @@
         wallOffset = epochMs - at;
         Random random = new Random(seed);
         NoteQueue queue = new NoteQueue();
-        gate = new Gate(setup, incarnation);
+        gate = new EnvelopeFilter(setup, incarnation);
         members = new Membership(setup, incarnation, new Random(random.nextLong()), queue);
-        budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), queue, at, sharing.repeatsEach());
+        budgets = new Budgets(setup, incarnation, new Random(random.nextLong()), queue, at, sharing.retryRatio());
         counts = new CallCounts(setup, incarnation);
         health = new HealthEvidence(
                 setup, incarnation, MAX_WAIT_MS, s -> s.startsWith("e:") && endpoints.containsKey(s.substring(2)));
         contracts = new Contracts(
                 setup, at, epochMs, sharing.contractTermMs(), sharing.contracts(), sharing.tenants(), queue);
         residency = new Residency(setup, contracts, at, QUOTA_BURST_MS);
-        booked = new Booked(sharing.skewMs());
+        booked = new RelayBookings(sharing.skewMs());
         Random ledgerRandom = new Random(random.nextLong());
         if (memory != null) {
-            TreeMap<Integer, Agreement> machines = new TreeMap<>();
-            machines.put(Agreements.CONTRACTS, new AgreedContracts(2 * sharing.contractTermMs()));
-            machines.put(Agreements.BOOKINGS, agreedBookings);
+            TreeMap<Integer, ReplicatedStateMachine> machines = new TreeMap<>();
+            machines.put(LedgerStateMachines.CONTRACTS, new AgreedContracts(2 * sharing.contractTermMs()));
+            machines.put(LedgerStateMachines.BOOKINGS, agreedBookings);
             ledger = new Ledger(
-                    setup, incarnation, memory, keeper, new Agreements(machines), queue, ledgerRandom, this::onAgreed);
+                    setup,
+                    incarnation,
+                    memory,
+                    keeper,
+                    new LedgerStateMachines(machines),
+                    queue,
+                    ledgerRandom,
+                    this::onAgreed);
         } else {
             ledger = null;
         }
-        boolean follows = memory == null && sharing.agrees();
+        boolean follows = memory == null && sharing.needsAgreement();
         follower = follows
                 ? new Follower(setup, queue, ledgerRandom, this::onAgreed, FOLLOWER_POLL_MS, FOLLOWER_TIMEOUT_MS)
                 : null;
@@ -243,7 +250,7 @@
     public void start(double at) {
         now = at;
         double unbookable = sharing.bookings() ? 1 - sharing.bookable() : 1;
-        double guaranteed = (double) setup.sure() / Setup.WHOLE * unbookable;
+        double guaranteed = (double) setup.guaranteedParts() / Setup.WHOLE * unbookable;
         actions.share(-1, new Share(guaranteed, Double.POSITIVE_INFINITY, guaranteed, availableRetries("")));
         if (ledger != null) {
             ledger.start(at);
@@ -254,7 +261,7 @@
     /** Sets the wall clock. */
     private void setWallClock(double epochMs) {
         wallOffset = epochMs - now;
-        contracts.wall(now, epochMs);
+        contracts.setWallClock(now, epochMs);
     }
 
     private long wallNow() {
@@ -266,10 +273,10 @@
      *
      * @throws Fault if it is dropped; {@link #drops} counts it
      */
-    public void heard(double at, Envelope envelope) {
+    public void receive(double at, Envelope envelope) {
         now = Math.max(now, at);
         try {
-            for (Note note : gate.pass(envelope)) {
+            for (Note note : gate.accept(envelope)) {
                 dispatchSafely(envelope, note);
             }
         } catch (Fault.NameTaken taken) {
@@ -290,31 +297,31 @@
     }
 
     private void dispatch(String from, long sender, Note note) {
-        members.heard(now, from, sender, note);
-        if (note instanceof Note.Signs n) {
+        members.receive(now, from, sender, note);
+        if (note instanceof Note.HealthReports n) {
             health.merge(now, from, n);
         } else if (note instanceof Note.Counts n) {
             counts.merge(now, n);
-        } else if (note instanceof Note.StandingAsk
-                || note instanceof Note.StandingAnswer
-                || note instanceof Note.StandingBack
-                || note instanceof Note.LoanAsk
+        } else if (note instanceof Note.LeaseRequest
+                || note instanceof Note.LeaseAnswer
+                || note instanceof Note.LeaseRelease
+                || note instanceof Note.LoanRequest
                 || note instanceof Note.Loan
-                || note instanceof Note.LoanBack
-                || note instanceof Note.Gift) {
+                || note instanceof Note.LoanReturn
+                || note instanceof Note.RetryTransfer) {
             budgets.onNote(now, from, sender, note);
         } else if (ledger != null) {
-            if (note instanceof Note.Engine
+            if (note instanceof Note.ConsensusMessage
                     || note instanceof Note.Propose
                     || note instanceof Note.Proposed
-                    || note instanceof Note.AgreedAsk
-                    || note instanceof Note.Agreed) {
-                ledger.heard(now, from, note);
+                    || note instanceof Note.StateRequest
+                    || note instanceof Note.StateChunk) {
+                ledger.receive(now, from, note);
             }
-        } else if (note instanceof Note.Agreed n && follower != null) {
-            follower.heard(now, from, n);
+        } else if (note instanceof Note.StateChunk n && follower != null) {
+            follower.receive(now, from, n);
         } else if (note instanceof Note.Proposed n && proposer != null) {
-            proposer.heard(now, from, n);
+            proposer.receive(now, from, n);
         }
     }
 
@@ -411,7 +418,7 @@
     // ---- messages and calls ----
 
     /** A message for a destination was accepted. */
-    public void taken(double at, int destination) {
+    public void accepted(double at, int destination) {
         DestinationState state = destinationStates.get(destination);
         if (state != null) {
             now = Math.max(now, at);
@@ -420,7 +427,7 @@
     }
 
     /** Sets the destinations and endpoints that are listed; all others are removed. */
-    public void listed(double at, Set<Integer> destinations, Set<String> endpointNames) {
+    public void setListed(double at, Set<Integer> destinations, Set<String> endpointNames) {
         now = Math.max(now, at);
         destinationStates.keySet().retainAll(destinations);
         destinations.forEach(d -> destinationStates.computeIfAbsent(d, k -> new DestinationState()));
@@ -431,12 +438,12 @@
     }
 
     /** A call has started. */
-    public void called(double at, int destination, boolean retry) {
+    public void callStarted(double at, int destination, boolean retry) {
         now = Math.max(now, at);
         String name = String.valueOf(destination);
         if (!retry) {
             budgets.onFirstAttempt(name);
-        } else if (sharing.repeatsEach() > 0) {
+        } else if (sharing.retryRatio() > 0) {
             budgets.spendRetry(name);
         }
         counts.add(now, budget(destination), 1);
@@ -450,7 +457,7 @@
      * @param waitMs   the wait that the endpoint requested, 0 if none
      * @param limit    the limit that it reported, calls per second; NaN if none
      */
-    public void ended(
+    public void callEnded(
             double at,
             int destination,
             String endpoint,
@@ -469,15 +476,15 @@
         }
         String subject = "e:" + endpoint;
         if (waitMs > 0) {
-            health.observe(now, subject, Note.Sight.WAIT, 1, Math.min(waitMs, MAX_WAIT_MS));
+            health.observe(now, subject, Note.Observation.WAIT, 1, Math.min(waitMs, MAX_WAIT_MS));
         }
         if (answered) {
             endpointState.failures = 0;
-            health.observe(now, subject, Note.Sight.ANSWERS, 1, ANSWERS_HOLD_MS);
+            health.observe(now, subject, Note.Observation.ANSWERS, 1, ANSWERS_HOLD_MS);
         } else if (failed && ++endpointState.failures >= MIN_FAILURES) {
-            health.observe(now, subject, Note.Sight.FAILS, endpointState.failures, FAILURES_HOLD_MS);
+            health.observe(now, subject, Note.Observation.FAILS, endpointState.failures, FAILURES_HOLD_MS);
         }
-        if (!answered && sharing.repeatsEach() > 0 && budgets.availableRetries(String.valueOf(destination)) == 0) {
+        if (!answered && sharing.retryRatio() > 0 && budgets.availableRetries(String.valueOf(destination)) == 0) {
             budgets.requestRetries(String.valueOf(destination));
         }
     }
@@ -485,7 +492,7 @@
     // ---- results for the relay's own decisions ----
 
     private int availableRetries(String destination) {
-        return sharing.repeatsEach() > 0 ? budgets.availableRetries(destination) : Integer.MAX_VALUE;
+        return sharing.retryRatio() > 0 ? budgets.availableRetries(destination) : Integer.MAX_VALUE;
     }
 
     private void publish() {
@@ -517,10 +524,10 @@
         }
         double unbookable = 1 - sharing.bookable();
         double ordinary = state.limit > 0
-                ? booked.ordinary(wallNow(), number, state.limit, sharing.bookable()) / state.limit
+                ? booked.ordinaryRate(wallNow(), number, state.limit, sharing.bookable()) / state.limit
                 : unbookable;
         double borrowed = state.limit > 0
-                ? booked.borrowed(now, wallNow(), number, id -> budgets.allocation(now, budget(id))
+                ? booked.borrowableRate(now, wallNow(), number, id -> budgets.allocation(now, budget(id))
                                 .parts())
                         / state.limit
                 : 0;
@@ -545,17 +552,17 @@
         if (booking != null && !sharing.bookings()) {
             throw new Fault.UnknownBooking(booking);
         }
-        if (tenant != null && contracts.names(tenant)) {
+        if (tenant != null && contracts.hasContract(tenant)) {
             tenants.computeIfAbsent(tenant, t -> new Demand()).add(now); // demand includes what exceeds the quota
         }
         if (booking != null && booked.team(booking) == null && booked.covers(wallNow())) {
             throw new Fault.UnknownBooking(booking);
         }
         Optional<Set<String>> zones = residency.admit(now, tenant, messageClass);
-        Lane lane = booking == null ? null : bucketOf(booking, destination);
+        BookedCapacity lane = booking == null ? null : bucketOf(booking, destination);
         if (bookedCalls.containsKey(bookedCallsKey(booking, destination))) {
             bookedCalls.get(bookedCallsKey(booking, destination)).demand.add(now);
-            booked.used(now, booking, destination, 1);
+            booked.recordCalls(now, booking, destination, 1);
         }
         zones.ifPresent(z -> rememberZones(tenant, messageClass, z));
         return new Terms(zones.orElse(null), lane);
@@ -589,17 +596,17 @@
         zoneLookups.values().removeIf(lookup -> now - lookup.at > ZONES_TTL_MS);
         if (changed) {
             zoneLookups.clear(); // those still in use are looked up again
-            actions.confine();
+            actions.recheckZones();
         }
     }
 
     private void updateQuotas() {
-        tenants.keySet().removeIf(t -> !contracts.names(t));
+        tenants.keySet().removeIf(t -> !contracts.hasContract(t));
         tenants.forEach((tenant, demand) -> {
             String budget = Residency.budget(tenant);
             updateNeed(budget, demand, contracts.quota(tenant));
             Allocation allocation = budgets.allocation(now, budget);
-            residency.part(now, tenant, allocation.parts(), allocation.until(), allocation.guaranteed());
+            residency.setQuotaShare(now, tenant, allocation.parts(), allocation.until(), allocation.guaranteed());
         });
     }
 
@@ -610,7 +617,7 @@
     }
 
     /** The token bucket of a booking; one that stays empty if the booking is unknown here. */
-    private Lane bucketOf(String booking, int destination) {
+    private BookedCapacity bucketOf(String booking, int destination) {
         if (booked.team(booking) == null) {
             return new BookingTokenBucket(now);
         }
@@ -630,7 +637,7 @@
             if (sent > 0) {
                 counts.add(now, budget(booking), sent);
             }
-            updateNeed(budget(booking), calls.demand, booked.calls(booking, destination));
+            updateNeed(budget(booking), calls.demand, booked.fleetRate(booking, destination));
             updateBucket(calls.bucket, booking, destination);
         });
     }
@@ -643,12 +650,12 @@
 
     /** The ledger's clock advances only with operations: the leader proposes them often enough for sealing bookings. */
     private void proposeTick() {
-        if (ledger == null || !ledger.leads() || now < nextTickAt || !sharing.bookings()) {
+        if (ledger == null || !ledger.isLeader() || now < nextTickAt || !sharing.bookings()) {
             return;
         }
         Bookings b = agreedBookings.bookings();
         double due = b.time() + b.rules().sealBeforeMs() / TICKS_PER_SEAL;
-        if (b.time() == 0 || wallNow() >= Math.min(b.nextMs(), due)) {
+        if (b.time() == 0 || wallNow() >= Math.min(b.nextDueMs(), due)) {
             nextTickAt = now + PROPOSAL_PAUSE_MS;
             ledger.propose(now, AgreedBookings.operation(wallNow(), new Operation.Tick()), o -> {});
         }
@@ -657,7 +664,7 @@
     /** The leader proposes the contracts of the settings file if they are the next version after the agreed ones. */
     private void proposeContracts() {
         if (ledger == null
-                || !ledger.leads()
+                || !ledger.isLeader()
                 || now < nextContractsAt
                 || !sharing.tenants()
                 || sharing.contractVersion() != contractVersion + 1) {
@@ -665,7 +672,7 @@
         }
         nextContractsAt = now + PROPOSAL_PAUSE_MS;
         try {
-            Contract.follows(contractVersions, sharing.contracts());
+            Contract.checkKeepsGuarantees(contractVersions, sharing.contracts());
         } catch (Fault fault) {
             nextContractsAt = Double.POSITIVE_INFINITY; // until a restart with other contracts
             actions.report(fault.line());
@@ -685,29 +692,29 @@
         }
         agreedVersion = version;
         agreedState = state;
-        Map<Integer, byte[]> parts = Agreements.parts(state);
+        Map<Integer, byte[]> parts = LedgerStateMachines.parts(state);
         List<Map<String, Contract>> all = new ArrayList<>();
-        for (AgreedContracts.Version v : AgreedContracts.read(parts.get(Agreements.CONTRACTS))) {
+        for (AgreedContracts.Version v : AgreedContracts.read(parts.get(LedgerStateMachines.CONTRACTS))) {
             all.add(ContractJson.read(v.contracts()));
-            contracts.agreed(now, v.number(), all.get(all.size() - 1), true);
+            contracts.acceptVersion(now, v.number(), all.get(all.size() - 1), true);
             contractVersion = Math.max(contractVersion, v.number());
         }
         contractVersions = all;
         if (confirmed) {
             contracts.confirmed(now, askedAt, contractVersion);
         }
-        byte[] bytes = parts.get(Agreements.BOOKINGS);
+        byte[] bytes = parts.get(LedgerStateMachines.BOOKINGS);
         if (sharing.bookings() && !Arrays.equals(bytes, bookingsState)) {
             bookingsState = bytes;
             bookings = Bookings.restore(bytes);
-            booked.agreed(bookings.sealedSet(bookings.time()));
+            booked.acceptVersion(bookings.sealedSet(bookings.time()));
         }
         updateAt = Math.min(updateAt, now);
     }
 
     /** Whether this voter is the leader as far as it knows. */
     public boolean leads() {
-        return ledger != null && ledger.leads();
+        return ledger != null && ledger.isLeader();
     }
 
     /** Version of the newest agreed state known here; 0 if none. */
@@ -715,7 +722,7 @@
         return agreedVersion;
     }
 
-    /** The agreed state, to be read by {@link Agreements#parts}; empty if none. */
+    /** The agreed state, to be read by {@link LedgerStateMachines#parts}; empty if none. */
     public byte[] agreedState() {
         return agreedState.clone();
     }
@@ -726,11 +733,11 @@
         if (b == null) {
             throw new Fault.UnknownBooking(id);
         }
-        return Operations.show(b);
+        return Operations.writeBooking(b);
     }
 
     /** Calls on a booking of the whole fleet in the last {@code spanMs}, and how many relays reported them. */
-    public Total used(double at, String id, double spanMs) {
+    public Total callsUsed(double at, String id, double spanMs) {
         return counts.total(Math.max(now, at), budget(id), spanMs);
     }
 
@@ -752,7 +759,7 @@
     private void propose(List<Operation> operations, int next, Consumer<Outcome> done) {
         byte[] operation = AgreedBookings.operation(wallNow(), operations.get(next));
         Consumer<Outcome> then = o -> {
-            if (o instanceof Outcome.Agreed && next + 1 < operations.size()) {
+            if (o instanceof Outcome.Committed && next + 1 < operations.size()) {
                 propose(operations, next + 1, done);
             } else {
                 done.accept(o);
@@ -786,7 +793,7 @@
             stopped = true;
             budgets.leave(now);
             if (ledger != null) {
-                ledger.leave(now);
+                ledger.transferLeadership(now);
             }
             members.leave();
             flush();
@@ -798,10 +805,10 @@
     private void enqueue(String to, Note note) {
         List<Note> notes = outgoing.computeIfAbsent(to, k -> new ArrayList<>());
         notes.add(note);
-        if (note instanceof Note.Hello || note instanceof Note.HelloBack) {
-            List<Note.Sign> signs = health.nextToSend(now, SIGNS_PER_HELLO);
+        if (note instanceof Note.Hello || note instanceof Note.HelloAnswer) {
+            List<Note.HealthReport> signs = health.nextToSend(now, SIGNS_PER_HELLO);
             if (!signs.isEmpty()) {
-                notes.add(new Note.Signs(signs));
+                notes.add(new Note.HealthReports(signs));
             }
             Note.Counts callCounts = counts.recent(now, SECONDS_PER_HELLO);
             if (!callCounts.counts().isEmpty()) {
@@ -835,7 +842,7 @@
     }
 
     /** What may be used of a destination's limit now. */
-    public Allocation part(double at, int destination) {
+    public Allocation allocation(double at, int destination) {
         return budgets.allocation(Math.max(now, at), budget(destination));
     }
 }
--- a/src/main/java/firstair/fleet/Setup.java
+++ b/src/main/java/firstair/fleet/Setup.java
@@ -37,12 +37,12 @@
     }
 
     /** The equal share of one relay in a budget, in parts. */
-    public int even() {
+    public int equalParts() {
         return WHOLE / members.size();
     }
 
     /** The parts of a budget that a relay may always use, whatever notes arrive. */
-    public int sure() {
-        return (int) (even() * cut);
+    public int guaranteedParts() {
+        return (int) (equalParts() * cut);
     }
 }
--- a/src/main/java/firstair/fleet/Sharing.java
+++ b/src/main/java/firstair/fleet/Sharing.java
@@ -6,7 +6,7 @@
 /**
  * What a fleet shares in addition to limits.
  *
- * @param repeatsEach     retries that a first attempt earns, such as 0.2; 0 leaves retries unlimited
+ * @param retryRatio     retries that a first attempt earns, such as 0.2; 0 leaves retries unlimited
  * @param contracts       contracts of the settings file by tenant, empty if it has none
  * @param contractVersion version of those contracts: 1 for the first, one more with each change
  * @param tenants         whether messages need a tenant even while no contract is known here
@@ -16,7 +16,7 @@
  * @param skewMs          largest error of a wall clock
  */
 public record Sharing(
-        double repeatsEach,
+        double retryRatio,
         Map<String, Contract> contracts,
         long contractVersion,
         boolean tenants,
@@ -28,7 +28,7 @@
     public static final Sharing LIMITS = new Sharing(0, Map.of(), 0, false, 10_000, false, 0, 0);
 
     /** Whether anything requires agreement among the voters. */
-    public boolean agrees() {
+    public boolean needsAgreement() {
         return tenants || bookings;
     }
 }
--- a/src/main/java/firstair/fleet/Terms.java
+++ b/src/main/java/firstair/fleet/Terms.java
@@ -1,6 +1,6 @@
 package firstair.fleet;
 
-import firstair.control.Controller.Lane;
+import firstair.control.Controller.BookedCapacity;
 import java.util.Set;
 
 /**
@@ -9,4 +9,4 @@
  * @param zones names of the zones to which it may be sent, or null for all
  * @param lane  rate limit of its booking, or null if it has none
  */
-public record Terms(Set<String> zones, Lane lane) {}
+public record Terms(Set<String> zones, BookedCapacity lane) {}
--- a/src/main/java/firstair/fleet/booking/Booking.java
+++ b/src/main/java/firstair/fleet/booking/Booking.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether capacity is reserved for it, now or from its start. */
-    public boolean holds() {
+    public boolean holdsCapacity() {
         return switch (state) {
             case HELD, CONFIRMED, SEALED, RUNNING -> true;
             case ENDED, RELEASED -> bookedToMs > startMs;
--- a/src/main/java/firstair/fleet/booking/Bookings.java
+++ b/src/main/java/firstair/fleet/booking/Bookings.java
@@ -97,13 +97,13 @@
     }
 
     /** Rate of a destination still available over a span, thousandths of a call per second; 0 if it is unknown. */
-    public long left(int destination, long fromMs, long toMs) {
+    public long availableRate(int destination, long fromMs, long toMs) {
         Destination d = destinations.get(destination);
         return d == null ? 0 : Math.max(0, d.capacity() - d.timeline.max(Math.max(fromMs, time), toMs));
     }
 
     /** When the next time-driven transition is due, epoch ms; {@link Long#MAX_VALUE} if there is none. */
-    public long nextMs() {
+    public long nextDueMs() {
         return idsByDueTime.isEmpty() ? Long.MAX_VALUE : idsByDueTime.firstKey();
     }
 
@@ -118,7 +118,7 @@
         for (String id : idsKnownToRelays) {
             Booking booking = bookings.get(id);
             if (booking.bookedToMs() > from) {
-                boolean over = booking.state().over();
+                boolean over = booking.state().isFinal();
                 entries.add(new SealedBookings.Entry(
                         id,
                         booking.team(),
@@ -277,7 +277,7 @@
     private void showUp(Operation.ShowUp o) {
         Booking booking = requireOwned(o.id(), o.team());
         if (booking.state() != State.RUNNING) {
-            throw new Fault.IllegalChange(booking.id(), booking.state().word(), State.RUNNING.word());
+            throw new Fault.IllegalChange(booking.id(), booking.state().label(), State.RUNNING.label());
         }
         if (!booking.runStarted()) {
             changes.add(new Change(booking.id(), booking.state(), booking.state(), time, "its run has begun"));
@@ -302,7 +302,7 @@
             throw new Fault.Sealed(booking.id());
         }
         if (!held && booking.state() != State.RUNNING) {
-            throw new Fault.IllegalChange(booking.id(), booking.state().word(), "longer");
+            throw new Fault.IllegalChange(booking.id(), booking.state().label(), "longer");
         }
         if (o.endMs() <= booking.endMs()) {
             throw new Fault.BadRequest("end", "must be after the current end");
@@ -319,8 +319,8 @@
         if (booking.state().knownToRelays()) {
             throw new Fault.Sealed(booking.id());
         }
-        if (booking.state().over()) {
-            throw new Fault.IllegalChange(booking.id(), booking.state().word(), "moved");
+        if (booking.state().isFinal()) {
+            throw new Fault.IllegalChange(booking.id(), booking.state().label(), "moved");
         }
         if (o.startMs() > time + rules.aheadMs()) {
             throw new Fault.BadRequest("start", "is more than " + rules.aheadMs() + " ms ahead");
@@ -331,7 +331,7 @@
     private void reschedule(Booking booking, long startMs, long endMs, String cause) {
         Booking to = booking.withSpan(startMs, endMs, endMs);
         Fault fault = booking.state() == State.RUNNING ? checkSpan(to) : checkTimes(to);
-        if (fault == null && booking.holds()) {
+        if (fault == null && booking.holdsCapacity()) {
             updateTimelines(booking, -1); // its own capacity does not count against it
             fault = checkCapacity(to);
             updateTimelines(booking, 1);
@@ -341,7 +341,7 @@
         }
         changes.add(new Change(booking.id(), booking.state(), booking.state(), time, cause));
         replace(to);
-        if (!to.holds()) { // the new span may have capacity
+        if (!to.holdsCapacity()) { // the new span may have capacity
             to.rates().keySet().forEach(d -> freedSpans.add(new FreedSpan(d, startMs, endMs)));
         }
     }
@@ -421,7 +421,7 @@
             String cause = "cut at destination " + destination.number + " from " + Rates.toCalls(oldRate) + " to "
                     + Rates.toCalls(rate) + " calls a second: its limit is " + Rates.toCalls(destination.limit);
             boolean knownToRelays = idsKnownToRelays.contains(id); // relays may use the old rates up to the horizon
-            if (!booking.state().over()) {
+            if (!booking.state().isFinal()) {
                 changes.add(new Change(id, booking.state(), booking.state(), time, cause));
             }
             replace(
@@ -526,7 +526,7 @@
                         ? booking.endMs()
                         : Math.min(booking.endMs(), booking.startMs() + rules.showUpMs());
             case ENDED, RELEASED, LAPSED, REFUSED ->
-                Math.max(booking.sinceMs() + rules.forgetMs(), booking.holds() ? booking.bookedToMs() : 0);
+                Math.max(booking.sinceMs() + rules.forgetMs(), booking.holdsCapacity() ? booking.bookedToMs() : 0);
         };
     }
 
@@ -579,8 +579,8 @@
     }
 
     private Booking transitionTo(Booking booking, State to, String cause) {
-        if (!booking.state().may(to)) {
-            throw new Fault.IllegalChange(booking.id(), booking.state().word(), to.word());
+        if (!booking.state().canBecome(to)) {
+            throw new Fault.IllegalChange(booking.id(), booking.state().label(), to.label());
         }
         changes.add(new Change(booking.id(), booking.state(), to, time, cause));
         return booking.withState(to, time, cause);
@@ -588,7 +588,7 @@
 
     private Booking withCharge(Booking booking) {
         Team team = teams.get(booking.team());
-        SortedMap<Integer, Long> cost = booking.holds()
+        SortedMap<Integer, Long> cost = booking.holdsCapacity()
                 ? team.cost(booking.rates(), booking.startMs(), booking.bookedToMs())
                 : Rates.copy(Map.of());
         team.charge(booking.charged(), -1);
@@ -603,12 +603,12 @@
             unindex(old);
         }
         boolean same = old != null
-                && old.holds()
-                && booking.holds()
+                && old.holdsCapacity()
+                && booking.holdsCapacity()
                 && old.startMs() == booking.startMs()
                 && old.bookedToMs() == booking.bookedToMs()
                 && old.rates().equals(booking.rates());
-        if (!same && old != null && old.holds()) {
+        if (!same && old != null && old.holdsCapacity()) {
             old.rates()
                     .keySet()
                     .forEach(d -> freedSpans.add(new FreedSpan(d, Math.max(old.startMs(), time), old.bookedToMs())));
@@ -661,7 +661,7 @@
     }
 
     private void updateTimelines(Booking booking, int sign) {
-        if (!booking.holds()) {
+        if (!booking.holdsCapacity()) {
             return;
         }
         booking.rates().forEach((number, rate) -> {
@@ -694,7 +694,7 @@
         all.destinations.putAll(s.destinations());
         for (Booking booking : s.bookings().values()) {
             all.index(booking);
-            if (booking.state().over() && booking.holds()) {
+            if (booking.state().isFinal() && booking.holdsCapacity()) {
                 all.idsKnownToRelays.add(booking.id());
             }
         }
--- a/src/main/java/firstair/fleet/booking/Calendar.java
+++ b/src/main/java/firstair/fleet/booking/Calendar.java
@@ -152,7 +152,7 @@
     }
 
     /** Whether a date is a working day. */
-    public boolean works(LocalDate day) {
+    public boolean isWorkingDay(LocalDate day) {
         return !weekend.contains(day.getDayOfWeek())
                 && !closed.contains(day)
                 && !holidays(day.getYear()).contains(day);
@@ -193,7 +193,7 @@
     private LocalDate nearestWorkingDay(LocalDate day, int step) {
         for (int i = 0; i <= MAX_SEARCH_DAYS; i++) {
             LocalDate d = day.plusDays((long) i * step);
-            if (works(d)) {
+            if (isWorkingDay(d)) {
                 return d;
             }
         }
@@ -205,7 +205,7 @@
         int remaining = Math.abs(n);
         for (int i = 1; i <= month.lengthOfMonth(); i++) {
             LocalDate d = month.atDay(n > 0 ? i : month.lengthOfMonth() + 1 - i);
-            if (works(d) && --remaining == 0) {
+            if (isWorkingDay(d) && --remaining == 0) {
                 return d;
             }
         }
@@ -221,7 +221,7 @@
     public boolean isOpen(long ms) {
         ZonedDateTime local = Instant.ofEpochMilli(ms).atZone(zone);
         int minute = minuteOfDay(local.toLocalTime(), false);
-        return works(local.toLocalDate())
+        return isWorkingDay(local.toLocalDate())
                 && (allDay()
                         || minute >= minuteOfDay(terms.opens(), false) && minute < minuteOfDay(terms.closes(), true));
     }
@@ -270,7 +270,7 @@
         if (repeat.workday != 0) {
             return nthWorkingDay(YearMonth.from(day), repeat.workday);
         }
-        if (works(day)) {
+        if (isWorkingDay(day)) {
             return day;
         }
         return switch (repeat.shift) {
--- a/src/main/java/firstair/fleet/booking/Operations.java
+++ b/src/main/java/firstair/fleet/booking/Operations.java
@@ -287,11 +287,11 @@
     }
 
     /** JSON of a booking, as clients receive it. */
-    public static byte[] show(Booking booking) {
+    public static byte[] writeBooking(Booking booking) {
         JsonObject json = new JsonObject();
         json.addProperty("id", booking.id());
         json.addProperty("team", booking.team());
-        json.addProperty("state", booking.state().word());
+        json.addProperty("state", booking.state().label());
         json.addProperty("since", Json.timestamp(booking.sinceMs()));
         json.addProperty("cause", booking.cause());
         json.addProperty("rank", booking.request().rank());
--- a/src/main/java/firstair/fleet/booking/Booked.java
+++ b/src/main/java/firstair/fleet/booking/RelayBookings.java
@@ -19,7 +19,7 @@
  * <p>The limits hold for the whole fleet because each relay applies its own share of each total, and because later
  * grants and releases only concern times that no relay's set covers.
  */
-public final class Booked {
+public final class RelayBookings {
     private static final int MAX_DESTINATIONS = 10_000;
     private static final int USAGE_WINDOW_S = 5; // how long the usage of a booking is remembered
     private static final double BORROWING_HEADROOM = 2; // multiple of the peak usage of a booking that is not borrowed
@@ -68,12 +68,12 @@
      *
      * @param skewMs maximum error of wall clocks
      */
-    public Booked(double skewMs) {
+    public RelayBookings(double skewMs) {
         this.skewMs = skewMs;
     }
 
     /** Accepts an agreed set unless it is older than the current one. Returns whether it was accepted. */
-    public boolean agreed(SealedBookings set) {
+    public boolean acceptVersion(SealedBookings set) {
         if (sealed != null && set.version() <= sealed.version()) {
             return false;
         }
@@ -117,9 +117,9 @@
     }
 
     /** Fleet-wide calls per second of a booking at a destination, 0 if the set does not contain it. */
-    public double calls(String bookingId, int destination) {
+    public double fleetRate(String bookingId, int destination) {
         SealedBookings.Entry entry = entriesById.get(bookingId);
-        return entry == null ? 0 : calls(entry.rates().getOrDefault(destination, 0L));
+        return entry == null ? 0 : fleetRate(entry.rates().getOrDefault(destination, 0L));
     }
 
     /** Whether the set covers the current time, allowing for clock error in either direction. */
@@ -148,7 +148,7 @@
         if (!covers(wallMs) || !isCertainlyActive(entry, wallMs)) {
             return 0;
         }
-        return share(parts) * calls(entry.rates().getOrDefault(destination, 0L)) * cutFactor(wallMs, destination);
+        return share(parts) * fleetRate(entry.rates().getOrDefault(destination, 0L)) * cutFactor(wallMs, destination);
     }
 
     /**
@@ -158,7 +158,7 @@
      * @param limit         limit of the destination as this relay knows it, calls per second
      * @param bookableShare share of the limit that can be booked, 0 to 1
      */
-    public double ordinary(long wallMs, int destination, double limit, double bookableShare) {
+    public double ordinaryRate(long wallMs, int destination, double limit, double bookableShare) {
         limit(destination, limit, bookableShare);
         double bookableLimit = limit * bookableShare;
         if (!covers(wallMs)) {
@@ -169,12 +169,12 @@
 
     /**
      * Counts calls requested on a booking, whether or not they could be sent. Borrowed capacity is returned at once:
-     * the next query of {@link #borrowed} is reduced by {@value #BORROWING_HEADROOM} times the calls of the busiest of
-     * the last {@value #USAGE_WINDOW_S} seconds.
+     * the next query of {@link #borrowableRate} is reduced by {@value #BORROWING_HEADROOM} times the calls of the
+     * busiest of the last {@value #USAGE_WINDOW_S} seconds.
      *
      * @param nowMs on the relay's own clock
      */
-    public void used(double nowMs, String bookingId, int destination, double calls) {
+    public void recordCalls(double nowMs, String bookingId, int destination, double calls) {
         SealedBookings.Entry entry = entriesById.get(bookingId);
         if (entry != null && entry.reserved().containsKey(destination) && calls > 0) {
             usageByBooking
@@ -185,14 +185,14 @@
     }
 
     /**
-     * Calls per second that ordinary traffic of this relay may send now in addition to {@link #ordinary}: the unused
-     * part of its own shares of the bookings there. A relay borrows only from its own shares, so it does not have to
-     * ask other relays.
+     * Calls per second that ordinary traffic of this relay may send now in addition to {@link #ordinaryRate}: the
+     * unused part of its own shares of the bookings there. A relay borrows only from its own shares, so it does not
+     * have to ask other relays.
      *
      * @param nowMs on the relay's own clock
      * @param parts this relay's share of each booking, millionths
      */
-    public double borrowed(double nowMs, long wallMs, int destination, ToIntFunction<String> parts) {
+    public double borrowableRate(double nowMs, long wallMs, int destination, ToIntFunction<String> parts) {
         if (!covers(wallMs)) {
             return 0;
         }
@@ -206,7 +206,7 @@
                 UsageWindow usage =
                         usageByBooking.getOrDefault(entry.id(), Map.of()).get(destination);
                 double withheld = usage == null ? 0 : BORROWING_HEADROOM * usage.max(nowMs);
-                sum += Math.max(0, share(parts.applyAsInt(entry.id())) * calls(rate) * cutFactor - withheld);
+                sum += Math.max(0, share(parts.applyAsInt(entry.id())) * fleetRate(rate) * cutFactor - withheld);
             }
         }
         return sum;
@@ -230,7 +230,7 @@
                         : rate;
             }
         }
-        return calls(sum);
+        return fleetRate(sum);
     }
 
     private boolean isCertainlyActive(SealedBookings.Entry entry, long wallMs) {
@@ -241,7 +241,7 @@
         return (double) Math.max(0, Math.min(parts, Setup.WHOLE)) / Setup.WHOLE;
     }
 
-    private static double calls(long thousandths) {
+    private static double fleetRate(long thousandths) {
         return (double) thousandths / Rates.PARTS_PER_CALL;
     }
 }
--- a/src/main/java/firstair/fleet/booking/Rules.java
+++ b/src/main/java/firstair/fleet/booking/Rules.java
@@ -50,7 +50,7 @@
      * earliest, at most a day long, a day to confirm, 15 min to begin the run, forgotten after 30 days, at most 10,000
      * bookings.
      */
-    public static Rules usual() {
+    public static Rules defaults() {
         return new Rules(900_000, 3_600_000, 86_400_000, MAX_AHEAD_MS, 86_400_000, 900_000, 30L * 86_400_000, 10_000);
     }
 
--- a/src/main/java/firstair/fleet/booking/State.java
+++ b/src/main/java/firstair/fleet/booking/State.java
@@ -26,7 +26,7 @@
     REFUSED;
 
     /** Whether a booking in this state may change to another state. */
-    public boolean may(State to) {
+    public boolean canBecome(State to) {
         return next().contains(to);
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** Whether the state is final. */
-    public boolean over() {
+    public boolean isFinal() {
         return next().isEmpty();
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** The name used in JSON and in messages. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/firstair/fleet/budget/Budgets.java
+++ b/src/main/java/firstair/fleet/budget/Budgets.java
@@ -92,7 +92,7 @@
 
     /** What may be used of a budget from now on, until the next event. */
     public Allocation allocation(double now, String budget) {
-        int guaranteed = setup.sure();
+        int guaranteed = setup.guaranteedParts();
         if (onlyGuaranteed || !leases.holdsOwn(now)) {
             return new Allocation(guaranteed, Double.POSITIVE_INFINITY, guaranteed);
         }
@@ -177,29 +177,29 @@
     }
 
     private boolean dispatch(double now, String from, long incarnation, Note note) {
-        if (note instanceof Note.StandingAsk request) {
+        if (note instanceof Note.LeaseRequest request) {
             return onLeaseRequest(now, from, incarnation, request);
-        } else if (note instanceof Note.StandingAnswer answer) {
+        } else if (note instanceof Note.LeaseAnswer answer) {
             return leases.onAnswer(now, from, answer);
-        } else if (note instanceof Note.StandingBack release) {
+        } else if (note instanceof Note.LeaseRelease release) {
             if (voter == null) {
                 return false;
             }
             voter.release(from, incarnation, release.nonce(), release.of());
             return true;
-        } else if (note instanceof Note.LoanAsk request) {
+        } else if (note instanceof Note.LoanRequest request) {
             return onLoanRequest(now, from, incarnation, request);
         } else if (note instanceof Note.Loan loan) {
             return onLoan(now, from, loan);
-        } else if (note instanceof Note.LoanBack back) {
+        } else if (note instanceof Note.LoanReturn back) {
             return loans.onReturn(from, incarnation, back);
-        } else if (note instanceof Note.Gift gift) {
-            return gift.repeats() > 0 && retries.onTransfer(gift);
+        } else if (note instanceof Note.RetryTransfer gift) {
+            return gift.retries() > 0 && retries.onTransfer(gift);
         }
         return false;
     }
 
-    private boolean onLeaseRequest(double now, String from, long incarnation, Note.StandingAsk request) {
+    private boolean onLeaseRequest(double now, String from, long incarnation, Note.LeaseRequest request) {
         if (voter == null
                 || steppedDown
                 || !isName(request.of())
@@ -207,11 +207,11 @@
             return false;
         }
         boolean granted = voter.request(now, from, incarnation, request.nonce(), request.of());
-        out.send(from, new Note.StandingAnswer(request.nonce(), request.of(), granted));
+        out.send(from, new Note.LeaseAnswer(request.nonce(), request.of(), granted));
         return true;
     }
 
-    private boolean onLoanRequest(double now, String from, long incarnation, Note.LoanAsk request) {
+    private boolean onLoanRequest(double now, String from, long incarnation, Note.LoanRequest request) {
         if (request.parts() <= 0 || !isName(request.budget())) {
             return false;
         }
--- a/src/main/java/firstair/fleet/budget/LeaseHolder.java
+++ b/src/main/java/firstair/fleet/budget/LeaseHolder.java
@@ -2,9 +2,9 @@
 
 import firstair.fleet.Outbox;
 import firstair.fleet.Setup;
-import firstair.fleet.talk.Note.StandingAnswer;
-import firstair.fleet.talk.Note.StandingAsk;
-import firstair.fleet.talk.Note.StandingBack;
+import firstair.fleet.talk.Note.LeaseAnswer;
+import firstair.fleet.talk.Note.LeaseRelease;
+import firstair.fleet.talk.Note.LeaseRequest;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -117,7 +117,7 @@
         }
         for (String v : setup.voters()) {
             if (!v.equals(setup.self())) {
-                out.send(v, new StandingBack(lease.newestRequest, member));
+                out.send(v, new LeaseRelease(lease.newestRequest, member));
             } else if (voter != null) {
                 voter.release(v, incarnation, lease.newestRequest, member);
             }
@@ -155,19 +155,18 @@
         }
         for (String v : setup.voters()) {
             if (!v.equals(setup.self())) {
-                out.send(v, new StandingAsk(nonce, lease.member));
+                out.send(v, new LeaseRequest(nonce, lease.member));
             } else if (voter != null) {
                 onAnswer(
                         now,
                         v,
-                        new StandingAnswer(
-                                nonce, lease.member, voter.request(now, v, incarnation, nonce, lease.member)));
+                        new LeaseAnswer(nonce, lease.member, voter.request(now, v, incarnation, nonce, lease.member)));
             }
         }
     }
 
     /** A voter has answered. Returns whether the answer belongs to a request that still counts. */
-    boolean onAnswer(double now, String from, StandingAnswer answer) {
+    boolean onAnswer(double now, String from, LeaseAnswer answer) {
         Request request = requests.get(answer.nonce());
         if (request == null
                 || !request.member.equals(answer.of())
--- a/src/main/java/firstair/fleet/budget/LeaseRules.java
+++ b/src/main/java/firstair/fleet/budget/LeaseRules.java
@@ -35,9 +35,9 @@
  * loan of a lender per budget at a time, the last that it accepted, and the lender counts the largest of those that
  * have not expired.
  *
- * <p><b>Exception.</b> Two processes that run under one name at once may both use {@link Setup#sure()} until the older
- * one learns of the other. Where that name is a voter's, they may also grant one lease to two holders, each on its own:
- * a voter's name must not run twice.
+ * <p><b>Exception.</b> Two processes that run under one name at once may both use {@link Setup#guaranteedParts()} until
+ * the older one learns of the other. Where that name is a voter's, they may also grant one lease to two holders, each
+ * on its own: a voter's name must not run twice.
  */
 class LeaseRules {
     private static final double ROUNDING_MARGIN_MS = 1; // far above the rounding error of a sum of milliseconds
@@ -55,7 +55,7 @@
 
     /** The parts of a budget that come with the lease of one member. */
     final int leaseParts() {
-        return setup.even() - setup.sure();
+        return setup.equalParts() - setup.guaranteedParts();
     }
 
     /** The time on the holder's clock from which the term of a grant is counted. */
--- a/src/main/java/firstair/fleet/budget/Loans.java
+++ b/src/main/java/firstair/fleet/budget/Loans.java
@@ -2,8 +2,8 @@
 
 import firstair.fleet.Outbox;
 import firstair.fleet.talk.Note.Loan;
-import firstair.fleet.talk.Note.LoanAsk;
-import firstair.fleet.talk.Note.LoanBack;
+import firstair.fleet.talk.Note.LoanRequest;
+import firstair.fleet.talk.Note.LoanReturn;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -31,7 +31,7 @@
 
     private record Borrower(String name, long incarnation) {}
 
-    private record Lent(long number, LoanAsk request, String member, int parts, double termMs, double until) {}
+    private record Lent(long number, LoanRequest request, String member, int parts, double termMs, double until) {}
 
     private record Request(String lender, String budget, int parts, double sentAt) {}
 
@@ -94,7 +94,8 @@
      * @param spare   parts that we do not need ourselves; negative if we are short
      * @param sources the expiry of each lease that we hold, by member
      */
-    void onRequest(double now, String from, long incarnation, LoanAsk request, int spare, Map<String, Double> sources) {
+    void onRequest(
+            double now, String from, long incarnation, LoanRequest request, int spare, Map<String, Double> sources) {
         Borrower borrower = new Borrower(from, incarnation);
         List<Lent> loans = lent.getOrDefault(request.budget(), Map.of()).getOrDefault(borrower, List.of());
         int before = 0;
@@ -138,7 +139,7 @@
     }
 
     /** A borrower returns a loan. Returns whether there was such a loan. */
-    boolean onReturn(String from, long incarnation, LoanBack note) {
+    boolean onReturn(String from, long incarnation, LoanReturn note) {
         return remove(new Borrower(from, incarnation), loan -> loan.number == note.number());
     }
 
@@ -207,7 +208,7 @@
                 if (open) {
                     requests.remove(loan.nonce());
                 }
-                out.send(from, new LoanBack(loan.number()));
+                out.send(from, new LoanReturn(loan.number()));
             }
             return false;
         }
@@ -219,7 +220,7 @@
         if (previous == null) {
             borrowing.newLender = true;
         } else if (previous.number != loan.number()) {
-            out.send(from, new LoanBack(previous.number));
+            out.send(from, new LoanReturn(previous.number));
         }
         borrowing.receivedAt.put(from, now);
         return true;
@@ -290,7 +291,7 @@
             requests.remove(requests.keySet().iterator().next());
         }
         borrowing.requestedAt.put(lender, now);
-        out.send(lender, new LoanAsk(nonce, budget, parts));
+        out.send(lender, new LoanRequest(nonce, budget, parts));
     }
 
     /** Returns whole loans once a surplus has lasted; a brief one is kept, so that allocations do not oscillate. */
@@ -314,7 +315,7 @@
 
     private void returnLoan(Borrowing borrowing, Borrowed loan) {
         borrowing.loans.remove(loan.lender);
-        out.send(loan.lender, new LoanBack(loan.number));
+        out.send(loan.lender, new LoanReturn(loan.number));
     }
 
     /** Returns all loans of a budget that is no longer needed. */
--- a/src/main/java/firstair/fleet/budget/RetryBudgets.java
+++ b/src/main/java/firstair/fleet/budget/RetryBudgets.java
@@ -1,8 +1,8 @@
 package firstair.fleet.budget;
 
 import firstair.fleet.Outbox;
-import firstair.fleet.talk.Note.Gift;
-import firstair.fleet.talk.Note.LoanAsk;
+import firstair.fleet.talk.Note.LoanRequest;
+import firstair.fleet.talk.Note.RetryTransfer;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -13,8 +13,8 @@
  * A retry budget for each destination: first attempts earn retries in a fixed ratio. Earning and spending are local and
  * need no notes; retries are transferred between relays for good, and the giver deducts them before it sends. So over
  * the whole fleet there are never more retries than first attempts times the ratio, whatever is lost, duplicated or
- * late. A transfer ({@link Gift}) answers a request and carries its nonce, and counts once and only at the process that
- * requested it: one that arrived again after a restart would otherwise be counted a second time.
+ * late. A transfer ({@link RetryTransfer}) answers a request and carries its nonce, and counts once and only at the
+ * process that requested it: one that arrived again after a restart would otherwise be counted a second time.
  */
 final class RetryBudgets {
     /** Budget names with this prefix mean retries of the destination that follows. */
@@ -93,14 +93,14 @@
                 if (requests.size() > MAX_REQUESTS) {
                     requests.remove(requests.keySet().iterator().next());
                 }
-                out.send(to, new LoanAsk(nonce, PREFIX + destination, RETRIES_PER_REQUEST));
+                out.send(to, new LoanRequest(nonce, PREFIX + destination, RETRIES_PER_REQUEST));
             }
         }
         shortDestinations.clear();
     }
 
     /** Another process requests retries. Returns false if the request was answered before or came out of order. */
-    boolean onRequest(String from, long incarnation, LoanAsk request) {
+    boolean onRequest(String from, long incarnation, LoanRequest request) {
         LastRequest last = answered.get(from);
         if (last != null && last.incarnation == incarnation && request.nonce() <= last.nonce) {
             return false;
@@ -111,19 +111,19 @@
         if (given > 0) {
             answered.put(from, new LastRequest(incarnation, request.nonce()));
             balances.put(destination, balance - given * UNITS_PER_RETRY);
-            out.send(from, new Gift(request.nonce(), request.budget(), (int) given));
+            out.send(from, new RetryTransfer(request.nonce(), request.budget(), (int) given));
         }
         return true;
     }
 
     /** Retries were transferred to us. Returns false if we requested none, or have counted them already. */
-    boolean onTransfer(Gift gift) {
+    boolean onTransfer(RetryTransfer gift) {
         String destination = requests.get(gift.number());
         if (destination == null || !(PREFIX + destination).equals(gift.budget())) {
             return false;
         }
         requests.remove(gift.number());
-        add(destination, Math.min(gift.repeats(), RETRIES_PER_REQUEST) * UNITS_PER_RETRY);
+        add(destination, Math.min(gift.retries(), RETRIES_PER_REQUEST) * UNITS_PER_RETRY);
         return true;
     }
 }
--- a/src/main/java/firstair/fleet/count/CallCounts.java
+++ b/src/main/java/firstair/fleet/count/CallCounts.java
@@ -87,19 +87,19 @@
             boolean ours = setup.self().equals(count.member()) && count.incarnation() >= incarnation;
             boolean sound = isName(count.member())
                     && setup.members().contains(count.member())
-                    && isName(count.what())
+                    && isName(count.name())
                     && count.total() >= 0
                     && count.total() <= MAX_TOTAL
                     && count.ageMs() >= 0
                     && count.ageMs() < KEPT_MS;
             Second s =
-                    ours || !sound ? null : second(count.member(), count.incarnation(), count.second(), count.what());
+                    ours || !sound ? null : second(count.member(), count.incarnation(), count.second(), count.name());
             if (s == null) {
                 dropped++;
                 continue;
             }
             s.startedAt = Math.min(s.startedAt, now - count.ageMs());
-            s.totals.merge(count.what(), count.total(), Math::max);
+            s.totals.merge(count.name(), count.total(), Math::max);
         }
     }
 
--- a/src/main/java/firstair/fleet/judge/HealthEvidence.java
+++ b/src/main/java/firstair/fleet/judge/HealthEvidence.java
@@ -2,8 +2,8 @@
 
 import firstair.fleet.Setup;
 import firstair.fleet.talk.Note;
-import firstair.fleet.talk.Note.Sight;
-import firstair.fleet.talk.Note.Sign;
+import firstair.fleet.talk.Note.HealthReport;
+import firstair.fleet.talk.Note.Observation;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
@@ -26,10 +26,10 @@
  * others; this relay distrusts itself by the same rule, and then its own failures count as one witness among others.
  * Members are trusted to forward the evidence of others unchanged.
  *
- * <p>A {@link Sign} is ordered by its {@code calls}: the number of all calls of that process to the subject so far, so
- * that of two signs of one process the newer one is known without any clock. {@code ageMs} and {@code holdsMs} both
- * count from the observation. Of several copies of a sign the one with the earliest times counts, so duplicates and
- * late copies change nothing. Evidence is removed when it expires.
+ * <p>A {@link HealthReport} is ordered by its {@code calls}: the number of all calls of that process to the subject so
+ * far, so that of two signs of one process the newer one is known without any clock. {@code ageMs} and {@code holdsMs}
+ * both count from the observation. Of several copies of a sign the one with the earliest times counts, so duplicates
+ * and late copies change nothing. Evidence is removed when it expires.
  */
 public final class HealthEvidence {
     private static final int FAILURES = 3; // consecutive failures that count as evidence
@@ -44,12 +44,12 @@
     private static final double INITIAL_ANSWERS = 10; // answered calls that our success rate starts with
     private static final int QUEUES = 4; // by urgency of what is sent
 
-    /** The newest evidence of one process on one subject, of one {@link Sight}. */
+    /** The newest evidence of one process on one subject, of one {@link Observation}. */
     private static final class Evidence {
         private final String by;
         private final long incarnation;
         private final String subject;
-        private final Sight sight;
+        private final Observation sight;
         private final int calls;
         private final double holdsMs;
         private final double successRate;
@@ -58,14 +58,14 @@
         private double firstAt; // start of an unbroken series of this process's evidence
         private int sendsLeft; // how often it is still to be sent
 
-        private Evidence(Sign s, double at, double end) {
-            by = s.by();
+        private Evidence(HealthReport s, double at, double end) {
+            by = s.reporter();
             incarnation = s.incarnation();
             subject = s.subject();
-            sight = s.sight();
+            sight = s.observation();
             calls = s.calls();
-            holdsMs = s.holdsMs();
-            successRate = s.reach();
+            holdsMs = s.validMs();
+            successRate = s.successRate();
             this.at = at;
             this.end = end;
             firstAt = at;
@@ -76,8 +76,9 @@
             return incarnation != other.incarnation ? incarnation > other.incarnation : calls - other.calls > 0;
         }
 
-        private Sign toSign(double now) {
-            return new Sign(by, incarnation, subject, sight, calls, Math.max(0, now - at), holdsMs, successRate);
+        private HealthReport toSign(double now) {
+            return new HealthReport(
+                    by, incarnation, subject, sight, calls, Math.max(0, now - at), holdsMs, successRate);
         }
     }
 
@@ -91,7 +92,7 @@
         private boolean down; // cached result
         private double cachedUntil = Double.NEGATIVE_INFINITY; // when the cached result expires
 
-        private Map<String, Evidence> of(Sight sight) {
+        private Map<String, Evidence> of(Observation sight) {
             return switch (sight) {
                 case WAIT -> waits;
                 case FAILS -> fails;
@@ -154,7 +155,7 @@
      * @param calls   how many consecutive calls had this outcome
      * @param holdsMs for a wait its requested length; otherwise how long the evidence holds
      */
-    public void observe(double now, String subject, Sight sight, int calls, double holdsMs) {
+    public void observe(double now, String subject, Observation sight, int calls, double holdsMs) {
         update(now);
         if (calls < 1 || !(holdsMs > 0) || !knownSubject.test(subject)) {
             dropped++;
@@ -163,11 +164,12 @@
         double fade = Math.pow(0.5, Math.max(0, now - rateAt) / HALF_LIFE_MS);
         rateAt = now;
         called = called * fade + calls;
-        answered = answered * fade + (sight == Sight.FAILS ? 0 : calls); // an endpoint that requests a wait was reached
+        answered = answered * fade
+                + (sight == Observation.FAILS ? 0 : calls); // an endpoint that requests a wait was reached
         Subject s = subjects.computeIfAbsent(subject, name -> new Subject());
         s.calls += calls;
         s.consecutiveFailures =
-                sight == Sight.FAILS ? Math.min(s.consecutiveFailures, Integer.MAX_VALUE - calls) + calls : 0;
+                sight == Observation.FAILS ? Math.min(s.consecutiveFailures, Integer.MAX_VALUE - calls) + calls : 0;
         double holds = Math.min(holdsMs, longestMs);
         Evidence last = s.of(sight).get(setup.self());
         boolean isNew =
@@ -185,7 +187,8 @@
         if (isNew) {
             store(
                     new Evidence(
-                            new Sign(setup.self(), incarnation, subject, sight, s.calls, 0, holds, successRate()),
+                            new HealthReport(
+                                    setup.self(), incarnation, subject, sight, s.calls, 0, holds, successRate()),
                             now,
                             now + holds),
                     now);
@@ -197,26 +200,30 @@
     }
 
     /** Merges evidence received from a member, which may forward that of others. */
-    public void merge(double now, String from, Note.Signs signs) {
+    public void merge(double now, String from, Note.HealthReports signs) {
         update(now);
         if (from == null || !members.contains(from)) {
-            dropped += signs.signs().size();
+            dropped += signs.reports().size();
             return;
         }
-        for (Sign s : signs.signs()) {
-            boolean ours = s.by() == null || s.by().equals(setup.self());
-            boolean valid = s.sight() != null
+        for (HealthReport s : signs.reports()) {
+            boolean ours = s.reporter() == null || s.reporter().equals(setup.self());
+            boolean valid = s.observation() != null
                     && s.ageMs() >= 0
-                    && s.holdsMs() > 0
-                    && !Double.isInfinite(s.holdsMs())
-                    && s.reach() >= 0
-                    && s.reach() <= 1;
-            if (ours || !valid || !members.contains(s.by()) || s.subject() == null || !knownSubject.test(s.subject())) {
+                    && s.validMs() > 0
+                    && !Double.isInfinite(s.validMs())
+                    && s.successRate() >= 0
+                    && s.successRate() <= 1;
+            if (ours
+                    || !valid
+                    || !members.contains(s.reporter())
+                    || s.subject() == null
+                    || !knownSubject.test(s.subject())) {
                 dropped += ours && valid ? 0 : 1; // our own evidence that comes back is valid
                 continue;
             }
             // The rest by a clock that may run slower than ours; the time in transit is not subtracted.
-            double remainingMs = (s.holdsMs() - s.ageMs()) * (1 + 2 * setup.drift());
+            double remainingMs = (s.validMs() - s.ageMs()) * (1 + 2 * setup.drift());
             if (remainingMs > 0) {
                 store(new Evidence(s, now - s.ageMs(), now + Math.min(remainingMs, longestMs)), now);
             }
@@ -241,17 +248,17 @@
             }
             return;
         }
-        if (current && evidence.sight == Sight.WAIT) {
+        if (current && evidence.sight == Observation.WAIT) {
             evidence.end = Math.max(evidence.end, last.end); // no later evidence shortens a wait
         }
-        boolean recovered = evidence.sight == Sight.ANSWERS && s.failing(evidence.by, now) != null;
+        boolean recovered = evidence.sight == Observation.ANSWERS && s.failing(evidence.by, now) != null;
         all.put(evidence.by, evidence);
         s.cachedUntil = now;
         if (last != null) {
             queues.forEach(queue -> queue.remove(last));
         }
         evidence.sendsLeft = sendsEach;
-        queues.get(evidence.sight == Sight.WAIT ? 0 : evidence.sight == Sight.FAILS ? 1 : recovered ? 2 : 3)
+        queues.get(evidence.sight == Observation.WAIT ? 0 : evidence.sight == Observation.FAILS ? 1 : recovered ? 2 : 3)
                 .add(evidence);
     }
 
@@ -261,9 +268,9 @@
      *
      * @param maxSigns the largest number to return
      */
-    public List<Sign> nextToSend(double now, int maxSigns) {
+    public List<HealthReport> nextToSend(double now, int maxSigns) {
         update(now);
-        List<Sign> signs = new ArrayList<>();
+        List<HealthReport> signs = new ArrayList<>();
         for (Set<Evidence> queue : queues) {
             for (Evidence evidence : List.copyOf(queue)) {
                 if (signs.size() >= maxSigns) {
@@ -373,9 +380,9 @@
         updateAt = now + UPDATE_MS;
         subjects.keySet().removeIf(name -> !knownSubject.test(name));
         for (Subject s : subjects.values()) {
-            for (Sight sight : Sight.values()) {
+            for (Observation sight : Observation.values()) {
                 // Answers are kept until no earlier failure can count any more.
-                double kept = sight == Sight.ANSWERS ? 2 * longestMs : 0;
+                double kept = sight == Observation.ANSWERS ? 2 * longestMs : 0;
                 s.of(sight).values().removeIf(evidence -> Math.max(evidence.end, evidence.at + kept) <= now);
             }
             s.cachedUntil = now;
@@ -392,7 +399,7 @@
     private void updateTypicalRate() {
         Map<String, Evidence> newest = new TreeMap<>();
         for (Subject s : subjects.values()) {
-            for (Sight sight : Sight.values()) {
+            for (Observation sight : Observation.values()) {
                 s.of(sight).forEach((by, evidence) -> newest.merge(by, evidence, (a, b) -> a.at >= b.at ? a : b));
             }
         }
--- a/src/main/java/firstair/fleet/ledger/AgreedContracts.java
+++ b/src/main/java/firstair/fleet/ledger/AgreedContracts.java
@@ -14,7 +14,7 @@
  * monotonic here. As such a clock may be wrong, at least {@value #MIN_VERSIONS} versions are kept whatever their age,
  * and at most {@value #MAX_VERSIONS}.
  */
-public final class AgreedContracts implements Agreement {
+public final class AgreedContracts implements ReplicatedStateMachine {
     static final int MIN_VERSIONS = 8;
     static final int MAX_VERSIONS = 64;
 
@@ -31,10 +31,10 @@
     /**
      * The result of a {@link #put}.
      *
-     * @param taken   whether the new version was accepted
+     * @param accepted   whether the new version was accepted
      * @param version the number in force: the new one, or the current one if the put named another predecessor
      */
-    public record Put(boolean taken, long version) {}
+    public record Put(boolean accepted, long version) {}
 
     private final double retentionMs;
     private List<Version> versions = List.of();
@@ -46,8 +46,8 @@
 
     /** Encodes the operation that makes contracts current if version {@code follows} is; 0 if there is none yet. */
     public static byte[] put(long follows, long atMs, List<String> contracts) {
-        return Agreements.operation(
-                Agreements.CONTRACTS,
+        return LedgerStateMachines.operation(
+                LedgerStateMachines.CONTRACTS,
                 new MessagePackFormat.Writer()
                         .number(follows)
                         .number(atMs)
--- a/src/main/java/firstair/fleet/ledger/Follower.java
+++ b/src/main/java/firstair/fleet/ledger/Follower.java
@@ -30,7 +30,7 @@
          * Called when a newer version is held, or when the version held was confirmed.
          *
          * @param version      log index of the last operation in it; 0 before the first
-         * @param state        to be decoded by {@link Agreements#parts}; empty before the first operation
+         * @param state        to be decoded by {@link LedgerStateMachines#parts}; empty before the first operation
          * @param linearizable whether it contains everything that was committed before {@code requestedAt}
          * @param requestedAt  when the request was sent, on the caller's clock
          */
@@ -150,19 +150,19 @@
         nextPollAt = now + pollIntervalMs;
         // Once all voters have been tried without a linearizable answer, wait for the next poll.
         timeoutAt = voterChanges < setup.voters().size() ? now + timeoutMs : Double.POSITIVE_INFINITY;
-        outbox.send(voter, new Note.AgreedAsk(nonce, version));
+        outbox.send(voter, new Note.StateRequest(nonce, version));
     }
 
     /** Receives an answer. */
-    public void heard(double now, String from, Note.Agreed note) {
+    public void receive(double now, String from, Note.StateChunk note) {
         Request request = requests.get(note.nonce());
         if (request == null || !request.voter().equals(from) || note.version() < 0 || !isValid(note)) {
             dropped++;
             return;
         }
-        boolean confirmed = note.sure() && note.version() <= version;
+        boolean confirmed = note.linearizable() && note.version() <= version;
         boolean newer = note.version() > version;
-        if (newer && note.pieces() == 0) {
+        if (newer && note.chunks() == 0) {
             dropped++; // announces a newer version without its state
             return;
         }
@@ -172,46 +172,46 @@
             linearizableAt = request.sentAt();
             listener.agreed(version, state.clone(), true, linearizableAt);
         }
-        if (note.sure()) {
+        if (note.linearizable()) {
             voterChanges = 0;
             answered = true;
             if (note.version() <= version) {
                 timeoutAt = Double.POSITIVE_INFINITY; // complete; otherwise the timeout goes on for the other chunks
             }
         } else if (from.equals(setup.voters().get(voterIndex))
-                && note.piece() == 0
+                && note.chunk() == 0
                 && voterChanges + 1 < setup.voters().size()) {
             nextVoter();
             poll(now);
         }
     }
 
-    private static boolean isValid(Note.Agreed note) {
-        return note.pieces() == 0
+    private static boolean isValid(Note.StateChunk note) {
+        return note.chunks() == 0
                 ? note.bytes().length == 0
-                : note.pieces() > 0 && note.pieces() <= MAX_CHUNKS && note.piece() >= 0 && note.piece() < note.pieces();
+                : note.chunks() > 0 && note.chunks() <= MAX_CHUNKS && note.chunk() >= 0 && note.chunk() < note.chunks();
     }
 
-    private void addChunk(String from, Request request, Note.Agreed note) {
+    private void addChunk(String from, Request request, Note.StateChunk note) {
         Partial partial = partials.get(note.version());
-        if (partial == null || !partial.from.equals(from) || partial.chunks.length != note.pieces()) {
-            partial = new Partial(from, note.pieces());
+        if (partial == null || !partial.from.equals(from) || partial.chunks.length != note.chunks()) {
+            partial = new Partial(from, note.chunks());
             partials.put(note.version(), partial);
             if (partials.size() > MAX_PARTIAL_VERSIONS) {
                 partials.pollFirstEntry();
             }
         }
         partial.requestedAt = Math.max(partial.requestedAt, request.sentAt());
-        if (note.sure()) {
+        if (note.linearizable()) {
             partial.linearizableAt = Math.max(partial.linearizableAt, request.sentAt());
         }
-        if (partial.chunks[note.piece()] == null) {
+        if (partial.chunks[note.chunk()] == null) {
             if (partial.bytes + note.bytes().length > MAX_STATE_BYTES) {
                 dropped++;
                 partials.remove(note.version());
                 return;
             }
-            partial.chunks[note.piece()] = note.bytes();
+            partial.chunks[note.chunk()] = note.bytes();
             partial.bytes += note.bytes().length;
             partial.missing--;
         }
--- a/src/main/java/firstair/fleet/ledger/MemoryKeeper.java
+++ b/src/main/java/firstair/fleet/ledger/InMemoryLedgerStore.java
@@ -5,19 +5,19 @@
 import java.util.random.RandomGenerator;
 
 /** Keeps changes in memory, for fleets simulated in one process. Can lose unforced changes like a killed process. */
-public final class MemoryKeeper implements Keeper {
+public final class InMemoryLedgerStore implements LedgerStore {
     private List<byte[]> changes;
     private int forcedCount;
     private int forceCalls;
 
     /** Starts with all changes of the memory, as if forced. */
-    public MemoryKeeper(LedgerMemory memory) {
+    public InMemoryLedgerStore(LedgerState memory) {
         changes = new ArrayList<>(memory.changes());
         forcedCount = changes.size();
     }
 
     @Override
-    public void keep(byte[] change) {
+    public void append(byte[] change) {
         changes.add(change);
     }
 
@@ -26,7 +26,7 @@
         forcedCount = changes.size();
         forceCalls++;
         if (changes.size() > 4096) { // compacts to the fewest changes with the same state
-            changes = new ArrayList<>(LedgerMemory.of(changes).changes());
+            changes = new ArrayList<>(LedgerState.of(changes).changes());
             forcedCount = changes.size();
         }
     }
@@ -37,8 +37,8 @@
     }
 
     /** What the next process finds after a kill: all forced changes, and a random number of the others. */
-    public LedgerMemory killed(RandomGenerator random) {
+    public LedgerState afterKill(RandomGenerator random) {
         int survivors = forcedCount + random.nextInt(changes.size() - forcedCount + 1);
-        return LedgerMemory.of(changes.subList(0, survivors));
+        return LedgerState.of(changes.subList(0, survivors));
     }
 }
--- a/src/main/java/firstair/fleet/ledger/Ledger.java
+++ b/src/main/java/firstair/fleet/ledger/Ledger.java
@@ -43,10 +43,10 @@
 import java.util.function.Consumer;
 
 /**
- * One voter: a node of a Raft group (MicroRaft), driven from outside. The owner passes received notes to {@link #heard}
- * and calls {@link #timer} at {@link #wakeAt}; the engine runs inside of these calls, on the caller's thread, and
- * starts no thread of its own. Times are milliseconds on the relay's monotonic clock; the wall clock isn't used, so it
- * may jump. The same calls with the same {@code Random} give the same notes.
+ * One voter: a node of a Raft group (MicroRaft), driven from outside. The owner passes received notes to
+ * {@link #receive} and calls {@link #timer} at {@link #wakeAt}; the engine runs inside of these calls, on the caller's
+ * thread, and starts no thread of its own. Times are milliseconds on the relay's monotonic clock; the wall clock isn't
+ * used, so it may jump. The same calls with the same {@code Random} give the same notes.
  *
  * <p>The engine's timing has a granularity of one second, and it waits a whole second before it sends again to a voter
  * whose answer was lost. Its clock runs {@value #CLOCK_SPEEDUP} times faster than ours, so that both take a quarter.
@@ -95,7 +95,7 @@
     }
 
     private final Setup setup;
-    private final Agreements stateMachines;
+    private final LedgerStateMachines stateMachines;
     private final Random random;
     private final Outbox outbox;
     private final Proposer proposer;
@@ -103,7 +103,7 @@
     private final RaftNode node;
     private final Deque<Runnable> queue = new ArrayDeque<>();
     private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>();
-    private final Map<String, Note.AgreedAsk> pendingReads = new LinkedHashMap<>(); // by sender, the newest of each
+    private final Map<String, Note.StateRequest> pendingReads = new LinkedHashMap<>(); // by sender, the newest of each
     private boolean reading; // a query is in flight
     private boolean running;
     private boolean runningTasks;
@@ -116,7 +116,7 @@
      * Creates a voter that is not started yet.
      *
      * @param incarnation   of this process, higher than that of all earlier ones with this name
-     * @param memory        the stored state of this voter, or {@link LedgerMemory#founded} at its very first start
+     * @param memory        the stored state of this voter, or {@link LedgerState#initial} at its very first start
      * @param keeper        stores changes to it
      * @param stateMachines in their initial state
      * @param random        for delays and nonces
@@ -126,9 +126,9 @@
     public Ledger(
             Setup setup,
             long incarnation,
-            LedgerMemory memory,
-            Keeper keeper,
-            Agreements stateMachines,
+            LedgerState memory,
+            LedgerStore keeper,
+            LedgerStateMachines stateMachines,
             Outbox outbox,
             Random random,
             Follower.Listener listener) {
@@ -201,14 +201,14 @@
      *
      * @throws Fault if the note is rejected; nothing has changed then
      */
-    public void heard(double at, String from, Note note) {
+    public void receive(double at, String from, Note note) {
         if (note instanceof Note.Proposed m) {
-            runEvent(at, () -> proposer.heard(now, from, m));
-        } else if (note instanceof Note.Agreed m) {
-            runEvent(at, () -> follower.heard(now, from, m));
+            runEvent(at, () -> proposer.receive(now, from, m));
+        } else if (note instanceof Note.StateChunk m) {
+            runEvent(at, () -> follower.receive(now, from, m));
         } else if (!setup.members().contains(from)) {
             throw new Fault.Stranger(from);
-        } else if (note instanceof Note.Engine m) {
+        } else if (note instanceof Note.ConsensusMessage m) {
             RaftMessage message = decode(from, m.bytes());
             runEvent(at, () -> handleRaftMessage(message));
         } else if (note instanceof Note.Propose m) {
@@ -217,7 +217,7 @@
                 throw new Fault.Stranger(proposal.proposer());
             }
             runEvent(at, () -> handleProposal(from, m, proposal));
-        } else if (note instanceof Note.AgreedAsk m) {
+        } else if (note instanceof Note.StateRequest m) {
             runEvent(at, () -> handleRead(from, m));
         } else {
             dropped++;
@@ -240,7 +240,7 @@
     /**
      * Proposes an operation, whichever voter is the leader.
      *
-     * @param operation its kind in the first byte, as {@link Agreements#operation} writes it
+     * @param operation its kind in the first byte, as {@link LedgerStateMachines#operation} writes it
      * @param callback  called once with the outcome; with {@link Outcome.NotNow} after 8 s at the latest
      * @throws Fault.TooLarge if the operation is too long
      */
@@ -250,12 +250,12 @@
 
     /**
      * Transfers leadership, if this voter is the leader, to the voter heard from most recently. That takes a round trip
-     * or two: at a regular shutdown, wait until {@link #leads} returns false, but not for long, since the others also
-     * elect a new leader without a transfer.
+     * or two: at a regular shutdown, wait until {@link #isLeader} returns false, but not for long, since the others
+     * also elect a new leader without a transfer.
      */
-    public void leave(double at) {
+    public void transferLeadership(double at) {
         runEvent(at, () -> {
-            if (leads()) {
+            if (isLeader()) {
                 node.getReport().thenAccept(r -> transferLeadership(r.getResult()));
             }
         });
@@ -292,7 +292,7 @@
     }
 
     /** Whether this voter is the leader as far as it knows. */
-    public boolean leads() {
+    public boolean isLeader() {
         return running
                 && fault == null
                 && new Voter(setup.self()).equals(node.getTerm().getLeaderEndpoint());
@@ -345,12 +345,12 @@
 
     private void handleOwn(Note note) {
         if (note instanceof Note.Proposed m) {
-            proposer.heard(now, setup.self(), m);
-        } else if (note instanceof Note.Agreed m) {
-            follower.heard(now, setup.self(), m);
+            proposer.receive(now, setup.self(), m);
+        } else if (note instanceof Note.StateChunk m) {
+            follower.receive(now, setup.self(), m);
         } else if (note instanceof Note.Propose m) {
             handleProposal(setup.self(), m, Proposal.decode(m.operation()));
-        } else if (note instanceof Note.AgreedAsk m) {
+        } else if (note instanceof Note.StateRequest m) {
             handleRead(setup.self(), m);
         }
     }
@@ -385,7 +385,7 @@
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         if (!running || fault != null) {
             replyNotNow(proposal, note.nonce());
-        } else if (leads()) {
+        } else if (isLeader()) {
             if (!stateMachines.supports(proposal.kind())) {
                 // Once committed, it would stop every voter of this version.
                 outbox.send(
@@ -415,10 +415,10 @@
         outbox.send(proposal.proposer(), new Note.Proposed(nonce, false, new byte[0], RETRY_AFTER_MS));
     }
 
-    private void handleRead(String from, Note.AgreedAsk request) {
+    private void handleRead(String from, Note.StateRequest request) {
         if (!running || fault != null) {
             dropped++; // the state may be stale; without an answer the sender tries another voter
-        } else if (!leads()) {
+        } else if (!isLeader()) {
             sendState(from, request, false);
         } else {
             pendingReads.put(from, request);
@@ -431,7 +431,7 @@
             return;
         }
         reading = true;
-        Map<String, Note.AgreedAsk> batch = new LinkedHashMap<>(pendingReads);
+        Map<String, Note.StateRequest> batch = new LinkedHashMap<>(pendingReads);
         pendingReads.clear();
         node.query(READ_BARRIER, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((done, failure) -> {
@@ -441,17 +441,18 @@
                 });
     }
 
-    private void sendState(String to, Note.AgreedAsk request, boolean linearizable) {
+    private void sendState(String to, Note.StateRequest request, boolean linearizable) {
         if (fault != null) {
             return;
         }
         if (request.version() >= version()) {
-            outbox.send(to, new Note.Agreed(request.nonce(), version(), linearizable, 0, 0, new byte[0]));
+            outbox.send(to, new Note.StateChunk(request.nonce(), version(), linearizable, 0, 0, new byte[0]));
             return;
         }
         List<byte[]> chunks = chunks(stateMachines.state());
         for (int i = 0; i < chunks.size(); i++) {
-            outbox.send(to, new Note.Agreed(request.nonce(), version(), linearizable, i, chunks.size(), chunks.get(i)));
+            outbox.send(
+                    to, new Note.StateChunk(request.nonce(), version(), linearizable, i, chunks.size(), chunks.get(i)));
         }
     }
 
@@ -521,7 +522,7 @@
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
             if (fault == null) {
-                outbox.send(Voter.nameOf(to), new Note.Engine(RaftCodec.encode(message)));
+                outbox.send(Voter.nameOf(to), new Note.ConsensusMessage(RaftCodec.encode(message)));
             }
         }
 
--- a/src/main/java/firstair/fleet/ledger/LedgerMemory.java
+++ b/src/main/java/firstair/fleet/ledger/LedgerState.java
@@ -18,10 +18,11 @@
 
 /**
  * The persistent Raft state of a voter: fleet and voter names, the term, the vote in it, the log entries, the newest
- * snapshot. It is stored as a sequence of encoded changes, which a {@link Keeper} stores and {@link #of} replays. Every
- * prefix of the changes is a state that this voter has had, so a sequence whose last changes were cut off is valid.
+ * snapshot. It is stored as a sequence of encoded changes, which a {@link LedgerStore} stores and {@link #of} replays.
+ * Every prefix of the changes is a state that this voter has had, so a sequence whose last changes were cut off is
+ * valid.
  */
-public final class LedgerMemory {
+public final class LedgerState {
     /** Encoded by ordinal: the order is part of the stored format. */
     private enum Type {
         CREATED,
@@ -41,11 +42,11 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
-    private LedgerMemory() {}
+    private LedgerState() {}
 
     /** The initial state of a voter that starts for the first time. */
-    public static LedgerMemory founded(String fleet, String self, List<String> voters) {
-        LedgerMemory memory = new LedgerMemory();
+    public static LedgerState initial(String fleet, String self, List<String> voters) {
+        LedgerState memory = new LedgerState();
         memory.fleet = fleet;
         memory.self = self;
         memory.voters = List.copyOf(voters);
@@ -57,8 +58,8 @@
      *
      * @throws Fault.Unreadable if they don't yield the state of a voter
      */
-    public static LedgerMemory of(Iterable<byte[]> changes) {
-        LedgerMemory memory = new LedgerMemory();
+    public static LedgerState of(Iterable<byte[]> changes) {
+        LedgerState memory = new LedgerState();
         changes.forEach(memory::apply);
         if (memory.fleet == null) {
             throw new Fault.Unreadable("a ledger without fleet and voter");
@@ -198,21 +199,21 @@
     }
 
     /** A store for the engine, which applies each change here and passes it to the keeper. */
-    RaftStore store(Keeper keeper) {
+    RaftStore store(LedgerStore keeper) {
         return new Store(keeper);
     }
 
     private final class Store implements RaftStore {
-        private final Keeper keeper;
+        private final LedgerStore keeper;
 
-        private Store(Keeper keeper) {
+        private Store(LedgerStore keeper) {
             this.keeper = keeper;
         }
 
         private void append(MessagePackFormat.Writer change) throws IOException {
             byte[] bytes = change.toBytes();
             apply(bytes);
-            keeper.keep(bytes);
+            keeper.append(bytes);
         }
 
         @Override
--- a/src/main/java/firstair/fleet/ledger/Agreements.java
+++ b/src/main/java/firstair/fleet/ledger/LedgerStateMachines.java
@@ -14,7 +14,7 @@
  * these, or from an earlier process, is rejected, whether it was applied or not. Members have at most half as many
  * proposals open at a time ({@link Proposer}).
  */
-public final class Agreements {
+public final class LedgerStateMachines {
     /** Kind of operations on contracts. */
     public static final int CONTRACTS = 1;
     /** Kind of operations on bookings. */
@@ -31,12 +31,12 @@
         private final TreeMap<Long, byte[]> byNumber = new TreeMap<>();
     }
 
-    private final SortedMap<Integer, Agreement> stateMachines;
+    private final SortedMap<Integer, ReplicatedStateMachine> stateMachines;
     private final Map<String, MemberResults> resultsByMember = new TreeMap<>();
     private long version;
 
     /** @param stateMachines by the kind of the operations that they apply, 0 to 255 */
-    public Agreements(SortedMap<Integer, Agreement> stateMachines) {
+    public LedgerStateMachines(SortedMap<Integer, ReplicatedStateMachine> stateMachines) {
         this.stateMachines = new TreeMap<>(stateMachines);
     }
 
@@ -83,7 +83,7 @@
     }
 
     private byte[] execute(long index, Proposal proposal) {
-        Agreement stateMachine = stateMachines.get(proposal.kind());
+        ReplicatedStateMachine stateMachine = stateMachines.get(proposal.kind());
         if (stateMachine == null) {
             throw new Fault.UnknownEntry(Integer.toString(proposal.kind()));
         }
--- a/src/main/java/firstair/fleet/ledger/Outcome.java
+++ b/src/main/java/firstair/fleet/ledger/Outcome.java
@@ -6,7 +6,7 @@
 public sealed interface Outcome {
 
     /** The operation was committed and applied once; {@code result} is what the state machine returned. */
-    record Agreed(byte[] result) implements Outcome {}
+    record Committed(byte[] result) implements Outcome {}
 
     /** The operation was rejected and changed nothing: code, message and remedy of the state machine's fault. */
     record Refused(String code, String what, String step) implements Outcome {}
@@ -17,7 +17,7 @@
      */
     record NotNow(Fault.NotNow fault) implements Outcome {}
 
-    /** Encodes {@link Agreed}. */
+    /** Encodes {@link Committed}. */
     static byte[] encodeAgreed(byte[] result) {
         return new MessagePackFormat.Writer().flag(true).bytes(result).toBytes();
     }
@@ -39,7 +39,7 @@
      */
     static Outcome decode(byte[] bytes) {
         MessagePackFormat.Reader in = new MessagePackFormat.Reader(bytes);
-        Outcome outcome = in.flag() ? new Agreed(in.bytes()) : new Refused(in.text(), in.text(), in.text());
+        Outcome outcome = in.flag() ? new Committed(in.bytes()) : new Refused(in.text(), in.text(), in.text());
         in.expectEnd();
         return outcome;
     }
--- a/src/main/java/firstair/fleet/ledger/Proposer.java
+++ b/src/main/java/firstair/fleet/ledger/Proposer.java
@@ -17,8 +17,10 @@
  * milliseconds on the caller's monotonic clock.
  */
 public final class Proposer {
-    /** Half of the results that {@link Agreements} keeps, so that none of an open proposal is evicted there. */
-    static final int MAX_OPEN = Agreements.MAX_RESULTS_PER_MEMBER / 2;
+    /**
+     * Half of the results that {@link LedgerStateMachines} keeps, so that none of an open proposal is evicted there.
+     */
+    static final int MAX_OPEN = LedgerStateMachines.MAX_RESULTS_PER_MEMBER / 2;
 
     private static final double RETRY_MS = 500; // an answer takes two round trips and two writes to disk
     private static final double TIMEOUT_MS = 8000; // a failed leader is replaced within this time
@@ -58,7 +60,7 @@
     /**
      * Proposes an operation.
      *
-     * @param operation its kind in the first byte, as {@link Agreements#operation} writes it
+     * @param operation its kind in the first byte, as {@link LedgerStateMachines#operation} writes it
      * @param callback  called once with the outcome; with {@link Outcome.NotNow} after 8 s at the latest
      * @throws Fault.TooLarge if the operation is too long
      */
@@ -90,7 +92,7 @@
      *
      * @throws Fault.Unreadable if its result cannot be decoded
      */
-    public void heard(double now, String from, Note.Proposed note) {
+    public void receive(double now, String from, Note.Proposed note) {
         OpenProposal proposal = open.get(note.nonce() - nonceOffset);
         if (proposal == null || !setup.voters().contains(from)) {
             return;
@@ -102,7 +104,7 @@
             proposal.callback.accept(outcome);
         } else if (from.equals(setup.voters().get(voterIndex))) {
             nextVoter();
-            double wait = note.againAfterMs();
+            double wait = note.retryAfterMs();
             proposal.retryAt = Math.min(proposal.retryAt, now + (wait >= 0 ? wait : RETRY_MS));
         }
     }
--- a/src/main/java/firstair/fleet/ledger/Agreement.java
+++ b/src/main/java/firstair/fleet/ledger/ReplicatedStateMachine.java
@@ -5,7 +5,7 @@
  * the last byte: no clock, no randomness, no iteration in unspecified order; timestamps come inside of operations. Its
  * state must be bounded in size, since {@link #snapshot} transfers all of it.
  */
-public interface Agreement {
+public interface ReplicatedStateMachine {
     /**
      * Applies one committed operation.
      *
--- a/src/main/java/firstair/fleet/member/Membership.java
+++ b/src/main/java/firstair/fleet/member/Membership.java
@@ -63,7 +63,7 @@
     private int nextSuspect;
     private double helloAt = Double.NaN; // not started
     private double wakeAt = Double.POSITIVE_INFINITY;
-    private Fault steppedBack;
+    private Fault stopReason;
     private boolean left;
 
     /**
@@ -99,7 +99,7 @@
      * @param from   the sender; others than members are ignored
      * @param sender its incarnation; notes of an earlier one than the newest heard of are ignored
      */
-    public void heard(double now, String from, long sender, Note note) {
+    public void receive(double now, String from, long sender, Note note) {
         if (from.equals(setup.self()) && sender > incarnation) {
             nameTaken();
         }
@@ -114,18 +114,18 @@
         m.heardAt = now;
         if (note instanceof Note.Hello hello) {
             hello.rumours().forEach(r -> learn(r, now));
-            say(m, new Note.HelloBack(hello.nonce(), rumours(m)));
-        } else if (note instanceof Note.HelloBack back) {
+            say(m, new Note.HelloAnswer(hello.nonce(), rumours(m)));
+        } else if (note instanceof Note.HelloAnswer back) {
             answered(m, back.nonce(), now, true);
             back.rumours().forEach(r -> learn(r, now));
             Errand errand = errands.get(back.nonce());
             if (errand != null && errand.about().equals(from)) {
                 errands.remove(back.nonce());
-                say(others.get(errand.asker()), new Note.HeardOf(errand.nonce(), from, sender));
+                say(others.get(errand.asker()), new Note.ProbeAnswer(errand.nonce(), from, sender));
             }
-        } else if (note instanceof Note.AskAbout ask) {
+        } else if (note instanceof Note.ProbeRequest ask) {
             runErrand(m, ask, now);
-        } else if (note instanceof Note.HeardOf heard) {
+        } else if (note instanceof Note.ProbeAnswer heard) {
             Member about = others.get(heard.member());
             learn(new Rumour(heard.member(), heard.incarnation(), 0, Status.ALIVE), now);
             if (about != null && heard.incarnation() == about.incarnation) {
@@ -167,9 +167,9 @@
 
     /** Another process was heard that started later under our name: this one falls silent. */
     public void nameTaken() {
-        if (steppedBack == null) {
-            steppedBack = new Fault.NameTaken(setup.self());
-            out.report(steppedBack.line());
+        if (stopReason == null) {
+            stopReason = new Fault.NameTaken(setup.self());
+            out.report(stopReason.line());
         }
     }
 
@@ -223,8 +223,8 @@
     }
 
     /** Why this process has fallen silent for good, or null while it has not. */
-    public Fault steppedBack() {
-        return steppedBack;
+    public Fault stopReason() {
+        return stopReason;
     }
 
     /** How long a suspicion lasts at the least before its member is gone, ms. */
@@ -233,7 +233,7 @@
     }
 
     private boolean silent() {
-        return left || steppedBack != null;
+        return left || stopReason != null;
     }
 
     // ---- hellos ----
@@ -307,7 +307,7 @@
         m.askedAt = now;
         m.askNonce = nonce++;
         say(m, new Note.Hello(m.askNonce, rumours(m)));
-        helpers(m, 1).forEach(h -> say(h, new Note.AskAbout(m.askNonce, m.name)));
+        helpers(m, 1).forEach(h -> say(h, new Note.ProbeRequest(m.askNonce, m.name)));
     }
 
     /** Whether an answer to the last further hello may still come. */
@@ -323,7 +323,7 @@
         return some.subList(0, Math.min(most, some.size()));
     }
 
-    private void runErrand(Member asker, Note.AskAbout ask, double now) {
+    private void runErrand(Member asker, Note.ProbeRequest ask, double now) {
         Member about = others.get(ask.member());
         if (about == null || about == asker) {
             return;
@@ -359,7 +359,7 @@
             m.probe.tries++;
             m.probe.endsAt = now + 2 * health.patienceMs(); // there and back, twice
             say(m, new Note.Hello(m.probe.nonce, rumours(m)));
-            helpers(m, HELPERS).forEach(h -> say(h, new Note.AskAbout(m.probe.nonce, m.name)));
+            helpers(m, HELPERS).forEach(h -> say(h, new Note.ProbeRequest(m.probe.nonce, m.name)));
             return;
         }
         end(m, false);
--- a/src/main/java/firstair/fleet/residency/Contract.java
+++ b/src/main/java/firstair/fleet/residency/Contract.java
@@ -17,7 +17,8 @@
  * Residency contract: the zones in which a tenant's messages may be stored and sent.
  *
  * <p>{@code always} is a guarantee of the operators: these zones stay allowed as long as any relay may hold a version
- * that names them, so a relay that cannot confirm its contracts may keep using them. {@link #follows} enforces this.
+ * that names them, so a relay that cannot confirm its contracts may keep using them. {@link #checkKeepsGuarantees}
+ * enforces this.
  *
  * @param tenant    name of the tenant, as in {@code X-Addressing}
  * @param zones     allowed zones, at least one
@@ -122,7 +123,7 @@
      * @param earlier all versions that any relay may still hold
      * @throws Fault.BadContract for the first tenant whose guarantee would be broken
      */
-    public static void follows(Collection<Map<String, Contract>> earlier, Map<String, Contract> next) {
+    public static void checkKeepsGuarantees(Collection<Map<String, Contract>> earlier, Map<String, Contract> next) {
         for (Map<String, Contract> version : earlier) {
             for (Contract before : version.values()) {
                 Contract after = next.get(before.tenant);
--- a/src/main/java/firstair/fleet/residency/Contracts.java
+++ b/src/main/java/firstair/fleet/residency/Contracts.java
@@ -23,8 +23,8 @@
  * before the query was sent. The confirmation is valid for {@code term * (1 - drift)} of the relay's own clock from the
  * sending, which is at most one term of true time: it has expired one term after the next version was agreed, whatever
  * the relay has received by then. Without a confirmation a relay uses only zones that every version it knows names in
- * {@code always}, and {@link Contract#follows} lets no later version remove those. Operators keep the same guarantee
- * for the file: it names a zone in {@code always} only while every agreed version allows that zone.
+ * {@code always}, and {@link Contract#checkKeepsGuarantees} lets no later version remove those. Operators keep the same
+ * guarantee for the file: it names a zone in {@code always} only while every agreed version allows that zone.
  *
  * <p><b>Extensions are delayed.</b> The allowed zones are those common to all versions that any relay may still use.
  * One term after a version was agreed, all earlier ones have expired on every relay, for the same reason. A relay
@@ -85,7 +85,7 @@
     }
 
     /** Updates the wall clock after it was read or set. */
-    public void wall(double now, double epochMs) {
+    public void setWallClock(double now, double epochMs) {
         if (Double.isFinite(epochMs)) {
             epochOffsetMs = epochMs - now;
         }
@@ -98,7 +98,7 @@
      * @param certain whether the ledger has certainly agreed on it; otherwise it only restricts, until a later
      *                confirmation
      */
-    public void agreed(double now, long version, Map<String, Contract> all, boolean certain) {
+    public void acceptVersion(double now, long version, Map<String, Contract> all, boolean certain) {
         discardSuperseded(now);
         if (version < 1 || all == null) {
             dropped++;
@@ -186,7 +186,7 @@
     }
 
     /** Whether the newest version has a contract of the tenant. */
-    public boolean names(String tenant) {
+    public boolean hasContract(String tenant) {
         return tenant != null && newest().containsKey(tenant);
     }
 
--- a/src/main/java/firstair/fleet/residency/Residency.java
+++ b/src/main/java/firstair/fleet/residency/Residency.java
@@ -92,7 +92,7 @@
         if (tenant == null || tenant.isBlank()) {
             throw new Fault.MissingTenant();
         }
-        if (!contracts.names(tenant)) {
+        if (!contracts.hasContract(tenant)) {
             throw new Fault.UnknownTenant(tenant);
         }
         Set<String> zones = contracts.zones(now, tenant, messageClass);
@@ -143,8 +143,8 @@
      * @param until end of the lease of {@code parts}
      * @param sure  guaranteed share after that, millionths
      */
-    public void part(double now, String tenant, int parts, double until, int sure) {
-        if (contracts.names(tenant)) {
+    public void setQuotaShare(double now, String tenant, int parts, double until, int sure) {
+        if (contracts.hasContract(tenant)) {
             QuotaBucket bucket = bucket(now, tenant);
             bucket.refill(now, contracts.quota(tenant), burstMs);
             bucket.leasedParts = Math.max(0, Math.min(Setup.WHOLE, parts));
@@ -169,9 +169,9 @@
 
     /** Finds or creates a bucket. Drops buckets of tenants without a contract; a tenant that returns starts empty. */
     private QuotaBucket bucket(double now, String tenant) {
-        if (!buckets.containsKey(tenant) && buckets.keySet().removeIf(name -> !contracts.names(name))) {
+        if (!buckets.containsKey(tenant) && buckets.keySet().removeIf(name -> !contracts.hasContract(name))) {
             newBucketsFrom = now;
         }
-        return buckets.computeIfAbsent(tenant, name -> new QuotaBucket(newBucketsFrom, setup.sure()));
+        return buckets.computeIfAbsent(tenant, name -> new QuotaBucket(newBucketsFrom, setup.guaranteedParts()));
     }
 }
--- a/src/main/java/firstair/fleet/talk/Codec.java
+++ b/src/main/java/firstair/fleet/talk/Codec.java
@@ -178,12 +178,12 @@
     private static List<Note> pieces(Note n, int room) {
         if (n instanceof Note.Hello h) {
             return pieces(n, new Cut<>(h.rumours(), some -> new Note.Hello(h.nonce(), some)), room);
-        } else if (n instanceof Note.HelloBack h) {
-            return pieces(n, new Cut<>(h.rumours(), some -> new Note.HelloBack(h.nonce(), some)), room);
+        } else if (n instanceof Note.HelloAnswer h) {
+            return pieces(n, new Cut<>(h.rumours(), some -> new Note.HelloAnswer(h.nonce(), some)), room);
         } else if (n instanceof Note.Counts c) {
             return pieces(n, new Cut<>(c.counts(), Note.Counts::new), room);
-        } else if (n instanceof Note.Signs s) {
-            return pieces(n, new Cut<>(s.signs(), Note.Signs::new), room);
+        } else if (n instanceof Note.HealthReports s) {
+            return pieces(n, new Cut<>(s.reports(), Note.HealthReports::new), room);
         }
         return List.of(n);
     }
--- a/src/main/java/firstair/fleet/talk/Gate.java
+++ b/src/main/java/firstair/fleet/talk/EnvelopeFilter.java
@@ -11,14 +11,14 @@
  * What an envelope must pass before anybody acts on what it says: it comes from the newest process of another member
  * that we know of, and is meant for this process. What does not pass changes nothing but a count.
  */
-public final class Gate {
+public final class EnvelopeFilter {
     private final Setup setup;
     private final long incarnation;
     private final Map<String, Long> seen = new LinkedHashMap<>(); // members only
     private final Map<String, Long> counts = new TreeMap<>(); // codes of faults only
 
     /** @param incarnation of our own process */
-    public Gate(Setup setup, long incarnation) {
+    public EnvelopeFilter(Setup setup, long incarnation) {
         this.setup = setup;
         this.incarnation = incarnation;
         setup.members().forEach(m -> seen.put(m, 0L));
@@ -35,7 +35,7 @@
      * @throws Fault.Echo           where it is our own
      * @throws Fault.NotForUs       where it is for another member or an earlier process of ours
      */
-    public List<Note> pass(Envelope e) {
+    public List<Note> accept(Envelope e) {
         try {
             check(e);
         } catch (Fault f) {
--- a/src/main/java/firstair/fleet/talk/Forms.java
+++ b/src/main/java/firstair/fleet/talk/Forms.java
@@ -18,7 +18,7 @@
             Field.COUNT,
             Field.word(Note.Status.class));
     private static final Form<Note.Count> COUNT = new Form<>(
-            c -> List.of(c.member(), c.incarnation(), c.what(), c.second(), c.total(), c.ageMs()),
+            c -> List.of(c.member(), c.incarnation(), c.name(), c.second(), c.total(), c.ageMs()),
             v -> new Note.Count((String) v[0], (long) v[1], (String) v[2], (long) v[3], (long) v[4], (double) v[5]),
             Field.NAME,
             Field.NATURAL,
@@ -26,13 +26,21 @@
             Field.ANY,
             Field.NATURAL,
             Field.SPAN);
-    private static final Form<Note.Sign> SIGN = new Form<>(
-            s -> List.of(s.by(), s.incarnation(), s.subject(), s.sight(), s.calls(), s.ageMs(), s.holdsMs(), s.reach()),
-            v -> new Note.Sign(
+    private static final Form<Note.HealthReport> SIGN = new Form<>(
+            s -> List.of(
+                    s.reporter(),
+                    s.incarnation(),
+                    s.subject(),
+                    s.observation(),
+                    s.calls(),
+                    s.ageMs(),
+                    s.validMs(),
+                    s.successRate()),
+            v -> new Note.HealthReport(
                     (String) v[0],
                     (long) v[1],
                     (String) v[2],
-                    (Note.Sight) v[3],
+                    (Note.Observation) v[3],
                     (int) v[4],
                     (double) v[5],
                     (double) v[6],
@@ -40,7 +48,7 @@
             Field.NAME,
             Field.NATURAL,
             Field.NAME,
-            Field.word(Note.Sight.class),
+            Field.word(Note.Observation.class),
             Field.COUNT,
             Field.SPAN,
             Field.SPAN,
@@ -57,54 +65,54 @@
                 rumours);
         add(
                 2,
-                Note.HelloBack.class,
+                Note.HelloAnswer.class,
                 n -> List.of(n.nonce(), n.rumours()),
-                v -> new Note.HelloBack((long) v[0], listed(v[1])),
+                v -> new Note.HelloAnswer((long) v[0], listed(v[1])),
                 Field.ANY,
                 rumours);
         add(
                 3,
-                Note.AskAbout.class,
+                Note.ProbeRequest.class,
                 n -> List.of(n.nonce(), n.member()),
-                v -> new Note.AskAbout((long) v[0], (String) v[1]),
+                v -> new Note.ProbeRequest((long) v[0], (String) v[1]),
                 Field.ANY,
                 Field.NAME);
         add(
                 4,
-                Note.HeardOf.class,
+                Note.ProbeAnswer.class,
                 n -> List.of(n.nonce(), n.member(), n.incarnation()),
-                v -> new Note.HeardOf((long) v[0], (String) v[1], (long) v[2]),
+                v -> new Note.ProbeAnswer((long) v[0], (String) v[1], (long) v[2]),
                 Field.ANY,
                 Field.NAME,
                 Field.NATURAL);
         add(5, Note.Leaving.class, n -> List.of(), v -> new Note.Leaving());
         add(
                 6,
-                Note.StandingAsk.class,
+                Note.LeaseRequest.class,
                 n -> List.of(n.nonce(), n.of()),
-                v -> new Note.StandingAsk((long) v[0], (String) v[1]),
+                v -> new Note.LeaseRequest((long) v[0], (String) v[1]),
                 Field.ANY,
                 Field.NAME);
         add(
                 7,
-                Note.StandingAnswer.class,
+                Note.LeaseAnswer.class,
                 n -> List.of(n.nonce(), n.of(), n.granted()),
-                v -> new Note.StandingAnswer((long) v[0], (String) v[1], (boolean) v[2]),
+                v -> new Note.LeaseAnswer((long) v[0], (String) v[1], (boolean) v[2]),
                 Field.ANY,
                 Field.NAME,
                 Field.FLAG);
         add(
                 8,
-                Note.StandingBack.class,
+                Note.LeaseRelease.class,
                 n -> List.of(n.nonce(), n.of()),
-                v -> new Note.StandingBack((long) v[0], (String) v[1]),
+                v -> new Note.LeaseRelease((long) v[0], (String) v[1]),
                 Field.ANY,
                 Field.NAME);
         add(
                 9,
-                Note.LoanAsk.class,
+                Note.LoanRequest.class,
                 n -> List.of(n.nonce(), n.budget(), n.parts()),
-                v -> new Note.LoanAsk((long) v[0], (String) v[1], (int) v[2]),
+                v -> new Note.LoanRequest((long) v[0], (String) v[1], (int) v[2]),
                 Field.ANY,
                 Field.NAME,
                 Field.COUNT);
@@ -118,36 +126,47 @@
                 Field.NAME,
                 Field.COUNT,
                 Field.SPAN);
-        add(11, Note.LoanBack.class, n -> List.of(n.number()), v -> new Note.LoanBack((long) v[0]), Field.ANY);
+        add(11, Note.LoanReturn.class, n -> List.of(n.number()), v -> new Note.LoanReturn((long) v[0]), Field.ANY);
         add(
                 12,
-                Note.Gift.class,
-                n -> List.of(n.number(), n.budget(), n.repeats()),
-                v -> new Note.Gift((long) v[0], (String) v[1], (int) v[2]),
+                Note.RetryTransfer.class,
+                n -> List.of(n.number(), n.budget(), n.retries()),
+                v -> new Note.RetryTransfer((long) v[0], (String) v[1], (int) v[2]),
                 Field.ANY,
                 Field.NAME,
                 Field.COUNT);
         add(13, Note.Counts.class, n -> List.of(n.counts()), v -> new Note.Counts(listed(v[0])), Field.list(COUNT));
-        add(14, Note.Signs.class, n -> List.of(n.signs()), v -> new Note.Signs(listed(v[0])), Field.list(SIGN));
+        add(
+                14,
+                Note.HealthReports.class,
+                n -> List.of(n.reports()),
+                v -> new Note.HealthReports(listed(v[0])),
+                Field.list(SIGN));
         add(
                 15,
-                Note.AgreedAsk.class,
+                Note.StateRequest.class,
                 n -> List.of(n.nonce(), n.version()),
-                v -> new Note.AgreedAsk((long) v[0], (long) v[1]),
+                v -> new Note.StateRequest((long) v[0], (long) v[1]),
                 Field.ANY,
                 Field.NATURAL);
         add(
                 16,
-                Note.Agreed.class,
-                n -> List.of(n.nonce(), n.version(), n.sure(), n.piece(), n.pieces(), n.bytes()),
-                v -> new Note.Agreed((long) v[0], (long) v[1], (boolean) v[2], (int) v[3], (int) v[4], (byte[]) v[5]),
+                Note.StateChunk.class,
+                n -> List.of(n.nonce(), n.version(), n.linearizable(), n.chunk(), n.chunks(), n.bytes()),
+                v -> new Note.StateChunk(
+                        (long) v[0], (long) v[1], (boolean) v[2], (int) v[3], (int) v[4], (byte[]) v[5]),
                 Field.ANY,
                 Field.NATURAL,
                 Field.FLAG,
                 Field.COUNT,
                 Field.COUNT,
                 Field.BYTES);
-        add(17, Note.Engine.class, n -> List.of(n.bytes()), v -> new Note.Engine((byte[]) v[0]), Field.BYTES);
+        add(
+                17,
+                Note.ConsensusMessage.class,
+                n -> List.of(n.bytes()),
+                v -> new Note.ConsensusMessage((byte[]) v[0]),
+                Field.BYTES);
         add(
                 18,
                 Note.Propose.class,
@@ -158,7 +177,7 @@
         add(
                 19,
                 Note.Proposed.class,
-                n -> List.of(n.nonce(), n.done(), n.result(), n.againAfterMs()),
+                n -> List.of(n.nonce(), n.done(), n.result(), n.retryAfterMs()),
                 v -> new Note.Proposed((long) v[0], (boolean) v[1], (byte[]) v[2], (double) v[3]),
                 Field.ANY,
                 Field.FLAG,
--- a/src/main/java/firstair/fleet/talk/Note.java
+++ b/src/main/java/firstair/fleet/talk/Note.java
@@ -18,17 +18,17 @@
     /** What is held of a member; of two the one with the higher incarnation counts, then refutation, then status. */
     record Rumour(String member, long incarnation, int refutation, Status status) {}
 
-    /** Asks for a {@link HelloBack}. */
+    /** Asks for a {@link HelloAnswer}. */
     record Hello(long nonce, List<Rumour> rumours) implements Note {}
 
     /** Answers a {@link Hello}. */
-    record HelloBack(long nonce, List<Rumour> rumours) implements Note {}
+    record HelloAnswer(long nonce, List<Rumour> rumours) implements Note {}
 
     /** Asks to say hello to a third one. */
-    record AskAbout(long nonce, String member) implements Note {}
+    record ProbeRequest(long nonce, String member) implements Note {}
 
     /** The third one has answered. */
-    record HeardOf(long nonce, String member, long incarnation) implements Note {}
+    record ProbeAnswer(long nonce, String member, long incarnation) implements Note {}
 
     /** The sender ends in order. */
     record Leaving() implements Note {}
@@ -36,36 +36,36 @@
     // ---- budgets ----
 
     /** Asks a voter for the standing of a member for a term: one's own, or that of one that is silent. */
-    record StandingAsk(long nonce, String of) implements Note {}
+    record LeaseRequest(long nonce, String of) implements Note {}
 
     /** Answers it; nothing is promised unless {@code granted}. */
-    record StandingAnswer(long nonce, String of, boolean granted) implements Note {}
+    record LeaseAnswer(long nonce, String of, boolean granted) implements Note {}
 
     /** The sender uses nothing any more of what it was or will be granted by its asks up to this nonce. */
-    record StandingBack(long nonce, String of) implements Note {}
+    record LeaseRelease(long nonce, String of) implements Note {}
 
     /** Wants parts of a budget for a while, millionths of the whole; or, of {@code r:7}, so many repeats for good. */
-    record LoanAsk(long nonce, String budget, int parts) implements Note {}
+    record LoanRequest(long nonce, String budget, int parts) implements Note {}
 
-    /** Parts lent; the borrower stops {@code termMs} after it sent the {@link LoanAsk} with this nonce. */
+    /** Parts lent; the borrower stops {@code termMs} after it sent the {@link LoanRequest} with this nonce. */
     record Loan(long nonce, long number, String budget, int parts, double termMs) implements Note {}
 
     /** The borrower uses them no more. */
-    record LoanBack(long number) implements Note {}
+    record LoanReturn(long number) implements Note {}
 
-    /** Repeats handed over for good; {@code number} is the nonce of the {@link LoanAsk} that asked for them. */
-    record Gift(long number, String budget, int repeats) implements Note {}
+    /** Repeats handed over for good; {@code number} is the nonce of the {@link LoanRequest} that asked for them. */
+    record RetryTransfer(long number, String budget, int retries) implements Note {}
 
     // ---- counts and judgements ----
 
     /** Calls of one member's process in one second of its own; the highest total of a second counts. */
-    record Count(String member, long incarnation, String what, long second, long total, double ageMs) {}
+    record Count(String member, long incarnation, String name, long second, long total, double ageMs) {}
 
     /** Some counts. */
     record Counts(List<Count> counts) implements Note {}
 
     /** What was seen of something. */
-    enum Sight {
+    enum Observation {
         WAIT,
         FAILS,
         ANSWERS
@@ -75,35 +75,36 @@
      * What one relay saw of a destination or an endpoint; {@code holdsMs} from now on.
      *
      * @param subject {@code d:7} for a destination, {@code e:NAME} for an endpoint
-     * @param reach   share of its own recent calls anywhere that were answered
+     * @param successRate   share of its own recent calls anywhere that were answered
      */
-    record Sign(
-            String by,
+    record HealthReport(
+            String reporter,
             long incarnation,
             String subject,
-            Sight sight,
+            Observation observation,
             int calls,
             double ageMs,
-            double holdsMs,
-            double reach) {}
+            double validMs,
+            double successRate) {}
 
     /** Some signs. */
-    record Signs(List<Sign> signs) implements Note {}
+    record HealthReports(List<HealthReport> reports) implements Note {}
 
     // ---- what the ledger has agreed ----
 
     /** Asks a voter for what is agreed behind a version; {@code term} is the newest leader's term seen. */
-    record AgreedAsk(long nonce, long version) implements Note {}
+    record StateRequest(long nonce, long version) implements Note {}
 
     /** Answers it: the newest version, and if that is newer, its state in pieces of {@code bytes}. */
-    record Agreed(long nonce, long version, boolean sure, int piece, int pieces, byte[] bytes) implements Note {}
+    record StateChunk(long nonce, long version, boolean linearizable, int chunk, int chunks, byte[] bytes)
+            implements Note {}
 
     /** One message of the ledger's engine, as bytes. */
-    record Engine(byte[] bytes) implements Note {}
+    record ConsensusMessage(byte[] bytes) implements Note {}
 
     /** Asks a voter to have something agreed. */
     record Propose(long nonce, byte[] operation) implements Note {}
 
     /** What came of it; {@code result} as the state machine gives it, or a fault's code and text. */
-    record Proposed(long nonce, boolean done, byte[] result, double againAfterMs) implements Note {}
+    record Proposed(long nonce, boolean done, byte[] result, double retryAfterMs) implements Note {}
 }
--- a/src/main/java/firstair/kit/fleet/Agreed.java
+++ b/src/main/java/firstair/kit/fleet/Agreed.java
@@ -4,7 +4,7 @@
 import firstair.fleet.booking.Bookings;
 import firstair.fleet.booking.State;
 import firstair.fleet.ledger.AgreedContracts;
-import firstair.fleet.ledger.Agreements;
+import firstair.fleet.ledger.LedgerStateMachines;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -77,14 +77,14 @@
 
     private String follow(PlayedFleet fleet, long version, byte[] state) {
         newest = version;
-        Map<Integer, byte[]> parts = Agreements.parts(state);
-        for (AgreedContracts.Version v : AgreedContracts.read(parts.get(Agreements.CONTRACTS))) {
+        Map<Integer, byte[]> parts = LedgerStateMachines.parts(state);
+        for (AgreedContracts.Version v : AgreedContracts.read(parts.get(LedgerStateMachines.CONTRACTS))) {
             if (contracts.isEmpty()
                     || v.number() > contracts.get(contracts.size() - 1).number()) {
                 contracts.add(new Contracts(v.number(), fleet.now()));
             }
         }
-        Bookings now = Bookings.restore(parts.get(Agreements.BOOKINGS));
+        Bookings now = Bookings.restore(parts.get(LedgerStateMachines.BOOKINGS));
         Map<String, Booking> after = new TreeMap<>();
         now.all().forEach(b -> after.put(b.id(), b));
         for (Booking b : after.values()) {
@@ -95,7 +95,7 @@
             boolean sealed = was != null && was.state() == State.SEALED;
             if (sealed
                     && (b.startMs() != was.startMs()
-                            || b.endMs() < was.endMs() && !b.state().over())) {
+                            || b.endMs() < was.endMs() && !b.state().isFinal())) {
                 return "sealed booking " + b.id() + " was moved";
             }
         }
@@ -106,7 +106,7 @@
     /** Several operations may lie between two versions that relays hold. */
     private static boolean reaches(State from, State to) {
         for (State next : State.values()) {
-            if (from.may(next) && (next == to || reaches(next, to))) {
+            if (from.canBecome(next) && (next == to || reaches(next, to))) {
                 return true;
             }
         }
@@ -117,12 +117,12 @@
         TreeSet<Integer> destinations = new TreeSet<>();
         now.all().forEach(b -> destinations.addAll(b.rates().keySet()));
         for (int d : destinations) {
-            long capacity = now.left(d, now.time() + FAR_MS, now.time() + FAR_MS + 1);
+            long capacity = now.availableRate(d, now.time() + FAR_MS, now.time() + FAR_MS + 1);
             for (Booking edge : now.all()) {
                 long at = Math.max(edge.startMs(), now.time());
                 long sum = 0;
                 for (Booking b : now.all()) {
-                    if (b.holds() && b.startMs() <= at && at < b.bookedToMs()) {
+                    if (b.holdsCapacity() && b.startMs() <= at && at < b.bookedToMs()) {
                         sum += b.rates().getOrDefault(d, 0L);
                     }
                 }
--- a/src/main/java/firstair/kit/fleet/Batches.java
+++ b/src/main/java/firstair/kit/fleet/Batches.java
@@ -1,6 +1,6 @@
 package firstair.kit.fleet;
 
-import firstair.control.Controller.Lane;
+import firstair.control.Controller.BookedCapacity;
 import firstair.fleet.booking.Booking;
 import firstair.fleet.fault.Fault;
 import java.util.ArrayDeque;
@@ -89,10 +89,10 @@
         played.refresh(life.now());
         runs.forEach((booking, destination) -> {
             try {
-                Lane lane = played.fleet()
+                BookedCapacity lane = played.fleet()
                         .admit(life.now(), null, CLASS, destination, booking)
                         .lane();
-                for (; lane.opensAt(life.now()) <= life.now(); lane.used(life.now())) {
+                for (; lane.nextCallAt(life.now()) <= life.now(); lane.callSent(life.now())) {
                     goes(played, booking, destination);
                 }
             } catch (Fault.UnknownBooking notThere) {
--- a/src/main/java/firstair/kit/fleet/Clients.java
+++ b/src/main/java/firstair/kit/fleet/Clients.java
@@ -115,7 +115,7 @@
     void book() {
         fleet.in(FOUNDED_MS, "founds", this::found);
         fleet.in(FOUNDED_MS + BEGUN_MS, "begins", () -> {
-            fleet.goOn(Rules.usual().sealBeforeMs()); // until then relays were told by the usual rules
+            fleet.goOn(Rules.defaults().sealBeforeMs()); // until then relays were told by the usual rules
             next();
         });
     }
@@ -191,7 +191,7 @@
     }
 
     private void came(Outcome outcome) {
-        String word = outcome instanceof Outcome.Agreed
+        String word = outcome instanceof Outcome.Committed
                 ? "agreed"
                 : outcome instanceof Outcome.Refused r ? r.code() : "not now";
         outcomes.merge(word, 1, Integer::sum);
--- a/src/main/java/firstair/kit/fleet/FleetPlayed.java
+++ b/src/main/java/firstair/kit/fleet/FleetPlayed.java
@@ -5,8 +5,8 @@
 import firstair.fleet.Setup;
 import firstair.fleet.Sharing;
 import firstair.fleet.fault.Fault;
-import firstair.fleet.ledger.LedgerMemory;
-import firstair.fleet.ledger.MemoryKeeper;
+import firstair.fleet.ledger.InMemoryLedgerStore;
+import firstair.fleet.ledger.LedgerState;
 import firstair.fleet.talk.Envelope;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -40,17 +40,17 @@
         this.epochMs = epochMs;
         this.destinations = destinations;
         Setup setup = life.setup();
-        LedgerMemory memory = null;
-        MemoryKeeper keeper = null;
-        if (sharing.agrees() && setup.voters().contains(setup.self())) {
+        LedgerState memory = null;
+        InMemoryLedgerStore keeper = null;
+        if (sharing.needsAgreement() && setup.voters().contains(setup.self())) {
             if (life.folder().lost()) {
                 throw new Fault.LedgerLost(setup.self());
             }
-            MemoryKeeper before = life.folder().kept(MemoryKeeper.class);
+            InMemoryLedgerStore before = life.folder().kept(InMemoryLedgerStore.class);
             memory = before == null
-                    ? LedgerMemory.founded(setup.fleet(), setup.self(), setup.voters())
-                    : before.killed(new Random(life.seed()));
-            keeper = new MemoryKeeper(memory);
+                    ? LedgerState.initial(setup.fleet(), setup.self(), setup.voters())
+                    : before.afterKill(new Random(life.seed()));
+            keeper = new InMemoryLedgerStore(memory);
             life.folder().keep(keeper);
         }
         fleet = new Fleet(
@@ -94,7 +94,7 @@
         Set<String> endpoints = new LinkedHashSet<>();
         destinations.forEach(d -> endpoints.add(endpoint(d)));
         fleet.start(now);
-        fleet.listed(now, new LinkedHashSet<>(destinations), endpoints);
+        fleet.setListed(now, new LinkedHashSet<>(destinations), endpoints);
     }
 
     private static String endpoint(int destination) {
@@ -103,7 +103,7 @@
 
     /** The endpoint of a destination tells it to wait. */
     void toldToWait(int destination, double ms) {
-        fleet.ended(life.now(), destination, endpoint(destination), false, false, ms, Double.NaN);
+        fleet.callEnded(life.now(), destination, endpoint(destination), false, false, ms, Double.NaN);
     }
 
     /** How long it waits yet with the endpoint of a destination because others were told to, ms. */
@@ -113,7 +113,7 @@
 
     @Override
     public void heard(double now, Envelope envelope) {
-        fleet.heard(now, envelope);
+        fleet.receive(now, envelope);
     }
 
     @Override
@@ -128,13 +128,13 @@
 
     @Override
     public void asked(double now, int destination) {
-        fleet.taken(now, destination);
+        fleet.accepted(now, destination);
     }
 
     @Override
     public void sent(double now, int destination, double limit) {
-        fleet.called(now, destination, false);
-        fleet.ended(now, destination, endpoint(destination), true, false, 0, limit);
+        fleet.callStarted(now, destination, false);
+        fleet.callEnded(now, destination, endpoint(destination), true, false, 0, limit);
     }
 
     // ---- what follows ----
@@ -151,7 +151,7 @@
 
     @Override
     public void share(int destination, Share share) {
-        life.share(destination, share.part(), share.until(), share.sure());
+        life.share(destination, share.part(), share.until(), share.guaranteed());
     }
 
     @Override
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void confine() {
+    public void recheckZones() {
         confined = true;
     }
 
--- a/src/main/java/firstair/kit/fleet/Invariants.java
+++ b/src/main/java/firstair/kit/fleet/Invariants.java
@@ -47,7 +47,7 @@
             double sure = 0;
             for (Life life : fleet.running(name)) {
                 double part = life.part(destination);
-                double own = Math.min((double) life.setup().sure() / Setup.WHOLE, part);
+                double own = Math.min((double) life.setup().guaranteedParts() / Setup.WHOLE, part);
                 sum += part - own;
                 sure = Math.max(sure, own);
             }
@@ -145,7 +145,8 @@
         private double most(Last of, Setup setup) {
             long processes = of.calls.stream().map(Call::life).distinct().count();
             long names = of.calls.stream().map(c -> c.life().name()).distinct().count();
-            double sure = of.highest * setup.sure() / Setup.WHOLE; // once more for each further process of a name
+            double sure =
+                    of.highest * setup.guaranteedParts() / Setup.WHOLE; // once more for each further process of a name
             return of.highest * (1 + burstS) + (processes - names) * sure + processes * buckets;
         }
     }
--- a/src/main/java/firstair/kit/fleet/Measures.java
+++ b/src/main/java/firstair/kit/fleet/Measures.java
@@ -147,7 +147,7 @@
         fleet.startAll();
         fleet.run(SETTLED_MS);
         fleet.kill(setup.members().get(relays - 1));
-        double all = 1 - (double) setup.sure() / Setup.WHOLE - NEAR;
+        double all = 1 - (double) setup.guaranteedParts() / Setup.WHOLE - NEAR;
         return until(fleet, ms -> fleet.parts(DESTINATIONS.get(0)) >= all);
     }
 
@@ -162,7 +162,8 @@
         fleet.kill(last);
         fleet.run(SETTLED_MS);
         fleet.start(last);
-        return until(fleet, ms -> fleet.life(last).part(DESTINATIONS.get(0)) >= (double) setup.even() / Setup.WHOLE);
+        return until(
+                fleet, ms -> fleet.life(last).part(DESTINATIONS.get(0)) >= (double) setup.equalParts() / Setup.WHOLE);
     }
 
     private static double until(PlayedFleet fleet, DoublePredicate met) {
--- a/src/main/java/firstair/relay/CallBatches.java
+++ b/src/main/java/firstair/relay/CallBatches.java
@@ -40,7 +40,8 @@
     }
 
     private boolean fits(String endpoint, List<Item> batch, Item item) {
-        int bytes = item.bundled() + batch.stream().mapToInt(Item::bundled).sum();
+        int bytes = item.bundledBytes()
+                + batch.stream().mapToInt(Item::bundledBytes).sum();
         return batch.isEmpty() || batch.size() < mostItems.applyAsInt(endpoint) && bytes <= maxBody;
     }
 
--- a/src/main/java/firstair/relay/Config.java
+++ b/src/main/java/firstair/relay/Config.java
@@ -8,8 +8,8 @@
 import firstair.control.Controller;
 import firstair.relay.discovery.EndpointList;
 import firstair.relay.discovery.Zones;
-import firstair.settings.Contradictions;
-import firstair.settings.Facts;
+import firstair.settings.SettingsReader;
+import firstair.settings.SettingsValidator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -76,8 +76,8 @@
         }
         Json top = new Json("", root);
         Json site = new Json("settings.", object(root, "settings"));
-        Controller.Settings settings = Facts.read(site);
-        Contradictions.refuse(site);
+        Controller.Settings settings = SettingsReader.read(site);
+        SettingsValidator.validate(site);
         if (settings.classes().isEmpty()) {
             throw new ConfigException("settings.classes", "no class of message");
         }
@@ -138,7 +138,7 @@
         try {
             return Long.parseUnsignedLong(text, HEX);
         } catch (NumberFormatException e) {
-            throw top.bad("seed", "not a hexadecimal number of 64 bits: " + text);
+            throw top.invalid("seed", "not a hexadecimal number of 64 bits: " + text);
         }
     }
 
--- a/src/main/java/firstair/relay/FleetPeers.java
+++ b/src/main/java/firstair/relay/FleetPeers.java
@@ -1,6 +1,6 @@
 package firstair.relay;
 
-import firstair.control.Controller.Lane;
+import firstair.control.Controller.BookedCapacity;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Share;
 import firstair.relay.clients.BookingRequest;
@@ -34,7 +34,7 @@
      * @param zones   zones in which it may be sent, or null for all
      * @param lane    what was booked for it, or null
      */
-    record Admission(int status, double afterMs, String reason, Set<Integer> zones, Lane lane) {
+    record Admission(int status, double afterMs, String reason, Set<Integer> zones, BookedCapacity lane) {
         /** Nothing imposed. */
         public static final Admission FREE = new Admission(0, 0, null, null, null);
 
@@ -83,7 +83,7 @@
     }
 
     /** Somebody asks for a booking, where {@link #books}. */
-    default void ask(BookingRequest ask) {}
+    default void handleBooking(BookingRequest ask) {}
 
     /** Our process is about to end: what others could use goes back at once. */
     default void leave() {}
--- a/src/main/java/firstair/relay/HeldMessages.java
+++ b/src/main/java/firstair/relay/HeldMessages.java
@@ -125,7 +125,7 @@
             store.called(o.id(), o.endpoint(), nowMs);
         }
         store.ended(o.id(), o.attempt(), o.result().maybeRan());
-        if (o.over()) {
+        if (o.messageEnded()) {
             over(o.id());
         }
     }
--- a/src/main/java/firstair/relay/Json.java
+++ b/src/main/java/firstair/relay/Json.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public RuntimeException bad(String name, String what) {
+    public RuntimeException invalid(String name, String what) {
         return new ConfigException(prefix + name, what);
     }
 }
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -4,8 +4,8 @@
 import firstair.control.Control;
 import firstair.control.Controller;
 import firstair.control.Controller.Effect;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.MessageClass;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
 import firstair.relay.HeldMessages.Held;
 import firstair.relay.clients.BookingRequest;
@@ -13,7 +13,7 @@
 import firstair.relay.clients.RequestHandler;
 import firstair.relay.clients.Submission;
 import firstair.relay.discovery.EndpointList;
-import firstair.relay.discovery.Watch;
+import firstair.relay.discovery.EndpointListWatch;
 import firstair.relay.endpoints.Endpoints;
 import firstair.relay.endpoints.Item;
 import firstair.relay.fleet.FleetDriver;
@@ -66,7 +66,7 @@
     private final Wire wire;
     private final HeldMessages held;
     private final Endpoints endpoints;
-    private final Watch watch;
+    private final EndpointListWatch watch;
     private final Notices notices;
     private final ClientFilter clients;
     private final Controller control;
@@ -125,7 +125,7 @@
         notices = new Notices(
                 wire, limits, loop, config.discovery(), new Random(config.seed()), store::over, this::platformLost);
         EndpointList known = config.known();
-        watch = new Watch(
+        watch = new EndpointListWatch(
                 wire,
                 limits,
                 loop,
@@ -151,7 +151,7 @@
             over = true;
             held.confirm(() -> false); // those that the last rounds left
             clients.refuse(); // what was read behind the last round has been taken by nobody
-            watch.leave();
+            watch.close();
             peers.close();
             wire.close();
             held.close();
@@ -166,7 +166,7 @@
 
     private void start() throws IOException {
         if (config.known() != null) {
-            news(News.STORED, config.known());
+            news(ListUpdate.STORED, config.known());
         }
         peers.start();
         if (!config.settings().askForList()) {
@@ -254,7 +254,8 @@
             LOG.warning("configuration read again: limits, settings and listen change with the next start only");
         }
         LOG.info("configuration read again, discovery at " + HostPort.of(next.discovery()));
-        loop.post(() -> watch.move(next.discovery())); // by itself: a fault in one must not leave both at the old place
+        loop.post(() ->
+                watch.setAddress(next.discovery())); // by itself: a fault in one must not leave both at the old place
         notices.move(next.discovery());
     }
 
@@ -279,10 +280,10 @@
                 giveUp(t.id());
                 continue;
             }
-            List<Controller.Try> tried = o.tries().stream()
-                    .map(x -> new Controller.Try(x.endpoint(), now + (x.sentAt() - bootNow), x.maybeRan()))
+            List<Controller.EarlierAttempt> tried = o.tries().stream()
+                    .map(x -> new Controller.EarlierAttempt(x.endpoint(), now + (x.sentAt() - bootNow), x.maybeRan()))
                     .toList();
-            control.taken(
+            control.accepted(
                     now,
                     new Controller.Message(
                             t.id(), type, t.destination(), t.key(), h.deadlineAt, 0, t.again(), t.fromDead(), tried));
@@ -294,7 +295,7 @@
     private void bind(StoredMessage t) {
         if (t.tenant() != null || t.booking() != null) {
             FleetPeers.Admission a = peers.terms(t.tenant(), t.className(), t.destination(), t.booking());
-            control.terms(loop.now(), t.id(), a.zones(), a.lane());
+            control.restrict(loop.now(), t.id(), a.zones(), a.lane());
         }
     }
 
@@ -497,7 +498,7 @@
                 peers.talk() ? h.tenant() : null,
                 peers.talk() ? h.booking() : null);
         held.take(t, h);
-        control.taken(
+        control.accepted(
                 now,
                 new Controller.Message(
                         t.id(),
@@ -510,7 +511,7 @@
                         h.fromDead(),
                         List.of()));
         if (may.binds()) {
-            control.terms(now, t.id(), may.zones(), may.lane());
+            control.restrict(now, t.id(), may.zones(), may.lane());
         }
         peers.taken(t.destination());
     }
@@ -537,19 +538,19 @@
     }
 
     /** What calls tell, which the decisions and the store have to hear. */
-    private final class Calls implements Endpoints.Told {
+    private final class Calls implements Endpoints.Listener {
         @Override
         public void ended(Outcome o) {
             Relay.this.ended(o);
         }
 
         @Override
-        public void waits(double at, String endpoint, long id, int attempt, double waitMs) {
-            control.waits(at, endpoint, id, attempt, waitMs);
+        public void onRetryAfter(double at, String endpoint, long id, int attempt, double waitMs) {
+            control.waitReceived(at, endpoint, id, attempt, waitMs);
         }
 
         @Override
-        public boolean shareWaits(String endpoint, String other) {
+        public boolean sharesRetryAfter(String endpoint, String other) {
             Place place = places.get(endpoint);
             Place otherPlace = places.get(other);
             return endpoint.equals(other)
@@ -557,22 +558,22 @@
         }
 
         @Override
-        public void unwritten(long id, int attempt) {
+        public void onNotWritten(long id, int attempt) {
             held.unwritten(id, attempt);
         }
     }
 
-    private void news(News news, EndpointList listed) {
+    private void news(ListUpdate news, EndpointList listed) {
         if (listed == null) {
             unlisted = false; // what discovery has cannot be had for now
             control.list(loop.now(), news, List.of());
             return;
         }
-        unlisted &= news == News.STORED;
+        unlisted &= news == ListUpdate.STORED;
         double now = loop.now();
-        Set<String> gone = new HashSet<>(news == News.CHANGES ? Set.of() : places.keySet());
+        Set<String> gone = new HashSet<>(news == ListUpdate.CHANGES ? Set.of() : places.keySet());
         places.values().forEach(p -> destinations.put(p.destination(), now));
-        endpoints.learn(listed.addresses());
+        endpoints.updateAddresses(listed.addresses());
         List<Controller.Kind> kinds = config.settings().kinds();
         for (Controller.Entry e : listed.entries()) {
             if (e.listing() == Controller.Listing.LEFT) {
@@ -588,10 +589,10 @@
                             kinds.isEmpty()
                                     ? 1
                                     : kinds.get(Math.min(e.kind(), kinds.size() - 1))
-                                            .bundleMax()));
+                                            .maxBatch()));
         }
         // Endpoints and their addresses are ever new: nothing is kept of those that have left.
-        endpoints.forget(gone);
+        endpoints.removeEndpoints(gone);
         places.keySet().removeAll(gone);
         destinations.values().removeIf(at -> now - at > limits.emptyMs());
         control.list(now, news, listed.entries());
@@ -606,7 +607,7 @@
         if (resting) {
             endpoints.withhold(); // the next process finds them untried
         } else {
-            endpoints.ask((id, attempt) -> control.mayGo(loop.now(), id, attempt));
+            endpoints.recheckConnected((id, attempt) -> control.mayGo(loop.now(), id, attempt));
         }
         if (!resting && !unlisted) {
             control.decide(loop.now());
@@ -615,7 +616,7 @@
         callDecided();
         // What is noted may have run, and what is not surely has not: a call that has no connection yet is not.
         long bootNow = clock.nowMs();
-        endpoints.ready((endpoint, i) -> {
+        endpoints.forEachReady((endpoint, i) -> {
             if (held.get(i.id()) != null) {
                 held.called(i.id(), i.attempt(), endpoint, bootNow);
             }
@@ -631,7 +632,7 @@
             open();
         }
         boolean nothingLeft = resting || held.isEmpty() && notices.owed() == 0;
-        if (late || closing && nothingLeft && endpoints.out() == 0 && !clients.busy()) {
+        if (late || closing && nothingLeft && endpoints.callsInProgress() == 0 && !clients.busy()) {
             part();
         }
         if (listen) {
@@ -790,7 +791,7 @@
 
     @Override
     public void warned(String endpoint, double waitUntil, double avoidUntil) {
-        control.warned(loop.now(), endpoint, waitUntil, avoidUntil);
+        control.peerWarning(loop.now(), endpoint, waitUntil, avoidUntil);
     }
 
     @Override
@@ -805,6 +806,6 @@
 
     @Override
     public void ask(BookingRequest ask) {
-        loop.post(() -> peers.ask(ask));
+        loop.post(() -> peers.handleBooking(ask));
     }
 }
--- a/src/main/java/firstair/relay/discovery/Watch.java
+++ b/src/main/java/firstair/relay/discovery/EndpointListWatch.java
@@ -1,6 +1,6 @@
 package firstair.relay.discovery;
 
-import firstair.control.Controller.News;
+import firstair.control.Controller.ListUpdate;
 import firstair.relay.HostPort;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
@@ -24,14 +24,14 @@
  * open next to its successor, because its connection may still come up and its response may still arrive: the first
  * call that is answered closes the others. All methods run on the loop's thread.
  */
-public final class Watch {
-    private static final Logger LOG = Logger.getLogger(Watch.class.getName());
+public final class EndpointListWatch {
+    private static final Logger LOG = Logger.getLogger(EndpointListWatch.class.getName());
     private static final String PATH = "/api/targets";
 
     /** Receives updates of the list, on the loop's thread. */
     public interface Listener {
-        /** Called with {@code listed} null for {@link News#FAILED} and {@link News#OVERDUE}. */
-        void news(News news, EndpointList listed);
+        /** Called with {@code listed} null for {@link ListUpdate#FAILED} and {@link ListUpdate#OVERDUE}. */
+        void news(ListUpdate news, EndpointList listed);
     }
 
     private final Dialer dialer;
@@ -47,7 +47,7 @@
     private boolean lossLogged; // since the last list was received
 
     /** @param version version of the list that the caller already has, or -1 */
-    public Watch(
+    public EndpointListWatch(
             Dialer dialer,
             Limits limits,
             Loop loop,
@@ -80,10 +80,10 @@
     }
 
     /** Changes the address of discovery: calls to the old address are closed, and a new call starts at once. */
-    public void move(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            leave();
+            close();
             startCall();
         }
     }
@@ -94,7 +94,7 @@
     }
 
     /** Closes all calls in progress. */
-    public void leave() {
+    public void close() {
         List.copyOf(calls).forEach(this::close);
     }
 
@@ -108,20 +108,20 @@
     private void callFailed(Call call, String reason) {
         if (calls.contains(call)) {
             close(call);
-            notifyFailure(call, call.waitedLongEnough() ? News.OVERDUE : News.FAILED, reason);
+            notifyFailure(call, call.waitedLongEnough() ? ListUpdate.OVERDUE : ListUpdate.FAILED, reason);
         }
     }
 
-    /** Always reported as {@link News#FAILED}: an immediate retry would most likely get the same response. */
+    /** Always reported as {@link ListUpdate#FAILED}: an immediate retry would most likely get the same response. */
     private void invalidResponse(Call call, String reason) {
         if (calls.contains(call)) {
             close(call);
-            notifyFailure(call, News.FAILED, reason);
+            notifyFailure(call, ListUpdate.FAILED, reason);
         }
     }
 
     /** Reports the failure of a call once: an overdue call has been reported and retried already. */
-    private void notifyFailure(Call call, News news, String reason) {
+    private void notifyFailure(Call call, ListUpdate news, String reason) {
         if (!call.overdue) {
             call.overdue = true;
             logLoss(reason);
@@ -159,9 +159,9 @@
         from.listReceived = true;
         version = listed.version();
         keepOnly(from);
-        listener.news(listed.full() ? News.COMPLETE : News.CHANGES, listed);
+        listener.news(listed.full() ? ListUpdate.COMPLETE : ListUpdate.CHANGES, listed);
         if (!from.watching) {
-            leave();
+            close();
             startCall();
         }
     }
@@ -200,7 +200,7 @@
 
         private void checkOverdue(boolean waiting, String state) {
             if (waiting && calls.contains(this)) {
-                notifyFailure(this, News.OVERDUE, state + ", for " + Math.round(limits.listWaitMs()) + " ms");
+                notifyFailure(this, ListUpdate.OVERDUE, state + ", for " + Math.round(limits.listWaitMs()) + " ms");
             }
         }
 
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -43,7 +43,7 @@
     private final Dialer dialer;
     private final Limits limits;
     private final Loop loop;
-    private final Told listener;
+    private final Listener listener;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<String, ArrayDeque<IdleConnection>> idle = new HashMap<>();
     private final List<Call> calls = new ArrayList<>(); // in progress
@@ -54,7 +54,7 @@
     private record IdleConnection(Link link, double since) {}
 
     /** Receives the events of calls. */
-    public interface Told {
+    public interface Listener {
         /** A message of a call has ended. */
         void ended(Outcome outcome);
 
@@ -62,15 +62,18 @@
          * A Retry-After was read at the time {@code at}, in the response to a call with the given attempt. The response
          * may never be complete.
          */
-        default void waits(double at, String endpoint, long id, int attempt, double waitMs) {}
+        default void onRetryAfter(double at, String endpoint, long id, int attempt, double waitMs) {}
 
         /** Whether a Retry-After from one endpoint may also apply to calls to the other. */
-        default boolean shareWaits(String endpoint, String other) {
+        default boolean sharesRetryAfter(String endpoint, String other) {
             return endpoint.equals(other);
         }
 
-        /** A message reported by {@link #ready} was not written, because its connection was dead; it may be retried. */
-        default void unwritten(long id, int attempt) {}
+        /**
+         * A message reported by {@link #forEachReady} was not written, because its connection was dead; it may be
+         * retried.
+         */
+        default void onNotWritten(long id, int attempt) {}
     }
 
     /** Decides whether a message may be sent, and with what timeout; see {@link firstair.control.Controller#mayGo}. */
@@ -83,7 +86,7 @@
     }
 
     /** @param listener receives the outcome of each message */
-    public Endpoints(Dialer dialer, Limits limits, Loop loop, Told listener) {
+    public Endpoints(Dialer dialer, Limits limits, Loop loop, Listener listener) {
         this.dialer = dialer;
         this.limits = limits;
         this.loop = loop;
@@ -91,7 +94,7 @@
     }
 
     /** Removes endpoints that are no longer listed; calls to them that are in progress continue. */
-    public void forget(Collection<String> removed) {
+    public void removeEndpoints(Collection<String> removed) {
         removed.forEach(id -> {
             addresses.remove(id);
             closeIdle(id); // its address may belong to another endpoint by now
@@ -99,7 +102,7 @@
     }
 
     /** Sets the addresses of endpoints; others keep theirs. */
-    public void learn(Map<String, InetSocketAddress> changed) {
+    public void updateAddresses(Map<String, InetSocketAddress> changed) {
         changed.forEach((id, address) -> {
             InetSocketAddress previous = addresses.put(id, address);
             if (previous != null && !previous.equals(address)) {
@@ -109,20 +112,20 @@
     }
 
     /** Number of calls in progress. */
-    public int out() {
+    public int callsInProgress() {
         return calls.size();
     }
 
     /**
      * Starts a call with one or more messages, on an idle connection or a new one. The first {@link #write} after the
-     * connection is available sends it; if that is in a later round, {@link #ask} comes before.
+     * connection is available sends it; if that is in a later round, {@link #recheckConnected} comes before.
      */
     public void call(String endpoint, List<Item> items) {
         new Call(endpoint, items).start();
     }
 
     /** Checks for all calls that have a connection and are not written whether their messages may still be sent. */
-    public void ask(SendPolicy policy) {
+    public void recheckConnected(SendPolicy policy) {
         List.copyOf(connected).forEach(call -> call.recheck(policy));
     }
 
@@ -138,14 +141,15 @@
     }
 
     /** Passes all messages that {@link #write} is about to send to {@code action}, with their endpoints. */
-    public void ready(BiConsumer<String, Item> action) {
+    public void forEachReady(BiConsumer<String, Item> action) {
         connected.forEach(call -> call.items.forEach(item -> action.accept(call.endpoint, item)));
     }
 
     /**
-     * Sends the messages that are {@link #ready}, except those that could not be recorded. Some calls are left to the
-     * next round, which checks them again with {@link #ask}: those to which a Retry-After may apply that was read since
-     * this round began, and all that remain once {@code overrun} reports that writing takes too long.
+     * Sends the messages that are {@link #forEachReady}, except those that could not be recorded. Some calls are left
+     * to the next round, which checks them again with {@link #recheckConnected}: those to which a Retry-After may apply
+     * that was read since this round began, and all that remain once {@code overrun} reports that writing takes too
+     * long.
      *
      * @param recorded whether the attempt of a message has been stored
      * @return false if calls remain because of {@code overrun}
@@ -168,7 +172,9 @@
         return remaining.isEmpty();
     }
 
-    /** Leaves the calls that are {@link #ready}, and recorded by now, to the next round, which checks them again. */
+    /**
+     * Leaves the calls that are {@link #forEachReady}, and recorded by now, to the next round, which checks them again.
+     */
     public void postpone() {
         connected.forEach(call -> call.recorded = true);
     }
@@ -410,7 +416,7 @@
                 return;
             }
             recorded = true;
-            if (unreportedWaits.stream().anyMatch(call -> listener.shareWaits(call.endpoint, endpoint))) {
+            if (unreportedWaits.stream().anyMatch(call -> listener.sharesRetryAfter(call.endpoint, endpoint))) {
                 trace("left to the next round because of a Retry-After");
                 connected.add(this);
                 return;
@@ -427,7 +433,7 @@
                 return;
             }
             bundle = false;
-            items.forEach(item -> listener.unwritten(item.id(), item.attempt()));
+            items.forEach(item -> listener.onNotWritten(item.id(), item.attempt()));
             if (!newConnection) {
                 loop.post(this::connect); // a connection opened for this call reports its own end
             }
@@ -498,7 +504,7 @@
                 reportedWaitMs = ms;
                 trace("Retry-After of " + ms + " ms, read " + Math.round(loop.now() - waitReadAt) + " ms ago");
                 Item item = items.isEmpty() ? firstItem : items.get(0);
-                listener.waits(waitReadAt, endpoint, item.id(), item.attempt(), ms);
+                listener.onRetryAfter(waitReadAt, endpoint, item.id(), item.attempt(), ms);
             }
         }
 
--- a/src/main/java/firstair/relay/endpoints/Item.java
+++ b/src/main/java/firstair/relay/endpoints/Item.java
@@ -21,7 +21,7 @@
         boolean closeAfter) {
 
     /** Size in bytes within a call that carries several messages. */
-    public int bundled() {
+    public int bundledBytes() {
         return part().bytes();
     }
 
--- a/src/main/java/firstair/relay/fleet/FleetDriver.java
+++ b/src/main/java/firstair/relay/fleet/FleetDriver.java
@@ -14,7 +14,7 @@
 import firstair.fleet.booking.Operations;
 import firstair.fleet.count.Total;
 import firstair.fleet.fault.Fault;
-import firstair.fleet.ledger.LedgerMemory;
+import firstair.fleet.ledger.LedgerState;
 import firstair.fleet.talk.Codec;
 import firstair.fleet.talk.Envelope;
 import firstair.relay.Config;
@@ -60,7 +60,7 @@
     private final Zones zones;
     private final Codec codec = new Codec();
     private final Fleet fleet;
-    private final PeerWire wire;
+    private final PeerTransport wire;
     private final LedgerFile ledger; // null unless this relay is a voter of a ledger
     private final Map<String, Double> lastWarningAt = new HashMap<>(); // by fault code
     private Loop.Timer timer;
@@ -90,7 +90,8 @@
         this.listener = listener;
         zones = relay.zones();
         String self = config.setup().self();
-        boolean isVoter = config.sharing().agrees() && config.setup().voters().contains(self);
+        boolean isVoter =
+                config.sharing().needsAgreement() && config.setup().voters().contains(self);
         ledger = isVoter
                 ? LedgerFile.open(
                         relay.state(),
@@ -100,7 +101,7 @@
                         config.first(),
                         LEDGER_REWRITE_BYTES)
                 : null;
-        LedgerMemory memory = ledger == null ? null : ledger.memory();
+        LedgerState memory = ledger == null ? null : ledger.memory();
         fleet = new Fleet(
                 config.setup(),
                 config.sharing(),
@@ -111,11 +112,11 @@
                 loop.now(),
                 calendarClock.nowMs(),
                 this);
-        wire = new PeerWire(
+        wire = new PeerTransport(
                 loop,
                 config.listen(),
                 config.addresses(),
-                PeerWire.Bounds.of(config.setup().members().size()),
+                PeerTransport.Bounds.of(config.setup().members().size()),
                 this::receive);
     }
 
@@ -150,7 +151,7 @@
             return;
         }
         try {
-            fleet.heard(loop.now(), envelope);
+            fleet.receive(loop.now(), envelope);
         } catch (Fault fault) {
             warn(fault);
         }
@@ -168,7 +169,7 @@
 
     @Override
     public void send(Envelope envelope) {
-        for (Envelope part : codec.split(envelope, PeerWire.MAX_DATAGRAM_BYTES)) {
+        for (Envelope part : codec.split(envelope, PeerTransport.MAX_DATAGRAM_BYTES)) {
             wire.send(part.to(), codec.write(part));
         }
     }
@@ -202,7 +203,7 @@
     }
 
     @Override
-    public void confine() {
+    public void recheckZones() {
         listener.confine();
     }
 
@@ -267,12 +268,12 @@
 
     @Override
     public void taken(int destination) {
-        fleet.taken(loop.now(), destination);
+        fleet.accepted(loop.now(), destination);
     }
 
     @Override
     public void called(int destination, boolean repeat) {
-        fleet.called(loop.now(), destination, repeat);
+        fleet.callStarted(loop.now(), destination, repeat);
     }
 
     @Override
@@ -281,7 +282,7 @@
                 || outcome.result() == Result.TIMEOUT
                 || outcome.result() == Result.RESET
                 || outcome.result() == Result.CONNECT_FAILED;
-        fleet.ended(
+        fleet.callEnded(
                 loop.now(),
                 destination,
                 outcome.endpoint(),
@@ -293,7 +294,7 @@
 
     @Override
     public void listed(Set<Integer> destinations, Set<String> endpoints) {
-        fleet.listed(loop.now(), destinations, endpoints);
+        fleet.setListed(loop.now(), destinations, endpoints);
     }
 
     @Override
@@ -321,7 +322,7 @@
     }
 
     @Override
-    public void ask(BookingRequest request) {
+    public void handleBooking(BookingRequest request) {
         try {
             if (request.method().equals("GET")) {
                 request.answer(200, 0, describe(request.booking()));
@@ -341,7 +342,7 @@
     private String describe(String id) {
         JsonObject booking = JsonParser.parseString(new String(fleet.booking(id), StandardCharsets.UTF_8))
                 .getAsJsonObject();
-        Total used = fleet.used(loop.now(), id, USAGE_SPAN_MS);
+        Total used = fleet.callsUsed(loop.now(), id, USAGE_SPAN_MS);
         JsonObject calls = new JsonObject();
         calls.addProperty("calls", used.sum());
         calls.addProperty("spanMs", USAGE_SPAN_MS);
@@ -380,7 +381,7 @@
             Set.of("\"limit\"", "\"set-team\"", "\"set-destination\"", "\"set-rules\"");
 
     private static void answer(BookingRequest request, firstair.fleet.ledger.Outcome outcome) {
-        if (outcome instanceof firstair.fleet.ledger.Outcome.Agreed agreed) {
+        if (outcome instanceof firstair.fleet.ledger.Outcome.Committed agreed) {
             String booking = new String(agreed.result(), StandardCharsets.UTF_8);
             request.answer(200, 0, booking.isEmpty() ? "{}" : booking);
         } else if (outcome instanceof firstair.fleet.ledger.Outcome.Refused refused) {
--- a/src/main/java/firstair/relay/fleet/PeerWire.java
+++ b/src/main/java/firstair/relay/fleet/PeerTransport.java
@@ -21,8 +21,8 @@
  * frames by TCP. The content is opaque here. Whatever other relays do, memory is bounded, and no method blocks or
  * throws; what exceeds a bound is dropped and counted.
  */
-public final class PeerWire {
-    private static final Logger LOG = Logger.getLogger(PeerWire.class.getName());
+public final class PeerTransport {
+    private static final Logger LOG = Logger.getLogger(PeerTransport.class.getName());
     /** What usual networks carry without fragmentation. */
     static final int MAX_DATAGRAM_BYTES = 1400;
 
@@ -130,7 +130,7 @@
      * @param peers  addresses of the other relays by name
      * @throws IOException if the address cannot be bound
      */
-    public PeerWire(
+    public PeerTransport(
             Loop loop, InetSocketAddress listen, Map<String, InetSocketAddress> peers, Bounds bounds, Listener listener)
             throws IOException {
         this.loop = loop;
--- a/src/main/java/firstair/relay/store/LedgerFile.java
+++ b/src/main/java/firstair/relay/store/LedgerFile.java
@@ -1,8 +1,8 @@
 package firstair.relay.store;
 
 import firstair.fleet.fault.Fault;
-import firstair.fleet.ledger.Keeper;
-import firstair.fleet.ledger.LedgerMemory;
+import firstair.fleet.ledger.LedgerState;
+import firstair.fleet.ledger.LedgerStore;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
 
 /**
  * What a voter must not forget, in one file that is only appended to: records as in {@link Store}'s file, each with
- * one change of its {@link LedgerMemory}. When the file has grown beyond its bound, and beyond twice what is still
+ * one change of its {@link LedgerState}. When the file has grown beyond its bound, and beyond twice what is still
  * needed, what is needed goes to a new file that takes its place.
  *
  * <p>{@link #force} syncs, where {@link Store} does not. A message that is lost with its machine is one that its
@@ -40,7 +40,7 @@
  * to be taken back once the voter has started. The one safe way to replace voters whose folders are gone is to stop
  * the voters and to found a fleet with a new name, with what the others hold put in anew.
  */
-public final class LedgerFile implements Keeper {
+public final class LedgerFile implements LedgerStore {
     private static final Logger LOG = Logger.getLogger(LedgerFile.class.getName());
     private static final String NAME = "ledger.log";
     private static final String DRAFT = "ledger.tmp";
@@ -50,7 +50,7 @@
     private final long mostBytes;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private FileChannel lock; // held while open: two processes that write would both forget
-    private LedgerMemory memory;
+    private LedgerState memory;
     private FileChannel file;
     private long size;
     private long needed; // bytes of the memory when the file was opened or written anew
@@ -85,7 +85,7 @@
             if (Files.exists(named)) {
                 ledger.read(named);
             } else if (firstStart) {
-                ledger.memory = LedgerMemory.founded(fleet, self, voters);
+                ledger.memory = LedgerState.initial(fleet, self, voters);
                 ledger.rewrite();
             } else {
                 throw new Fault.LedgerLost(folder.toString());
@@ -140,7 +140,7 @@
             throw new Fault.TornLedger(named.toString(), at);
         }
         try {
-            memory = LedgerMemory.of(changes);
+            memory = LedgerState.of(changes);
         } catch (Fault.Unreadable e) {
             throw new Fault.TornLedger(named.toString(), at); // whole records, but not those of a ledger
         }
@@ -168,7 +168,7 @@
     }
 
     /** What the voter remembers; it changes with what the engine keeps. */
-    public LedgerMemory memory() {
+    public LedgerState memory() {
         return memory;
     }
 
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void keep(byte[] change) throws IOException {
+    public void append(byte[] change) throws IOException {
         check();
         byte[] record = new byte[Records.HEADER + change.length];
         System.arraycopy(change, 0, record, Records.HEADER, change.length);
@@ -221,7 +221,7 @@
         long written = 0;
         try {
             for (byte[] change : memory.changes()) {
-                keep(change);
+                append(change);
                 written += pending.size();
                 ByteBuffer buffer = ByteBuffer.wrap(pending.toByteArray());
                 pending.reset();
--- a/src/main/java/firstair/settings/Fields.java
+++ b/src/main/java/firstair/settings/Fields.java
@@ -6,7 +6,7 @@
     protected abstract String value(String name);
 
     /** Creates the exception of this source for an invalid field. */
-    public abstract RuntimeException bad(String name, String what);
+    public abstract RuntimeException invalid(String name, String what);
 
     /** Whether the field is present. */
     public final boolean has(String name) {
@@ -17,7 +17,7 @@
     public final String text(String name) {
         String value = value(name);
         if (value == null) {
-            throw bad(name, "missing");
+            throw invalid(name, "missing");
         }
         return value;
     }
@@ -35,10 +35,10 @@
         try {
             number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(name, "not a number: " + value);
+            throw invalid(name, "not a number: " + value);
         }
         if (!Double.isFinite(number)) {
-            throw bad(name, "not a finite number: " + value);
+            throw invalid(name, "not a finite number: " + value);
         }
         return number;
     }
@@ -54,7 +54,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw bad(name, "not a whole number: " + value);
+            throw invalid(name, "not a whole number: " + value);
         }
     }
 
@@ -67,7 +67,7 @@
     public final int index(String name) {
         long value = whole(name);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw bad(name, "out of range: " + value);
+            throw invalid(name, "out of range: " + value);
         }
         return (int) value;
     }
@@ -81,7 +81,7 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw bad(name, "not a boolean: " + value);
+            default -> throw invalid(name, "not a boolean: " + value);
         };
     }
 }
--- a/src/main/java/firstair/settings/Facts.java
+++ b/src/main/java/firstair/settings/SettingsReader.java
@@ -17,17 +17,17 @@
  * ignored. An absent key means that nothing is restricted: 0, false or empty; group size 1; kinds whose endpoints share
  * one limit and that carry one message per call; classes that are safe to repeat.
  */
-public final class Facts {
-    private Facts() {}
+public final class SettingsReader {
+    private SettingsReader() {}
 
-    /** Reads all settings; throws the exception of {@link Fields#bad} for a value that cannot be parsed. */
+    /** Reads all settings; throws the exception of {@link Fields#invalid} for a value that cannot be parsed. */
     public static Settings read(Fields fields) {
         return new Settings(
                 Math.max(1, count(fields, "groupSize", 1)),
                 count(fields, "slotNo", 0),
                 count(fields, "az", 0),
                 fields.text("discovery", "push").equals("ask"),
-                choice(fields, "weightKind", "none", "nominal", Weight.NOMINAL, "rough", Weight.ROUGH, Weight.NONE),
+                choice(fields, "weightKind", "none", "nominal", Weight.NOMINAL, "rough", Weight.ESTIMATED, Weight.NONE),
                 responsesReportLimits(fields),
                 choice(fields, "familyInfo.late", "linear", "halving", LateCurve.HALVING, "", null, LateCurve.LINEAR),
                 classes(fields),
@@ -43,7 +43,7 @@
     private static boolean responsesReportLimits(Fields fields) {
         String source = fields.text("loadReport.how", "answers");
         if (!List.of("answers", "probe", "none").contains(source)) {
-            throw fields.bad("loadReport.how", "neither answers nor probe nor none: " + source);
+            throw fields.invalid("loadReport.how", "neither answers nor probe nor none: " + source);
         }
         return source.equals("answers")
                 && List.of(fields.text("loadReport.names", "x1").split(",")).contains("x1");
@@ -88,7 +88,7 @@
                 try {
                     bundleMax = Long.parseLong(bundleSizes[i]);
                 } catch (NumberFormatException e) {
-                    throw fields.bad("familyInfo.bundleMax", "not a whole number: " + bundleSizes[i]);
+                    throw fields.invalid("familyInfo.bundleMax", "not a whole number: " + bundleSizes[i]);
                 }
             }
             boolean routesApart = i < apartFlags.length && (apartFlags[i].equals("true") || apartFlags[i].equals("1"));
--- a/src/main/java/firstair/simhost/Line.java
+++ b/src/main/java/firstair/simhost/Line.java
@@ -41,11 +41,11 @@
     }
 
     @Override
-    public WireException bad(String name, String problem) {
+    public WireException invalid(String name, String problem) {
         return new WireException("line " + number + " (" + word + "): field " + name + ": " + problem);
     }
 
-    WireException bad(String problem) {
+    WireException invalid(String problem) {
         return new WireException("line " + number + ": " + problem);
     }
 }
--- a/src/main/java/firstair/simhost/SimHost.java
+++ b/src/main/java/firstair/simhost/SimHost.java
@@ -3,13 +3,13 @@
 import firstair.control.Control;
 import firstair.control.Controller;
 import firstair.control.Controller.Entry;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Message;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
-import firstair.settings.Facts;
+import firstair.settings.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -51,7 +51,7 @@
     public void run() throws IOException {
         for (Line head = nextLine(); head != null; head = nextLine()) {
             if (!head.word().equals("batch")) {
-                throw head.bad("batch expected, found " + head.word());
+                throw head.invalid("batch expected, found " + head.word());
             }
             batch(head.number("moment"));
         }
@@ -98,7 +98,7 @@
                 Instance instance = instance(line);
                 long id = knownTicket(instance, line);
                 int n = line.index("n");
-                instance.runGuarded(c -> c.begun(now, id, n));
+                instance.runGuarded(c -> c.answerBegun(now, id, n));
             }
             case "timed_out_client" -> {
                 Instance instance = instance(line);
@@ -110,7 +110,7 @@
                 instance(line).runGuarded(c -> c.timer(now));
             }
             case "echo", "datagram" -> instance(line);
-            default -> throw line.bad("unknown message " + line.word());
+            default -> throw line.invalid("unknown message " + line.word());
         }
     }
 
@@ -120,14 +120,14 @@
         for (int i = 0; i < count; i++) {
             Line line = requireLine();
             if (!line.word().equals("entry")) {
-                throw line.bad("entry expected, found " + line.word());
+                throw line.invalid("entry expected, found " + line.word());
             }
             Listing listing =
                     switch (line.text("status")) {
                         case "active" -> Listing.ACTIVE;
                         case "leaving" -> Listing.LEAVING;
                         case "left" -> Listing.LEFT;
-                        default -> throw line.bad("status", "unknown: " + line.text("status"));
+                        default -> throw line.invalid("status", "unknown: " + line.text("status"));
                     };
             list.add(new Entry(
                     line.text("endpoint"),
@@ -143,7 +143,7 @@
     private void start(Line line) {
         Instance instance = new Instance(line.whole("who"));
         long seed = line.whole("rngSeed");
-        Controller.Settings settings = Facts.read(line);
+        Controller.Settings settings = SettingsReader.read(line);
         instance.classes = settings.classes().size();
         instance.control = new Control(settings, seed, instance);
         Instance previous = instances.put(instance.instanceId, instance);
@@ -153,19 +153,19 @@
 
     private void membership(double now, Line line) {
         Instance instance = instance(line);
-        News news =
+        ListUpdate news =
                 switch (line.text("how")) {
-                    case "diff" -> News.CHANGES;
-                    case "snapshot" -> News.COMPLETE;
-                    case "disk" -> News.STORED;
-                    case "error" -> News.FAILED;
-                    default -> throw line.bad("how", "unknown: " + line.text("how"));
+                    case "diff" -> ListUpdate.CHANGES;
+                    case "snapshot" -> ListUpdate.COMPLETE;
+                    case "disk" -> ListUpdate.STORED;
+                    case "error" -> ListUpdate.FAILED;
+                    default -> throw line.invalid("how", "unknown: " + line.text("how"));
                 };
         List<Entry> list = List.of();
-        if (news != News.FAILED) {
+        if (news != ListUpdate.FAILED) {
             list = lists.get(line.whole("setId"));
             if (list == null) {
-                throw line.bad("setId", "unknown: " + line.text("setId"));
+                throw line.invalid("setId", "unknown: " + line.text("setId"));
             }
         }
         for (Entry e : list) {
@@ -181,7 +181,7 @@
         int flags = (int) line.whole("bitmap", 0);
         int type = line.index("type");
         if (type >= instance.classes) {
-            throw line.bad("type", "no such class: " + type);
+            throw line.invalid("type", "no such class: " + type);
         }
         Message message = new Message(
                 id,
@@ -194,7 +194,7 @@
                 (flags & FLAG_FROM_FAILED_RELAY) != 0,
                 List.of());
         instance.tickets.add(id);
-        instance.runGuarded(c -> c.taken(now, message));
+        instance.runGuarded(c -> c.accepted(now, message));
     }
 
     private void settled(double now, Line line) {
@@ -202,7 +202,7 @@
         long id = knownTicket(instance, line);
         String endpoint = line.text("endpoint");
         if (!instance.endpoints.contains(endpoint)) {
-            throw line.bad("endpoint", "unknown: " + endpoint);
+            throw line.invalid("endpoint", "unknown: " + endpoint);
         }
         Result result =
                 switch ((int) line.whole("status")) {
@@ -214,7 +214,7 @@
                     case 10 -> Result.RESET;
                     case 1 -> Result.CANCELLED;
                     case 9 -> Result.NOT_SENT;
-                    default -> throw line.bad("status", "unknown: " + line.text("status"));
+                    default -> throw line.invalid("status", "unknown: " + line.text("status"));
                 };
         Outcome outcome = new Outcome(
                 id,
@@ -242,7 +242,7 @@
                         default -> {}
                     }
                 } catch (NumberFormatException e) {
-                    throw line.bad("serverStats", "not a number: " + pair);
+                    throw line.invalid("serverStats", "not a number: " + pair);
                 }
             }
         }
@@ -253,7 +253,7 @@
         long instanceId = line.whole("who");
         Instance instance = instances.get(instanceId);
         if (instance == null) {
-            throw line.bad("who", "not started: " + instanceId);
+            throw line.invalid("who", "not started: " + instanceId);
         }
         changed.add(instance);
         return instance;
@@ -262,7 +262,7 @@
     private static long knownTicket(Instance instance, Line line) {
         long id = line.whole("ticket");
         if (!instance.tickets.contains(id)) {
-            throw line.bad("ticket", "unknown: " + id);
+            throw line.invalid("ticket", "unknown: " + id);
         }
         return id;
     }
--- a/src/test/java/firstair/control/Bench.java
+++ b/src/test/java/firstair/control/Bench.java
@@ -1,21 +1,21 @@
 package firstair.control;
 
+import firstair.control.Controller.EarlierAttempt;
 import firstair.control.Controller.Effect;
 import firstair.control.Controller.Entry;
 import firstair.control.Controller.Kind;
 import firstair.control.Controller.LateCurve;
 import firstair.control.Controller.Limits;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Message;
 import firstair.control.Controller.MessageClass;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
 import firstair.control.Controller.Rules;
 import firstair.control.Controller.Scope;
 import firstair.control.Controller.Settings;
-import firstair.control.Controller.Try;
 import firstair.control.Controller.Weight;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -92,7 +92,7 @@
         for (String name : names) {
             list.add(entry(name, Listing.ACTIVE));
         }
-        control.list(now, News.COMPLETE, list);
+        control.list(now, ListUpdate.COMPLETE, list);
         return this;
     }
 
@@ -107,16 +107,16 @@
 
     long accept(int messageClass, int destination, String key, double leftMs, boolean fromDeadRelay) {
         long id = nextId++;
-        control.taken(
+        control.accepted(
                 now, new Message(id, messageClass, destination, key, now + leftMs, 0, false, fromDeadRelay, List.of()));
         return id;
     }
 
     /** Submits a message for destination 1 that a restarted relay resumes. */
-    long resume(int messageClass, double leftMs, Try... earlier) {
+    long resume(int messageClass, double leftMs, EarlierAttempt... earlier) {
         long id = nextId++;
         attempts.put(id, earlier.length);
-        control.taken(now, new Message(id, messageClass, 1, "k", now + leftMs, 0, false, false, List.of(earlier)));
+        control.accepted(now, new Message(id, messageClass, 1, "k", now + leftMs, 0, false, false, List.of(earlier)));
         return id;
     }
 
