--- a/src/test/java/firstair/control/ColdFleet.java
+++ b/src/test/java/firstair/control/ColdFleet.java
@@ -1,20 +1,20 @@
 package firstair.control;
 
+import firstair.control.Controller.EarlierAttempt;
 import firstair.control.Controller.Effect;
 import firstair.control.Controller.Entry;
 import firstair.control.Controller.Kind;
 import firstair.control.Controller.LateCurve;
 import firstair.control.Controller.Limits;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Message;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
 import firstair.control.Controller.Rules;
 import firstair.control.Controller.Scope;
 import firstair.control.Controller.Settings;
-import firstair.control.Controller.Try;
 import firstair.control.Controller.Weight;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -103,7 +103,7 @@
         int resubmissions;
         boolean done;
         Relay relay;
-        final List<Try> tried = new ArrayList<>();
+        final List<EarlierAttempt> tried = new ArrayList<>();
     }
 
     private static final class Call {
@@ -141,7 +141,7 @@
             for (int i = 0; i < scenario.endpoints; i++) {
                 list.add(new Entry("e" + i, 1, 0, 0, 1, Listing.ACTIVE));
             }
-            control.list(now, incarnation == 0 ? News.COMPLETE : News.STORED, list);
+            control.list(now, incarnation == 0 ? ListUpdate.COMPLETE : ListUpdate.STORED, list);
         }
 
         Settings settings() {
@@ -164,7 +164,7 @@
         void accept(ModelMessage message) {
             message.relay = this;
             held.put(message.id, message);
-            control.taken(
+            control.accepted(
                     now,
                     new Message(
                             message.id, 0, 1, null, message.deadlineAt, 0, false, false, List.copyOf(message.tried)));
@@ -197,7 +197,7 @@
             }
             call.messages++;
             int n = message.tried.size();
-            message.tried.add(new Try(endpoint, now, true));
+            message.tried.add(new EarlierAttempt(endpoint, now, true));
             Call sent = call;
             int startedAs = incarnation;
             schedule(sent.endsAt, this, () -> {
@@ -205,7 +205,7 @@
                     return;
                 }
                 boolean ok = sent.result == Result.OK;
-                message.tried.set(n, new Try(endpoint, sent.at, sent.result.maybeRan()));
+                message.tried.set(n, new EarlierAttempt(endpoint, sent.at, sent.result.maybeRan()));
                 notified |= sent.duringOutage;
                 if (ok && !message.done) {
                     message.done = true;
--- a/src/test/java/firstair/control/CrowdTest.java
+++ b/src/test/java/firstair/control/CrowdTest.java
@@ -4,15 +4,15 @@
 
 import firstair.control.Bench.Sent;
 import firstair.control.Controller.Entry;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Message;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Result;
 import firstair.control.Controller.Settings;
 import firstair.control.Controller.Weight;
-import firstair.settings.Facts;
 import firstair.settings.Fields;
+import firstair.settings.SettingsReader;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
                 settings.kinds(),
                 settings.limits(),
                 settings.rules()));
-        bench.control.list(bench.now, News.COMPLETE, List.of(new Entry("1/0/a", 1, 0, 0, rate, Listing.ACTIVE)));
+        bench.control.list(bench.now, ListUpdate.COMPLETE, List.of(new Entry("1/0/a", 1, 0, 0, rate, Listing.ACTIVE)));
         bench.accept(0, 1, null, leftMs, false);
         bench.decide();
         bench.end(bench.inFlight.get(0), Result.FULL, 0, limitsTold ? new Load(0.1, rate) : Load.NONE);
@@ -50,7 +50,7 @@
     @CsvSource({"true,false,1", "false,true,0", "true,true,0"})
     void anUnsafeMessageIsSentAgainAfterARefusalAlone(boolean again, boolean fromDead, int sent) {
         Bench bench = new Bench(Bench.settings(Bench.UNSAFE)).endpoints("1/0/a");
-        bench.control.taken(bench.now, new Message(1, 0, 1, null, bench.now + 9_000, 0, again, fromDead, List.of()));
+        bench.control.accepted(bench.now, new Message(1, 0, 1, null, bench.now + 9_000, 0, again, fromDead, List.of()));
         bench.decide();
         assertThat(bench.sent.size() - bench.givenUp.size()).isEqualTo(2 * sent - 1);
     }
@@ -93,14 +93,14 @@
     void aMessageThatTheRateDelaysTooLongIsSentWhereABookingPermitsItSooner() {
         Bench bench = withRejectedCall(50, false, 10, 5_000);
         bench.silence(1_500);
-        bench.control.terms(bench.now, bench.sent.get(0).id(), null, new Controller.Lane() {
+        bench.control.restrict(bench.now, bench.sent.get(0).id(), null, new Controller.BookedCapacity() {
             @Override
-            public double opensAt(double now) {
+            public double nextCallAt(double now) {
                 return now;
             }
 
             @Override
-            public void used(double now) {}
+            public void callSent(double now) {}
         });
         bench.silence(5);
         assertThat(bench.sent).hasSize(2);
@@ -148,14 +148,14 @@
     @ParameterizedTest
     @CsvSource({"x,x,true", "how,answers,true", "names,avg_ms,false", "how,probe,false", "how,none,false"})
     void limitsAreReportedWhereAnswersNameThem(String key, String value, boolean reported) {
-        assertThat(Facts.read(new Fields() {
+        assertThat(SettingsReader.read(new Fields() {
                             @Override
                             protected String value(String name) {
                                 return Map.of("loadReport." + key, value).get(name);
                             }
 
                             @Override
-                            public RuntimeException bad(String name, String what) {
+                            public RuntimeException invalid(String name, String what) {
                                 throw new AssertionError(name);
                             }
                         })
--- a/src/test/java/firstair/control/HandedInAgainTest.java
+++ b/src/test/java/firstair/control/HandedInAgainTest.java
@@ -20,7 +20,7 @@
     void aRefusedMessageHasNotRun(Effect effect, Scope scope, double windowMs) {
         MessageClass messageClass = Bench.messageClass(effect, scope, false, DEADLINE_MS, windowMs);
         Bench bench = new Bench(Bench.settings(messageClass)).endpoints("1/0/a", "1/1/b");
-        bench.control.taken(
+        bench.control.accepted(
                 bench.now, new Message(1, 0, 1, "k", bench.now + DEADLINE_MS - 4000, 0, true, false, List.of()));
         bench.decide();
         assertThat(bench.givenUp).isEmpty();
--- a/src/test/java/firstair/control/LateConnectionTest.java
+++ b/src/test/java/firstair/control/LateConnectionTest.java
@@ -4,9 +4,9 @@
 
 import firstair.control.Bench.Sent;
 import firstair.control.Controller.Kind;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
 import firstair.control.Controller.Load;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
 import java.util.List;
@@ -79,7 +79,7 @@
     void anEndpointThatLeftOrDrainsMeanwhileGetsNothing() {
         for (Listing listing : List.of(Listing.LEFT, Listing.LEAVING)) {
             Bench bench = connecting(Bench.SAFE);
-            bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry(A, listing)));
+            bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry(A, listing)));
             assertThat(bench.connected(first(bench))).as("%s", listing).isFalse();
             bench.endpoints(A);
             bench.run(1_000, Result.OK, 20);
@@ -90,7 +90,7 @@
     @Test
     void zonesThatAreNoLongerPermittedGetNothing() {
         Bench bench = connecting(Bench.SAFE);
-        bench.control.terms(bench.now, first(bench).id(), Set.of(3), null);
+        bench.control.restrict(bench.now, first(bench).id(), Set.of(3), null);
         assertThat(bench.connected(first(bench))).isFalse();
     }
 
@@ -204,7 +204,7 @@
         bench.decide();
         assertThat(bench.sent).hasSize(1);
         for (int i = 0; i < 20; i++) { // more than its permitted attempts
-            bench.control.warned(bench.now, A, bench.now + 10, 0);
+            bench.control.peerWarning(bench.now, A, bench.now + 10, 0);
             assertThat(bench.connected(bench.sent.get(i))).isFalse();
             bench.now += 20;
             bench.control.timer(bench.now);
@@ -254,7 +254,7 @@
         Bench bench = connecting(Bench.SAFE);
         double head = bench.now + 10;
         bench.now = head + 5;
-        bench.control.waits(head, A, first(bench).id(), 0, 1_000);
+        bench.control.waitReceived(head, A, first(bench).id(), 0, 1_000);
         bench.accept(0, 1);
         bench.decide();
         assertThat(bench.sent).as("it binds at once").hasSize(1);
@@ -267,7 +267,7 @@
     void aWaitOfAnEndedCallBinds() {
         Bench bench = connecting(Bench.SAFE);
         bench.end(first(bench), Result.CANCELLED, 0);
-        bench.control.waits(bench.now, A, first(bench).id(), 0, 700);
+        bench.control.waitReceived(bench.now, A, first(bench).id(), 0, 700);
         double from = bench.now;
         assertThat(nextCallAt(bench)).isGreaterThanOrEqualTo(from + 700);
     }
@@ -276,8 +276,8 @@
     void aSmallerWaitAfterALargerOneChangesNothing() {
         Bench bench = connecting(Bench.SAFE);
         double from = bench.now;
-        bench.control.waits(from, A, first(bench).id(), 0, 1_000);
-        bench.control.waits(from + 10, A, first(bench).id(), 0, 100);
+        bench.control.waitReceived(from, A, first(bench).id(), 0, 1_000);
+        bench.control.waitReceived(from + 10, A, first(bench).id(), 0, 100);
         assertThat(nextCallAt(bench)).isBetween(from + 1_000, from + 1_060);
     }
 
@@ -288,7 +288,7 @@
         bench.accept(0, 1);
         bench.decide();
         double head = bench.now;
-        bench.control.waits(head, A, first(bench).id(), 0, 500);
+        bench.control.waitReceived(head, A, first(bench).id(), 0, 500);
         bench.now += 300;
         for (Sent s : List.copyOf(bench.sent)) {
             bench.control.ended(
--- a/src/test/java/firstair/control/MechanismTest.java
+++ b/src/test/java/firstair/control/MechanismTest.java
@@ -4,7 +4,7 @@
 
 import firstair.control.Bench.Sent;
 import firstair.control.Controller.Kind;
-import firstair.control.Controller.News;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Result;
 import firstair.control.Controller.Settings;
 import java.util.List;
@@ -214,7 +214,7 @@
         assertThat(bench.listRequests).isEqualTo(1);
         for (int i = 0; i < 10; i++) {
             int before = bench.listRequests;
-            bench.control.list(bench.now, News.FAILED, List.of());
+            bench.control.list(bench.now, ListUpdate.FAILED, List.of());
             bench.decide();
             bench.silence(s.rules().askEveryMs() / 4);
             assertThat(bench.listRequests).isEqualTo(before + 1);
--- a/src/test/java/firstair/control/RestartTest.java
+++ b/src/test/java/firstair/control/RestartTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import firstair.control.Controller.EarlierAttempt;
 import firstair.control.Controller.MessageClass;
 import firstair.control.Controller.Result;
-import firstair.control.Controller.Try;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -19,7 +19,7 @@
     @Test
     void anUnsafeMessageThatMayHaveRunIsGivenUpAtOnce() {
         Bench bench = relay(Bench.UNSAFE);
-        long id = bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, true));
+        long id = bench.resume(0, 9_000, new EarlierAttempt("1/0/a", bench.now - 100, true));
         bench.decide();
         assertThat(bench.sent).isEmpty();
         assertThat(bench.givenUp).containsExactly(id);
@@ -28,7 +28,7 @@
     @Test
     void anUnsafeMessageThatNeverRanIsSent() {
         Bench bench = relay(Bench.UNSAFE);
-        bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, false));
+        bench.resume(0, 9_000, new EarlierAttempt("1/0/a", bench.now - 100, false));
         bench.decide();
         assertThat(bench.sent).hasSize(1);
         assertThat(bench.sent.get(0).attempt()).isEqualTo(1);
@@ -39,12 +39,15 @@
     void aKeyedMessageIsSentAgainInsideItsWindowOnly() {
         Bench inside = relay(Bench.KEYED);
         inside.resume(
-                0, 9_000, new Try("1/0/a", inside.now - 9_000, false), new Try("1/0/a", inside.now - 1_000, true));
+                0,
+                9_000,
+                new EarlierAttempt("1/0/a", inside.now - 9_000, false),
+                new EarlierAttempt("1/0/a", inside.now - 1_000, true));
         inside.decide();
         assertThat(inside.sent).hasSize(1);
 
         Bench late = relay(Bench.KEYED);
-        long id = late.resume(0, 9_000, new Try("1/0/a", late.now - 4_900, true));
+        long id = late.resume(0, 9_000, new EarlierAttempt("1/0/a", late.now - 4_900, true));
         late.decide();
         assertThat(late.sent).isEmpty();
         assertThat(late.givenUp).containsExactly(id);
@@ -53,7 +56,7 @@
     @Test
     void aKeyedMessageStaysInTheZoneOfItsCall() {
         Bench bench = relay(Bench.KEYED_ZONE);
-        bench.resume(0, 9_000, new Try("1/1/b", bench.now - 500, true));
+        bench.resume(0, 9_000, new EarlierAttempt("1/1/b", bench.now - 500, true));
         bench.decide();
         assertThat(bench.sent).extracting(Bench.Sent::endpoint).containsExactly("1/1/b");
     }
@@ -62,7 +65,7 @@
     @Test
     void aKeyedMessageWhoseZoneIsUnknownIsGivenUp() {
         Bench bench = relay(Bench.KEYED_ZONE);
-        long id = bench.resume(0, 9_000, new Try("1/1/gone", bench.now - 500, true));
+        long id = bench.resume(0, 9_000, new EarlierAttempt("1/1/gone", bench.now - 500, true));
         bench.decide();
         assertThat(bench.sent).isEmpty();
         assertThat(bench.givenUp).containsExactly(id);
@@ -71,9 +74,9 @@
     @Test
     void attemptsBeforeTheRestartCountAmongThosePermitted() {
         Bench bench = relay(Bench.SAFE);
-        Try[] all = IntStream.range(0, 12)
-                .mapToObj(i -> new Try("1/0/a", bench.now - 100, false))
-                .toArray(Try[]::new);
+        EarlierAttempt[] all = IntStream.range(0, 12)
+                .mapToObj(i -> new EarlierAttempt("1/0/a", bench.now - 100, false))
+                .toArray(EarlierAttempt[]::new);
         long id = bench.resume(0, 9_000, all);
         bench.decide();
         assertThat(bench.sent).isEmpty();
@@ -88,14 +91,14 @@
     void aRestartedRelayKeepsTheFirstWaitThatItReceives() {
         Bench bench = relay(Bench.SAFE);
         for (int i = 0; i < RESUMED; i++) {
-            bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, false));
+            bench.resume(0, 9_000, new EarlierAttempt("1/0/a", bench.now - 100, false));
         }
         bench.decide();
         int atOnce = bench.sent.size();
         assertThat(atOnce).isBetween(2, RESUMED - 1);
         Bench.Sent first = bench.inFlight.get(0);
         Bench.Sent late = bench.inFlight.get(1);
-        bench.control.waits(bench.now, first.endpoint(), first.id(), first.attempt(), 700);
+        bench.control.waitReceived(bench.now, first.endpoint(), first.id(), first.attempt(), 700);
         assertThat(bench.control.mayGo(bench.now, late.id(), late.attempt()))
                 .as("its connection opens late")
                 .isZero();
@@ -109,7 +112,11 @@
     @Test
     void backoffsGoOnGrowing() {
         Bench bench = relay(Bench.SAFE);
-        bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, false), new Try("1/0/a", bench.now - 100, false));
+        bench.resume(
+                0,
+                9_000,
+                new EarlierAttempt("1/0/a", bench.now - 100, false),
+                new EarlierAttempt("1/0/a", bench.now - 100, false));
         bench.decide();
         bench.run(2_000, Result.ERROR, 5);
         assertThat(bench.sent.get(1).at() - bench.sent.get(0).at()).isGreaterThan(550);
@@ -118,7 +125,7 @@
     @Test
     void messagesOutOfTimeEndInTheFirstRound() {
         Bench bench = relay(Bench.SAFE);
-        long ran = bench.resume(0, -500, new Try("1/0/a", bench.now - 900, true));
+        long ran = bench.resume(0, -500, new EarlierAttempt("1/0/a", bench.now - 900, true));
         long never = bench.resume(0, -500);
         bench.decide();
         assertThat(bench.givenUp).containsExactly(ran);
@@ -132,7 +139,7 @@
                 "c", Controller.Effect.UNSAFE, Controller.Scope.ALL, true, false, 2_000, 0, 10_000, 0, 1, 0.3);
         Bench bench = relay(messageClass);
         double returned = bench.now;
-        long first = bench.resume(0, 9_000, new Try("1/0/a", bench.now - 100, true));
+        long first = bench.resume(0, 9_000, new EarlierAttempt("1/0/a", bench.now - 100, true));
         bench.resume(0, 9_000);
         bench.decide();
         assertThat(bench.givenUp).containsExactly(first);
--- a/src/test/java/firstair/control/RulesTest.java
+++ b/src/test/java/firstair/control/RulesTest.java
@@ -4,9 +4,9 @@
 
 import firstair.control.Bench.Sent;
 import firstair.control.Controller.Kind;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
 import firstair.control.Controller.Load;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Result;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -156,7 +156,7 @@
     void nothingNewIsSentToAnEndpointOnceItIsListedAsLeaving() {
         for (Listing listing : List.of(Listing.LEAVING, Listing.LEFT)) {
             Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a", "1/0/b");
-            bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/a", listing)));
+            bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry("1/0/a", listing)));
             for (int i = 0; i < 8; i++) {
                 bench.accept(0, 1);
             }
@@ -285,7 +285,7 @@
             bench.accept(0, 1);
         }
         bench.run(1_500, Result.CONNECT_FAILED, 20);
-        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/b", Listing.ACTIVE)));
+        bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry("1/0/b", Listing.ACTIVE)));
         bench.run(1_000, Result.OK, 50);
         assertThat(bench.sent).filteredOn(s -> s.endpoint().endsWith("b")).hasSizeLessThan(3);
     }
@@ -374,12 +374,12 @@
     @Test
     void anEndpointOfADestinationThatHadNoneBeginsWithSlowStart() {
         Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a", "2/0/x");
-        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.LEFT)));
+        bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry("1/0/a", Listing.LEFT)));
         bench.now += 12_000;
         for (int i = 0; i < 20; i++) {
             bench.accept(0, 1);
         }
-        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/b", Listing.ACTIVE)));
+        bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry("1/0/b", Listing.ACTIVE)));
         bench.run(1_000, Result.OK, 20);
         assertThat(bench.sent.size()).isLessThan(5);
     }
--- a/src/test/java/firstair/control/SharedTest.java
+++ b/src/test/java/firstair/control/SharedTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.control.Bench.Sent;
-import firstair.control.Controller.Lane;
+import firstair.control.Controller.BookedCapacity;
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Result;
 import firstair.control.Controller.Share;
@@ -84,8 +84,8 @@
     @Test
     void aWaitOfAnotherRelayBindsAndShortensNone() {
         Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a");
-        bench.control.warned(bench.now, "1/0/a", bench.now + 2_000, Double.NEGATIVE_INFINITY);
-        bench.control.warned(bench.now, "1/0/a", bench.now + 500, Double.NEGATIVE_INFINITY);
+        bench.control.peerWarning(bench.now, "1/0/a", bench.now + 2_000, Double.NEGATIVE_INFINITY);
+        bench.control.peerWarning(bench.now, "1/0/a", bench.now + 500, Double.NEGATIVE_INFINITY);
         bench.accept(0, 1);
         bench.run(1_900, Result.OK, 20);
         assertThat(bench.sent).isEmpty();
@@ -96,14 +96,14 @@
     @Test
     void anEndpointThatOthersConsiderUnhealthyIsCalledOnlyIfNoOtherIsLeft() {
         Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a", "1/0/b");
-        bench.control.warned(bench.now, "1/0/a", Double.NEGATIVE_INFINITY, bench.now + 1_000);
+        bench.control.peerWarning(bench.now, "1/0/a", Double.NEGATIVE_INFINITY, bench.now + 1_000);
         for (int i = 0; i < 6; i++) {
             bench.accept(0, 1);
             bench.decide();
         }
         assertThat(bench.sent).extracting(Sent::endpoint).containsOnly("1/0/b");
         Bench alone = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a");
-        alone.control.warned(alone.now, "1/0/a", Double.NEGATIVE_INFINITY, alone.now + 1_000);
+        alone.control.peerWarning(alone.now, "1/0/a", Double.NEGATIVE_INFINITY, alone.now + 1_000);
         alone.accept(0, 1);
         alone.decide();
         assertThat(alone.sent).hasSize(1);
@@ -113,7 +113,7 @@
     void aMessageIsSentOnlyToItsZonesAndWaitsWhileTheyHaveNoEndpoint() {
         Bench bench = new Bench(Bench.settings(Bench.SAFE)).endpoints("1/0/a", "1/1/b");
         long id = bench.accept(0, 1);
-        bench.control.terms(bench.now, id, Set.of(1), null);
+        bench.control.restrict(bench.now, id, Set.of(1), null);
         bench.decide();
         assertThat(bench.sent).extracting(Sent::endpoint).containsExactly("1/1/b");
         bench.endAll(Result.RESET, 0);
@@ -130,12 +130,12 @@
         Bench bench = new Bench(Bench.settings(Bench.KEYED_ZONE, Bench.KEYED)).endpoints("1/0/a", "1/1/b");
         long zoned = bench.accept(0, 1, "k", 9_000, false);
         long all = bench.accept(1, 1, "l", 9_000, false);
-        bench.control.terms(bench.now, zoned, Set.of(0), null);
-        bench.control.terms(bench.now, all, Set.of(0), null);
+        bench.control.restrict(bench.now, zoned, Set.of(0), null);
+        bench.control.restrict(bench.now, all, Set.of(0), null);
         bench.decide();
         bench.endAll(Result.RESET, 0);
-        bench.control.terms(bench.now, zoned, Set.of(1), null);
-        bench.control.terms(bench.now, all, Set.of(1), null);
+        bench.control.restrict(bench.now, zoned, Set.of(1), null);
+        bench.control.restrict(bench.now, all, Set.of(1), null);
         bench.decide();
         assertThat(bench.givenUp).containsExactly(zoned);
         bench.run(1_000, Result.OK, 20);
@@ -148,20 +148,20 @@
     void bookedCallsFollowTheirBookingAndNotTheRate() {
         Bench bench = busy(new Share(0, INFINITE, 0, Integer.MAX_VALUE));
         double[] next = {bench.now + 300};
-        Lane booked = new Lane() {
+        BookedCapacity booked = new BookedCapacity() {
             @Override
-            public double opensAt(double now) {
+            public double nextCallAt(double now) {
                 return Math.max(now, next[0]);
             }
 
             @Override
-            public void used(double now) {
+            public void callSent(double now) {
                 next[0] = now + 300;
             }
         };
         bench.run(100, Result.OK, 20); // uses up the tokens that were left
         List<Long> ids = List.of(bench.accept(0, 1), bench.accept(0, 1), bench.accept(0, 1));
-        ids.forEach(id -> bench.control.terms(bench.now, id, null, booked));
+        ids.forEach(id -> bench.control.restrict(bench.now, id, null, booked));
         bench.sent.clear();
         bench.run(1_100, Result.OK, 20);
         assertThat(bench.sent).extracting(Sent::id).containsExactlyElementsOf(ids);
--- a/src/test/java/firstair/control/WeightTest.java
+++ b/src/test/java/firstair/control/WeightTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.sun.management.ThreadMXBean;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
-import firstair.control.Controller.News;
 import firstair.control.Controller.Result;
 import java.lang.management.ManagementFactory;
 import java.lang.reflect.Field;
@@ -53,7 +53,7 @@
         String fresh = "1/0/g" + n;
         bench.control.list(
                 bench.now,
-                News.CHANGES,
+                ListUpdate.CHANGES,
                 List.of(Bench.entry(fresh, Listing.ACTIVE), Bench.entry("1/0/g" + (n - 1), Listing.LEFT)));
         bench.accept(0, 1, "key" + n, 10_000, false);
         bench.accept(1, 1, "key" + n, 10_000, false);
@@ -81,9 +81,9 @@
         bench.accept(0, 1);
         bench.run(9_000, Result.RESET, 10);
         assertThat(bench.reports).anyMatch(r -> r.contains("sick"));
-        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.LEFT)));
+        bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry("1/0/a", Listing.LEFT)));
         bench.run(1_000, Result.OK, 10);
-        bench.control.list(bench.now, News.CHANGES, List.of(Bench.entry("1/0/a", Listing.ACTIVE)));
+        bench.control.list(bench.now, ListUpdate.CHANGES, List.of(Bench.entry("1/0/a", Listing.ACTIVE)));
         bench.accept(0, 1);
         bench.run(5_000, Result.OK, 10);
         assertThat(bench.reports).anyMatch(r -> r.contains("answers again"));
--- a/src/test/java/firstair/fleet/booking/BookingFixtures.java
+++ b/src/test/java/firstair/fleet/booking/BookingFixtures.java
@@ -17,7 +17,7 @@
     private BookingFixtures() {}
 
     static Bookings bookings() {
-        return withSetup(new Bookings(Rules.usual()));
+        return withSetup(new Bookings(Rules.defaults()));
     }
 
     static Bookings withSetup(Bookings bookings) {
@@ -56,7 +56,7 @@
 
     static String changesOf(Result r) {
         return r.changes().stream()
-                .map(c -> c.id() + " " + (c.from() == null ? "" : c.from().word() + ">") + c.to().word())
+                .map(c -> c.id() + " " + (c.from() == null ? "" : c.from().label() + ">") + c.to().label())
                 .collect(Collectors.joining(", "));
     }
 
--- a/src/test/java/firstair/fleet/booking/BookingsTest.java
+++ b/src/test/java/firstair/fleet/booking/BookingsTest.java
@@ -45,15 +45,15 @@
         List<String> page = Files.readAllLines(Path.of("docs/reservations.md"));
         for (State from : State.values()) {
             String row = page.stream()
-                    .filter(l -> l.startsWith("| " + from.word() + " |"))
+                    .filter(l -> l.startsWith("| " + from.label() + " |"))
                     .findFirst()
                     .orElseThrow();
             String next = row.split("\\|")[3].strip();
             assertThat(next.isEmpty() ? Set.of() : Set.of(next.split(", ")))
                     .as("%s", from)
                     .isEqualTo(Arrays.stream(State.values())
-                            .filter(from::may)
-                            .map(State::word)
+                            .filter(from::canBecome)
+                            .map(State::label)
                             .collect(Collectors.toSet()));
         }
     }
@@ -64,7 +64,7 @@
         assertThat(changesOf(apply(new Operation.Confirm("x", "a")))).isEqualTo("x held>confirmed");
         assertThat(apply(new Operation.Confirm("x", "a")).changes()).isEmpty();
         assertThat(faultOf(apply(new Operation.ShowUp("x", "a")))).isEqualTo(Fault.IllegalChange.class);
-        assertThat(bookings.nextMs()).isEqualTo(at(9.75));
+        assertThat(bookings.nextDueMs()).isEqualTo(at(9.75));
         assertThat(changesOf(bookings.apply(at(9.75), new Operation.Tick()))).isEqualTo("x confirmed>sealed");
         assertThat(changesOf(bookings.apply(at(10), new Operation.Tick()))).isEqualTo("x sealed>running");
         assertThat(changesOf(apply(new Operation.ShowUp("x", "a")))).isEqualTo("x running>running");
@@ -82,7 +82,7 @@
         assertThat(state("y")).isEqualTo(State.REFUSED);
         assertThat(changesOf(apply(put("z", "b", 1, 21, 11, 13)))).isEqualTo("z requested");
         assertThat(changesOf(apply(put("w", "b", 1, 20, 11, 13)))).endsWith("held");
-        assertThat(bookings.left(1, at(11), at(12))).isZero();
+        assertThat(bookings.availableRate(1, at(11), at(12))).isZero();
         // exceeds the full capacity, so it does not wait
         assertThat(faultOf(apply(put("v", "b", 1, 51, 20, 21)))).isEqualTo(Fault.NoRoom.class);
     }
@@ -94,14 +94,14 @@
         assertThat(r.fault().line())
                 .isEqualTo("F404: booking y: destination 2 has 0 calls a second left; "
                         + "book less, another time, or wait in the list");
-        assertThat(bookings.left(1, at(9), at(11))).isEqualTo(50_000);
+        assertThat(bookings.availableRate(1, at(9), at(11))).isEqualTo(50_000);
     }
 
     @Test
     void aRepeatedRequestIsIgnoredAndADifferentOneWithTheSameIdRejected() {
         apply(put("x", "a", 5, 30, 10, 12)).orThrow();
         assertThat(apply(put("x", "a", 5, 30, 10, 12)).orThrow().changes()).isEmpty();
-        assertThat(bookings.left(1, at(10), at(12))).isEqualTo(20_000);
+        assertThat(bookings.availableRate(1, at(10), at(12))).isEqualTo(20_000);
         assertThatThrownBy(() -> apply(put("x", "a", 5, 29, 10, 12)).orThrow()).isInstanceOf(Fault.BadRequest.class);
         apply(withoutWaiting(put("y", "b", 5, 30, 10, 12)));
         apply(new Operation.Drop("x", "makes room"));
@@ -207,8 +207,8 @@
         Result r = bookings.apply(at(10.25), new Operation.Tick());
         assertThat(r.changes())
                 .containsExactly(new Change("x", State.RUNNING, State.RELEASED, at(10.25), "nobody showed up in time"));
-        assertThat(bookings.left(1, at(10.25), at(10.5))).isZero();
-        assertThat(bookings.left(1, at(10.5), at(20))).isEqualTo(50_000);
+        assertThat(bookings.availableRate(1, at(10.25), at(10.5))).isZero();
+        assertThat(bookings.availableRate(1, at(10.5), at(20))).isEqualTo(50_000);
         SealedBookings.Entry entry = bookings.sealedSet(at(10.25)).entries().get(0);
         assertThat(entry.rates()).isEmpty();
         assertThat(entry.reserved()).isEqualTo(Map.of(1, 50_000L));
@@ -261,7 +261,7 @@
         assertThat(faultOf(apply(new Operation.Extend("x", "a", at(11))))).isEqualTo(Fault.BadRequest.class);
         assertThat(faultOf(apply(new Operation.Extend("x", "b", at(13))))).isEqualTo(Fault.NotYours.class);
         assertThat(changesOf(apply(new Operation.Extend("x", "a", at(13))))).isEqualTo("x running>running");
-        assertThat(bookings.left(1, at(12), at(13))).isEqualTo(20_000);
+        assertThat(bookings.availableRate(1, at(12), at(13))).isEqualTo(20_000);
         assertThat(faultOf(bookings.apply(at(12.75), new Operation.Extend("x", "a", at(13) + MINUTE))))
                 .isEqualTo(Fault.TooLate.class);
     }
@@ -274,8 +274,8 @@
         Result r = apply(new Operation.Move("x", at(11), at(13), "the partner asked"));
         assertThat(r.changes())
                 .containsExactly(new Change("x", State.HELD, State.HELD, NOW, "moved by operators: the partner asked"));
-        assertThat(bookings.left(1, at(10), at(11))).isEqualTo(50_000);
-        assertThat(bookings.left(1, at(12), at(13))).isZero();
+        assertThat(bookings.availableRate(1, at(10), at(11))).isEqualTo(50_000);
+        assertThat(bookings.availableRate(1, at(12), at(13))).isZero();
     }
 
     @Test
@@ -303,7 +303,7 @@
     void newRulesApplyAtOnceButTheHorizonNeverMovesBack() {
         apply(put("x", "a", 5, 50, 3, 4)).orThrow();
         apply(new Operation.Confirm("x", "a"));
-        Rules defaults = Rules.usual();
+        Rules defaults = Rules.defaults();
         apply(new Operation.SetRules(new Rules(
                 4 * HOUR,
                 5 * HOUR,
@@ -322,7 +322,7 @@
 
     @Test
     void theNumberOfBookingsIsLimitedAndRefusedOnesAreRemovedFirst() {
-        Rules defaults = Rules.usual();
+        Rules defaults = Rules.defaults();
         apply(new Operation.SetRules(new Rules(
                 defaults.sealBeforeMs(),
                 defaults.leadMs(),
--- a/src/test/java/firstair/fleet/booking/CalendarTest.java
+++ b/src/test/java/firstair/fleet/booking/CalendarTest.java
@@ -50,10 +50,11 @@
 
     @Test
     void holidaysWeekendsAndClosedDatesAreNotWorkingDays() {
-        assertThat(berlin.works(LocalDate.parse("2026-05-14"))).isFalse(); // Ascension, by Easter
-        assertThat(berlin.works(LocalDate.parse("2026-05-15"))).isTrue();
-        assertThat(berlin.works(LocalDate.parse("2026-06-04"))).isTrue(); // Corpus Christi, in some subdivisions only
-        assertThat(calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "de-by").works(LocalDate.parse("2026-06-04")))
+        assertThat(berlin.isWorkingDay(LocalDate.parse("2026-05-14"))).isFalse(); // Ascension, by Easter
+        assertThat(berlin.isWorkingDay(LocalDate.parse("2026-05-15"))).isTrue();
+        assertThat(berlin.isWorkingDay(LocalDate.parse("2026-06-04")))
+                .isTrue(); // Corpus Christi, in some subdivisions only
+        assertThat(calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "de-by").isWorkingDay(LocalDate.parse("2026-06-04")))
                 .isFalse();
         assertThat(berlin.lastWorkingDay(YearMonth.of(2026, 12))).isEqualTo("2026-12-30");
         assertThat(berlin.lastWorkingDay(YearMonth.of(2026, 5))).isEqualTo("2026-05-29");
@@ -209,7 +210,7 @@
             TimeZone.setDefault(TimeZone.getTimeZone("Pacific/Kiritimati"));
             assertThat(calendar("Europe/Berlin", MIDNIGHT, MIDNIGHT, "DE").expand(daily, ms("2026-03-21T00:00:00Z")))
                     .isEqualTo(expected);
-            assertThat(calendar("Europe/Rome", MIDNIGHT, MIDNIGHT, "IT").works(LocalDate.parse("2026-04-25")))
+            assertThat(calendar("Europe/Rome", MIDNIGHT, MIDNIGHT, "IT").isWorkingDay(LocalDate.parse("2026-04-25")))
                     .isFalse();
         } finally {
             Locale.setDefault(locale);
--- a/src/test/java/firstair/fleet/booking/HistoryTest.java
+++ b/src/test/java/firstair/fleet/booking/HistoryTest.java
@@ -107,7 +107,7 @@
                     .isEqualTo(r.changes());
             r.changes()
                     .forEach(c ->
-                            transitions.add(c.to().word() + ", " + c.cause().replaceAll(" .*", "")));
+                            transitions.add(c.to().label() + ", " + c.cause().replaceAll(" .*", "")));
             checkTotals(seed, bookings);
             SealedBookings set = bookings.sealedSet(now);
             sets.forEach(s -> checkCompatible(seed, s, set, bookings.time()));
@@ -136,11 +136,11 @@
         for (int d = 1; d <= 3; d++) {
             int number = d;
             // nothing is booked at that time
-            long capacity = bookings.left(d, Operation.MAX_TIME_MS - 1, Operation.MAX_TIME_MS);
+            long capacity = bookings.availableRate(d, Operation.MAX_TIME_MS - 1, Operation.MAX_TIME_MS);
             for (Booking at : bookings.all()) {
                 long ms = Math.max(at.startMs(), bookings.time());
                 long sum = bookings.all().stream()
-                        .filter(b -> b.holds() && b.startMs() <= ms && ms < b.bookedToMs())
+                        .filter(b -> b.holdsCapacity() && b.startMs() <= ms && ms < b.bookedToMs())
                         .mapToLong(b -> b.rates().getOrDefault(number, 0L))
                         .sum();
                 assertThat(sum).as("seed %d, destination %d", seed, d).isLessThanOrEqualTo(capacity);
@@ -180,7 +180,7 @@
     void totalsHoldSealedBookingsStayAndReplayIsDeterministic() {
         Set<String> transitions = new TreeSet<>();
         for (long seed = 0; seed < SEEDS; seed++) {
-            transitions.addAll(runHistory(seed, () -> new Bookings(Rules.usual()), true));
+            transitions.addAll(runHistory(seed, () -> new Bookings(Rules.defaults()), true));
         }
         assertThat(transitions)
                 .contains(
@@ -212,7 +212,7 @@
     @Test
     void detectsATimelineThatIgnoresStepsInsideASpan() {
         assertDetected(
-                () -> new Bookings(Rules.usual(), () -> new RateTimeline() {
+                () -> new Bookings(Rules.defaults(), () -> new RateTimeline() {
                     @Override
                     long max(long fromMs, long toMs) {
                         return at(fromMs);
@@ -224,7 +224,7 @@
     @Test
     void detectsBookingsThatIgnoreTheHorizon() {
         assertDetected(
-                () -> new Bookings(Rules.usual()) {
+                () -> new Bookings(Rules.defaults()) {
                     @Override
                     boolean withinHorizon(long ms) {
                         return false;
@@ -235,7 +235,7 @@
 
     @Test
     void handlesTenThousandBookingsOverTwoYearsInBoundedTime() {
-        Bookings bookings = new Bookings(Rules.usual());
+        Bookings bookings = new Bookings(Rules.defaults());
         for (int d = 0; d < 50; d++) {
             bookings.apply(NOW, new Operation.SetDestination(d, 1_000_000, 800_000, List.of()));
         }
--- a/src/test/java/firstair/fleet/booking/OperationsTest.java
+++ b/src/test/java/firstair/fleet/booking/OperationsTest.java
@@ -54,7 +54,7 @@
                 new Operation.Tick(),
                 new Operation.SetTeam("a", Operation.MAX_QUOTA, "Asia/Kolkata"),
                 new Operation.SetDestination(7, 1, 333_333, List.of(closed)),
-                new Operation.SetRules(Rules.usual()));
+                new Operation.SetRules(Rules.defaults()));
         assertThat(all).hasSize(Operation.class.getPermittedSubclasses().length);
         for (Operation o : all) {
             assertThat(Operations.read(Operations.write(o))).isEqualTo(o);
@@ -124,7 +124,7 @@
         Bookings all = BookingFixtures.bookings();
         all.apply(BookingFixtures.NOW, BookingFixtures.put("fees", "a", 5, 30, 10, 12))
                 .orThrow();
-        assertThat(new String(Operations.show(all.booking("fees")), StandardCharsets.UTF_8))
+        assertThat(new String(Operations.writeBooking(all.booking("fees")), StandardCharsets.UTF_8))
                 .isEqualTo("{\"id\":\"fees\",\"team\":\"a\",\"state\":\"held\","
                         + "\"since\":\"2026-03-02T00:00:00Z\",\"cause\":\"there is room\","
                         + "\"rank\":5,\"asked\":{\"1\":30},\"calls\":{\"1\":30},\"start\":\"2026-03-02T10:00:00Z\","
--- a/src/test/java/firstair/fleet/booking/BookedTest.java
+++ b/src/test/java/firstair/fleet/booking/RelayBookingsTest.java
@@ -14,27 +14,27 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class BookedTest {
+class RelayBookingsTest {
     private static final double SKEW_MS = 1000;
     private static final int HALF = Setup.WHOLE / 2;
     private final Bookings bookings = BookingFixtures.bookings();
-    private final Booked booked = new Booked(SKEW_MS);
+    private final RelayBookings booked = new RelayBookings(SKEW_MS);
 
     private double rate(long wallMs) {
         return booked.rate(wallMs, "x", "a", 1, HALF);
     }
 
     private double ordinary(long wallMs) {
-        return booked.ordinary(wallMs, 1, 100, 0.5);
+        return booked.ordinaryRate(wallMs, 1, 100, 0.5);
     }
 
     @Test
     void withoutASetNoBookingIsUsedAndAllBookableCapacityIsReserved() {
         assertThat(rate(at(10))).isZero();
         assertThat(ordinary(at(10))).isEqualTo(50);
-        assertThat(booked.borrowed(0, at(10), 1, id -> Setup.WHOLE)).isZero();
+        assertThat(booked.borrowableRate(0, at(10), 1, id -> Setup.WHOLE)).isZero();
         startRunning(bookings, "x", "a", 30, 10, 12);
-        booked.agreed(bookings.sealedSet(at(10)));
+        booked.acceptVersion(bookings.sealedSet(at(10)));
         assertThat(rate(at(10.2))).isEqualTo(15);
         assertThat(ordinary(at(10.2))).isEqualTo(70);
         assertThat(rate(at(10.25))).isZero(); // the set ends here, and the clock may be slow
@@ -44,7 +44,7 @@
     @Test
     void clockErrorInEitherDirectionIsToleratedAroundStartAndEnd() {
         startRunning(bookings, "x", "a", 30, 10, 10.1);
-        booked.agreed(bookings.sealedSet(at(10)));
+        booked.acceptVersion(bookings.sealedSet(at(10)));
         assertThat(ordinary(at(10) - 1001)).isEqualTo(100);
         assertThat(ordinary(at(10) - 1000)).isEqualTo(70);
         assertThat(rate(at(10) + 999)).isZero();
@@ -59,7 +59,7 @@
     @Test
     void rejectsBookingsOfOtherTeamsAndUnknownBookings() {
         startRunning(bookings, "x", "a", 30, 10, 12);
-        booked.agreed(bookings.sealedSet(at(10)));
+        booked.acceptVersion(bookings.sealedSet(at(10)));
         assertThatThrownBy(() -> booked.rate(at(10.1), "x", "b", 1, HALF)).isInstanceOf(Fault.NotYours.class);
         assertThatThrownBy(() -> booked.rate(at(10.1), "y", "b", 1, HALF)).isInstanceOf(Fault.UnknownBooking.class);
         assertThat(booked.rate(at(10.1), "x", "a", 2, HALF)).isZero();
@@ -69,34 +69,34 @@
     void ignoresAnOlderSet() {
         SealedBookings older = bookings.sealedSet(at(9));
         startRunning(bookings, "x", "a", 30, 10, 12);
-        assertThat(booked.agreed(bookings.sealedSet(at(10)))).isTrue();
-        assertThat(booked.agreed(older)).isFalse();
+        assertThat(booked.acceptVersion(bookings.sealedSet(at(10)))).isTrue();
+        assertThat(booked.acceptVersion(older)).isFalse();
         assertThat(rate(at(10.1))).isEqualTo(15);
     }
 
     @Test
     void borrowsUnusedCapacityAndReturnsItWithinASecond() {
         startRunning(bookings, "x", "a", 30, 10, 12);
-        booked.agreed(bookings.sealedSet(at(10)));
-        assertThat(booked.borrowed(0, at(10.1), 1, id -> HALF)).isEqualTo(15);
+        booked.acceptVersion(bookings.sealedSet(at(10)));
+        assertThat(booked.borrowableRate(0, at(10.1), 1, id -> HALF)).isEqualTo(15);
         double now = 500_000;
-        booked.used(now, "x", 1, 3);
-        assertThat(booked.borrowed(now, at(10.1), 1, id -> HALF)).isEqualTo(9);
-        booked.used(now + 400, "x", 1, 5); // within the same second
-        assertThat(booked.borrowed(now + 400, at(10.1), 1, id -> HALF)).isZero();
-        assertThat(booked.borrowed(now + 4999, at(10.1), 1, id -> HALF)).isZero();
-        assertThat(booked.borrowed(now + 5000, at(10.1), 1, id -> HALF)).isEqualTo(15);
-        booked.used(now, "nobody", 1, 3);
-        booked.used(now, "x", 1, Double.NaN);
+        booked.recordCalls(now, "x", 1, 3);
+        assertThat(booked.borrowableRate(now, at(10.1), 1, id -> HALF)).isEqualTo(9);
+        booked.recordCalls(now + 400, "x", 1, 5); // within the same second
+        assertThat(booked.borrowableRate(now + 400, at(10.1), 1, id -> HALF)).isZero();
+        assertThat(booked.borrowableRate(now + 4999, at(10.1), 1, id -> HALF)).isZero();
+        assertThat(booked.borrowableRate(now + 5000, at(10.1), 1, id -> HALF)).isEqualTo(15);
+        booked.recordCalls(now, "nobody", 1, 3);
+        booked.recordCalls(now, "x", 1, Double.NaN);
     }
 
     @Test
     void aLowerLocalLimitCutsBookingsInProportion() {
         startRunning(bookings, "x", "a", 30, 10, 12);
-        booked.agreed(bookings.sealedSet(at(10)));
-        assertThat(booked.ordinary(at(10.1), 1, 40, 0.5)).isEqualTo(20);
+        booked.acceptVersion(bookings.sealedSet(at(10)));
+        assertThat(booked.ordinaryRate(at(10.1), 1, 40, 0.5)).isEqualTo(20);
         assertThat(rate(at(10.1))).isEqualTo(10);
-        assertThat(booked.borrowed(0, at(10.1), 1, id -> HALF)).isEqualTo(10);
+        assertThat(booked.borrowableRate(0, at(10.1), 1, id -> HALF)).isEqualTo(10);
     }
 
     @Test
@@ -128,10 +128,10 @@
             double halvedAt = 1 + random.nextDouble() * 4;
             double agreedAt = halvedAt + random.nextDouble() / 2;
             Bookings bookings = BookingFixtures.bookings();
-            List<Booked> relays = new ArrayList<>();
+            List<RelayBookings> relays = new ArrayList<>();
             List<Double> clockErrors = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                relays.add(new Booked(assumedSkewMs));
+                relays.add(new RelayBookings(assumedSkewMs));
                 clockErrors.add((random.nextDouble() * 2 - 1) * SKEW_MS);
             }
             for (int i = 0; i < 8; i++) {
@@ -155,12 +155,12 @@
                 SealedBookings set = bookings.sealedSet(bookings.time());
                 double sum = 0;
                 for (int i = 0; i < 4; i++) {
-                    Booked relay = relays.get(i);
+                    RelayBookings relay = relays.get(i);
                     if (random.nextInt(5) == 0) {
-                        relay.agreed(set);
+                        relay.acceptVersion(set);
                     }
                     long wall = at(hour) + Math.round(clockErrors.get(i));
-                    sum += parts[i] * relay.ordinary(wall, 1, limit, 0.5);
+                    sum += parts[i] * relay.ordinaryRate(wall, 1, limit, 0.5);
                     for (Booking b : bookings.all()) {
                         try {
                             sum += relay.rate(wall, b.id(), "a", 1, (int) (bookingParts[i] * Setup.WHOLE));
--- a/src/test/java/firstair/fleet/budget/BudgetsTest.java
+++ b/src/test/java/firstair/fleet/budget/BudgetsTest.java
@@ -238,22 +238,22 @@
         fleet.reportEvery(
                 50, p -> !isCut[0] ? Set.copyOf(fleet.setup.members()) : few.contains(p.name) ? few : Set.copyOf(many));
         fleet.run(4 * QUIET_MS);
-        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.even());
+        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.equalParts());
         isCut[0] = true;
         few.forEach(f -> many.forEach(m -> fleet.blocked.addAll(List.of(f + ">" + m, m + ">" + f))));
         fleet.run(0.7 * QUIET_MS); // leases were last requested at most a fifth of a term before the cut
-        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.even());
+        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.equalParts());
         fleet.run(4 * QUIET_MS);
-        assertThat(few).allMatch(f -> fleet.process(f).parts(D7) == fleet.setup.sure());
+        assertThat(few).allMatch(f -> fleet.process(f).parts(D7) == fleet.setup.guaranteedParts());
         assertThat(many.stream().mapToInt(m -> fleet.process(m).parts(D7)).sum())
-                .isEqualTo(Setup.WHOLE - 2 * fleet.setup.sure());
+                .isEqualTo(Setup.WHOLE - 2 * fleet.setup.guaranteedParts());
         assertThat(few)
                 .allMatch(f -> fleet.process(f).reports.size() == 1
                         && fleet.process(f).reports.get(0).startsWith("F201"));
         fleet.blocked.clear();
         isCut[0] = false;
         fleet.run(3 * QUIET_MS);
-        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.even());
+        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.equalParts());
         assertThat(few)
                 .allMatch(f -> fleet.process(f).reports.size() == 2
                         && fleet.process(f).reports.get(1).contains("again"));
@@ -269,7 +269,7 @@
         // Isolates every relay.
         fleet.setup.members().forEach(m -> fleet.setup.members().forEach(n -> fleet.blocked.add(m + ">" + n)));
         fleet.run(3 * QUIET_MS);
-        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.sure());
+        assertThat(fleet.running).allMatch(p -> p.parts(D7) == fleet.setup.guaranteedParts());
     }
 
     @Test
@@ -283,7 +283,7 @@
         assertThat(before.parts()).isGreaterThan(400_000);
         assertThat(before.until() - fleet.process("r0").clock()).isBetween(0.0, QUIET_MS);
         double later = fleet.process("r0").clock() + QUIET_MS;
-        assertThat(fleet.process("r0").budgets.allocation(later, D7).parts()).isEqualTo(fleet.setup.sure());
+        assertThat(fleet.process("r0").budgets.allocation(later, D7).parts()).isEqualTo(fleet.setup.guaranteedParts());
     }
 
     @Test
@@ -293,12 +293,12 @@
         fleet.run(3 * QUIET_MS);
         FleetSimulation.Process old = fleet.process("r4");
         old.budgets.leave(old.clock());
-        assertThat(old.parts(D7)).isEqualTo(fleet.setup.sure());
+        assertThat(old.parts(D7)).isEqualTo(fleet.setup.guaranteedParts());
         fleet.run(QUIET_MS / 10);
         fleet.kill(old);
         FleetSimulation.Process next = fleet.start("r4");
         fleet.run(QUIET_MS / 10);
-        assertThat(next.parts(D7)).isEqualTo(fleet.setup.even());
+        assertThat(next.parts(D7)).isEqualTo(fleet.setup.equalParts());
     }
 
     @Test
@@ -310,9 +310,9 @@
         old.budgets.stepDown(old.clock());
         fleet.run(QUIET_MS);
         long dropped = old.budgets.dropped();
-        old.budgets.onNote(old.clock(), "r1", 99, new Note.StandingAsk(1, "r1"));
+        old.budgets.onNote(old.clock(), "r1", 99, new Note.LeaseRequest(1, "r1"));
         assertThat(old.budgets.dropped()).isEqualTo(dropped + 1);
-        assertThat(old.parts(D7)).isEqualTo(fleet.setup.sure());
+        assertThat(old.parts(D7)).isEqualTo(fleet.setup.guaranteedParts());
         assertThat(old.budgets.timer(old.clock())).isEqualTo(Double.POSITIVE_INFINITY);
     }
 
@@ -325,25 +325,25 @@
         List<Note> invalid = new ArrayList<>(List.of(
                 new Note.Loan(5, 5, D7, 90_000, 500),
                 new Note.Loan(5, 5, D7, -1, Double.NaN),
-                new Note.LoanAsk(1, "", 5),
-                new Note.LoanAsk(1, D7, -5),
-                new Note.Gift(5, "r:7", 5),
-                new Note.StandingAnswer(5, "r3", true),
-                new Note.StandingAsk(5, "r1"),
-                new Note.StandingBack(5, "r3"),
-                new Note.LoanBack(5),
+                new Note.LoanRequest(1, "", 5),
+                new Note.LoanRequest(1, D7, -5),
+                new Note.RetryTransfer(5, "r:7", 5),
+                new Note.LeaseAnswer(5, "r3", true),
+                new Note.LeaseRequest(5, "r1"),
+                new Note.LeaseRelease(5, "r3"),
+                new Note.LoanReturn(5),
                 new Note.Leaving(),
-                new Note.LoanAsk(1, null, 5),
-                new Note.StandingAsk(1, null),
-                new Note.StandingBack(1, null),
+                new Note.LoanRequest(1, null, 5),
+                new Note.LeaseRequest(1, null),
+                new Note.LeaseRelease(1, null),
                 new Note.Loan(5, 5, null, 5, 5),
-                new Note.Gift(5, null, 5),
-                new Note.StandingAnswer(5, null, true)));
+                new Note.RetryTransfer(5, null, 5),
+                new Note.LeaseAnswer(5, null, true)));
         invalid.forEach(n -> p.budgets.onNote(p.clock(), "r1", 50, n));
-        p.budgets.onNote(p.clock(), "stranger", 50, new Note.LoanAsk(1, D7, 100));
-        p.budgets.onNote(p.clock(), "r1", 49, new Note.LoanAsk(1, D7, 100)); // of an earlier process
+        p.budgets.onNote(p.clock(), "stranger", 50, new Note.LoanRequest(1, D7, 100));
+        p.budgets.onNote(p.clock(), "r1", 49, new Note.LoanRequest(1, D7, 100)); // of an earlier process
         assertThat(p.budgets.dropped()).isEqualTo(invalid.size() + 2);
-        assertThat(p.parts(D7)).isEqualTo(fleet.setup.even());
+        assertThat(p.parts(D7)).isEqualTo(fleet.setup.equalParts());
         assertThat(p.reports).hasSize(1).allMatch(r -> r.startsWith("F202"));
     }
 
--- a/src/test/java/firstair/fleet/budget/FleetSimulation.java
+++ b/src/test/java/firstair/fleet/budget/FleetSimulation.java
@@ -94,7 +94,7 @@
             sent++;
             for (int copies = random.nextDouble() < duplicated ? 2 : 1; copies > 0; copies--) {
                 if (random.nextDouble() >= lost && !blocked.contains(name + ">" + to)) {
-                    double share = note instanceof Note.StandingBack ? delayedReleases : delayed;
+                    double share = note instanceof Note.LeaseRelease ? delayedReleases : delayed;
                     double delay = random.nextDouble() < share
                             ? random.nextDouble() * maxDelayMs
                             : 0.5 + random.nextDouble() * usualDelayMs;
@@ -197,7 +197,7 @@
             int sum = running.stream().mapToInt(p -> p.parts(budget)).sum();
             // The stated exception: each of several processes under one name may use its guaranteed parts. And a
             // stopped one may return at any moment and use them.
-            sum += (setup.members().size() - running.size()) * setup.sure();
+            sum += (setup.members().size() - running.size()) * setup.guaranteedParts();
             if (sum > Setup.WHOLE && violation == null) {
                 violation = budget + " adds up to " + sum + " at " + time;
             }
--- a/src/test/java/firstair/fleet/judge/HealthEvidenceTest.java
+++ b/src/test/java/firstair/fleet/judge/HealthEvidenceTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.fleet.Setup;
-import firstair.fleet.talk.Note.Sight;
-import firstair.fleet.talk.Note.Sign;
-import firstair.fleet.talk.Note.Signs;
+import firstair.fleet.talk.Note.HealthReport;
+import firstair.fleet.talk.Note.HealthReports;
+import firstair.fleet.talk.Note.Observation;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -28,56 +28,56 @@
                 subject -> subject.startsWith("e:"));
     }
 
-    private static Sign sign(int by, String subject, Sight sight, int calls, double age, double holds) {
-        return new Sign("r" + by, 1, subject, sight, calls, age, holds, 1);
+    private static HealthReport sign(int by, String subject, Observation sight, int calls, double age, double holds) {
+        return new HealthReport("r" + by, 1, subject, sight, calls, age, holds, 1);
     }
 
-    private void merge(double now, Sign... signs) {
-        own.merge(now, "r1", new Signs(List.of(signs)));
+    private void merge(double now, HealthReport... signs) {
+        own.merge(now, "r1", new HealthReports(List.of(signs)));
     }
 
     @Test
     void aRequestedWaitBindsAllRelaysAndIsNeverShortened() {
-        merge(1_000, sign(1, E, Sight.WAIT, 5, 1_000, 5_000));
+        merge(1_000, sign(1, E, Observation.WAIT, 5, 1_000, 5_000));
         assertThat(own.waitUntil(1_000, E)).isBetween(5_000.0, 5_100.0); // extended for clock drift
-        merge(1_100, sign(1, E, Sight.WAIT, 6, 0, 100), sign(2, E, Sight.ANSWERS, 9, 0, 9_000));
-        own.observe(1_200, E, Sight.ANSWERS, 50, 9_000);
-        own.observe(1_200, E, Sight.WAIT, 1, 50);
+        merge(1_100, sign(1, E, Observation.WAIT, 6, 0, 100), sign(2, E, Observation.ANSWERS, 9, 0, 9_000));
+        own.observe(1_200, E, Observation.ANSWERS, 50, 9_000);
+        own.observe(1_200, E, Observation.WAIT, 1, 50);
         assertThat(own.waitUntil(1_200, E)).isBetween(5_000.0, 5_100.0);
-        merge(1_300, sign(3, E, Sight.WAIT, 1, 0, 1e12));
+        merge(1_300, sign(3, E, Observation.WAIT, 1, 0, 1e12));
         assertThat(own.waitUntil(1_300, E)).isEqualTo(1_300 + LONGEST);
         assertThat(own.waitUntil(40_000, E)).isEqualTo(40_000);
     }
 
     @Test
     void downNeedsTwoOthersOrOurOwnFailuresAndExpires() {
-        merge(0, sign(1, E, Sight.FAILS, 3, 0, 5_000), sign(1, E, Sight.FAILS, 9, 0, 5_000));
+        merge(0, sign(1, E, Observation.FAILS, 3, 0, 5_000), sign(1, E, Observation.FAILS, 9, 0, 5_000));
         assertThat(own.isDown(10, E)).isFalse();
-        merge(20, sign(2, E, Sight.FAILS, 3, 0, 5_000));
+        merge(20, sign(2, E, Observation.FAILS, 3, 0, 5_000));
         assertThat(own.isDown(20, E)).isTrue();
-        merge(30, sign(2, E, Sight.ANSWERS, 4, 0, 5_000)); // revokes its own evidence only
+        merge(30, sign(2, E, Observation.ANSWERS, 4, 0, 5_000)); // revokes its own evidence only
         assertThat(own.isDown(30, E)).isFalse();
-        own.observe(40, "e:two", Sight.FAILS, 2, 5_000);
+        own.observe(40, "e:two", Observation.FAILS, 2, 5_000);
         assertThat(own.isDown(40, "e:two")).isFalse();
-        own.observe(50, "e:two", Sight.FAILS, 1, 5_000);
+        own.observe(50, "e:two", Observation.FAILS, 1, 5_000);
         assertThat(own.isDown(50, "e:two")).isTrue();
         assertThat(own.isDown(5_060, "e:two")).isFalse();
     }
 
     @Test
     void twoFailingAreOutvotedByMoreWithLaterAnswers() {
-        Sign[] answers = {
-            sign(3, E, Sight.ANSWERS, 1, 0, 9_000),
-            sign(4, E, Sight.ANSWERS, 1, 0, 9_000),
-            sign(5, E, Sight.ANSWERS, 1, 0, 9_000)
+        HealthReport[] answers = {
+            sign(3, E, Observation.ANSWERS, 1, 0, 9_000),
+            sign(4, E, Observation.ANSWERS, 1, 0, 9_000),
+            sign(5, E, Observation.ANSWERS, 1, 0, 9_000)
         };
-        merge(0, sign(1, E, Sight.FAILS, 3, 0, 9_000), sign(2, E, Sight.FAILS, 3, 0, 9_000));
+        merge(0, sign(1, E, Observation.FAILS, 3, 0, 9_000), sign(2, E, Observation.FAILS, 3, 0, 9_000));
         merge(500, answers);
         assertThat(own.isDown(600, E)).isFalse();
-        merge(700, sign(1, E, Sight.ANSWERS, 4, 0, 9_000), sign(2, E, Sight.ANSWERS, 4, 0, 9_000));
-        merge(800, sign(1, E, Sight.FAILS, 7, 0, 9_000), sign(2, E, Sight.FAILS, 7, 0, 9_000));
+        merge(700, sign(1, E, Observation.ANSWERS, 4, 0, 9_000), sign(2, E, Observation.ANSWERS, 4, 0, 9_000));
+        merge(800, sign(1, E, Observation.FAILS, 7, 0, 9_000), sign(2, E, Observation.FAILS, 7, 0, 9_000));
         assertThat(own.isDown(900, E)).isTrue(); // the others' answers came before
-        merge(1_000, sign(1, E, Sight.ANSWERS, 9, 0, 100), sign(2, E, Sight.ANSWERS, 9, 0, 100));
+        merge(1_000, sign(1, E, Observation.ANSWERS, 9, 0, 100), sign(2, E, Observation.ANSWERS, 9, 0, 100));
         assertThat(own.isDown(9_800, E)).isFalse(); // expired answers don't revive the earlier failures
     }
 
@@ -85,12 +85,12 @@
     void duplicatesAndOrderChangeNothing() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            List<Sign> signs = new ArrayList<>();
+            List<HealthReport> signs = new ArrayList<>();
             for (int i = 0; i < 60; i++) { // later signs of a member have higher counts; waits never get shorter
                 double age = 6_000 - i * 100;
-                Sight sight = Sight.values()[random.nextInt(3)];
-                double holds = sight == Sight.WAIT ? 8_000 : 2_000 + random.nextInt(8_000);
-                signs.add(new Sign(
+                Observation sight = Observation.values()[random.nextInt(3)];
+                double holds = sight == Observation.WAIT ? 8_000 : 2_000 + random.nextInt(8_000);
+                signs.add(new HealthReport(
                         "r" + (1 + random.nextInt(9)),
                         1 + i / 40,
                         "e:" + random.nextInt(4),
@@ -103,9 +103,9 @@
             List<String> results = new ArrayList<>();
             for (int round = 0; round < 4; round++) {
                 HealthEvidence one = evidenceOf("r0", 10);
-                signs.forEach(s -> one.merge(100, "r2", new Signs(List.of(s))));
+                signs.forEach(s -> one.merge(100, "r2", new HealthReports(List.of(s))));
                 double later = 100 + 40 * round; // late copies
-                signs.forEach(s -> one.merge(later, "r3", new Signs(List.of(s))));
+                signs.forEach(s -> one.merge(later, "r3", new HealthReports(List.of(s))));
                 StringBuilder text = new StringBuilder();
                 for (int e = 0; e < 4; e++) {
                     text.append(one.isDown(1_300, "e:" + e))
@@ -122,64 +122,66 @@
     @Test
     void aRelayWhoseFailuresContradictTheOthersIsDistrustedAlsoByItself() {
         for (int e = 0; e < 4; e++) {
-            own.observe(e, "e:" + e, Sight.FAILS, 5, 20_000);
+            own.observe(e, "e:" + e, Observation.FAILS, 5, 20_000);
             assertThat(own.isDown(e, "e:" + e)).isTrue();
         }
         for (int by = 1; by < 4; by++) {
             for (int e = 0; e < 4; e++) {
-                merge(500, sign(by, "e:" + e, Sight.ANSWERS, 5, 0, 20_000));
+                merge(500, sign(by, "e:" + e, Observation.ANSWERS, 5, 0, 20_000));
             }
         }
         assertThat(own.isDistrusted(1_600, "r0")).isFalse();
         own.timer(1_600);
         assertThat(own.isDistrusted(1_600, "r0")).isTrue();
         assertThat(own.isDown(1_600, "e:1")).isFalse();
-        Sign low = new Sign("r5", 1, E, Sight.FAILS, 3, 0, 9_000, 0.1);
-        merge(1_700, low, sign(6, E, Sight.FAILS, 3, 0, 9_000));
+        HealthReport low = new HealthReport("r5", 1, E, Observation.FAILS, 3, 0, 9_000, 0.1);
+        merge(1_700, low, sign(6, E, Observation.FAILS, 3, 0, 9_000));
         assertThat(own.isDown(1_700, E)).isFalse(); // r5 has a tenth of the others' success rate
-        merge(1_800, sign(7, E, Sight.FAILS, 3, 0, 9_000));
+        merge(1_800, sign(7, E, Observation.FAILS, 3, 0, 9_000));
         assertThat(own.isDown(1_800, E)).isTrue();
     }
 
     @Test
     void urgentSignsAreSentFirstAndEachALimitedNumberOfTimes() {
-        merge(0, sign(3, "e:4", Sight.ANSWERS, 1, 0, 9_000));
-        merge(0, sign(2, "e:3", Sight.FAILS, 1, 0, 9_000));
-        merge(0, sign(2, "e:3", Sight.ANSWERS, 2, 0, 9_000), sign(4, "e:2", Sight.FAILS, 3, 0, 9_000));
-        own.observe(0, "e:1", Sight.WAIT, 1, 9_000);
-        assertThat(own.nextToSend(10, 9)).extracting(Sign::subject).containsExactly("e:1", "e:3", "e:2", "e:3", "e:4");
-        assertThat(own.nextToSend(20, 2)).extracting(Sign::subject).containsExactly("e:1", "e:3");
+        merge(0, sign(3, "e:4", Observation.ANSWERS, 1, 0, 9_000));
+        merge(0, sign(2, "e:3", Observation.FAILS, 1, 0, 9_000));
+        merge(0, sign(2, "e:3", Observation.ANSWERS, 2, 0, 9_000), sign(4, "e:2", Observation.FAILS, 3, 0, 9_000));
+        own.observe(0, "e:1", Observation.WAIT, 1, 9_000);
+        assertThat(own.nextToSend(10, 9))
+                .extracting(HealthReport::subject)
+                .containsExactly("e:1", "e:3", "e:2", "e:3", "e:4");
+        assertThat(own.nextToSend(20, 2)).extracting(HealthReport::subject).containsExactly("e:1", "e:3");
         int more = 0;
-        for (List<Sign> sent = own.nextToSend(30, 3); !sent.isEmpty(); sent = own.nextToSend(30, 3)) {
+        for (List<HealthReport> sent = own.nextToSend(30, 3); !sent.isEmpty(); sent = own.nextToSend(30, 3)) {
             assertThat(sent).hasSizeLessThanOrEqualTo(3).allMatch(s -> s.ageMs() == 30);
             more += sent.size();
         }
         assertThat(more + 7).isEqualTo(5 * 5); // five signs, each sent five times with ten members
-        own.observe(40, "e:1", Sight.WAIT, 1, 100);
+        own.observe(40, "e:1", Observation.WAIT, 1, 100);
         assertThat(own.nextToSend(41, 9)).isEmpty(); // shorter than the wait in force
-        own.observe(50, "e:1", Sight.WAIT, 1, 500);
-        own.observe(60, "e:5", Sight.WAIT, 1, 500);
+        own.observe(50, "e:1", Observation.WAIT, 1, 500);
+        own.observe(60, "e:5", Observation.WAIT, 1, 500);
         assertThat(own.nextToSend(600, 9)).isEmpty(); // expired
     }
 
     @Test
     void invalidSignsAreCountedAndChangeNothing() {
         HealthEvidence other = evidenceOf("r0", 10);
-        other.merge(0, "stranger", new Signs(List.of(sign(1, E, Sight.WAIT, 1, 0, 9))));
+        other.merge(0, "stranger", new HealthReports(List.of(sign(1, E, Observation.WAIT, 1, 0, 9))));
         other.merge(
                 0,
                 "r1",
-                new Signs(List.of(
-                        sign(77, E, Sight.WAIT, 1, 0, 9),
-                        sign(1, "x", Sight.WAIT, 1, 0, 9),
-                        sign(1, E, Sight.WAIT, 1, Double.NaN, 9),
-                        sign(1, E, Sight.WAIT, 1, -1, 9),
-                        sign(1, E, Sight.WAIT, 1, 0, Double.POSITIVE_INFINITY),
+                new HealthReports(List.of(
+                        sign(77, E, Observation.WAIT, 1, 0, 9),
+                        sign(1, "x", Observation.WAIT, 1, 0, 9),
+                        sign(1, E, Observation.WAIT, 1, Double.NaN, 9),
+                        sign(1, E, Observation.WAIT, 1, -1, 9),
+                        sign(1, E, Observation.WAIT, 1, 0, Double.POSITIVE_INFINITY),
                         sign(1, E, null, 1, 0, 9),
-                        new Sign("r1", 1, E, Sight.WAIT, 1, 0, 9, Double.NaN),
-                        sign(1, null, Sight.WAIT, 1, 0, 9),
-                        sign(0, E, Sight.WAIT, 1, 0, 9))));
-        other.observe(0, "x", Sight.WAIT, 1, 9);
+                        new HealthReport("r1", 1, E, Observation.WAIT, 1, 0, 9, Double.NaN),
+                        sign(1, null, Observation.WAIT, 1, 0, 9),
+                        sign(0, E, Observation.WAIT, 1, 0, 9))));
+        other.observe(0, "x", Observation.WAIT, 1, 9);
         assertThat(other.dropped()).isEqualTo(10); // our own sign that comes back is not counted
         assertThat(other.nextToSend(0, 9)).isEmpty();
     }
@@ -203,10 +205,10 @@
             int e = random.nextInt(20);
             boolean fails = isDown[e] != i >= 10 - liars;
             if (fails || answersAreReported) {
-                relays.get(i).observe(now, "e:" + e, fails ? Sight.FAILS : Sight.ANSWERS, 3, 20_000);
+                relays.get(i).observe(now, "e:" + e, fails ? Observation.FAILS : Observation.ANSWERS, 3, 20_000);
             }
             for (HealthEvidence r : relays) {
-                Signs sent = new Signs(r.nextToSend(now, 5));
+                HealthReports sent = new HealthReports(r.nextToSend(now, 5));
                 int to = random.nextInt(10);
                 if (random.nextInt(5) > 0) {
                     relays.get(to).merge(now, "r" + relays.indexOf(r), sent);
--- a/src/test/java/firstair/fleet/ledger/FollowerTest.java
+++ b/src/test/java/firstair/fleet/ledger/FollowerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class FollowerTest {
-    private record Sent(String to, Note.AgreedAsk request) {}
+    private record Sent(String to, Note.StateRequest request) {}
 
     private record Update(long version, String state, boolean linearizable, double requestedAt) {}
 
@@ -24,7 +24,7 @@
             new Outbox() {
                 @Override
                 public void send(String to, Note note) {
-                    sent.add(new Sent(to, (Note.AgreedAsk) note));
+                    sent.add(new Sent(to, (Note.StateRequest) note));
                 }
 
                 @Override
@@ -42,10 +42,10 @@
     }
 
     private void answer(double now, Sent request, long version, boolean linearizable, int chunk, String... chunks) {
-        follower.heard(
+        follower.receive(
                 now,
                 request.to,
-                new Note.Agreed(
+                new Note.StateChunk(
                         request.request.nonce(),
                         version,
                         linearizable,
@@ -108,14 +108,16 @@
     @Test
     void unrequestedAndInvalidAnswersAreDropped() {
         Sent first = poll(0);
-        follower.heard(1, "a", new Note.Agreed(first.request.nonce() + 1, 4, true, 0, 1, new byte[1]));
-        follower.heard(
+        follower.receive(1, "a", new Note.StateChunk(first.request.nonce() + 1, 4, true, 0, 1, new byte[1]));
+        follower.receive(
                 1,
                 first.to.equals("a") ? "b" : "a",
-                new Note.Agreed(first.request.nonce(), 4, true, 0, 1, new byte[1]));
+                new Note.StateChunk(first.request.nonce(), 4, true, 0, 1, new byte[1]));
         for (int[] invalid : new int[][] {{-1, 1}, {1, 1}, {0, -1}, {0, 5000}, {0, 0}}) {
-            follower.heard(
-                    1, first.to, new Note.Agreed(first.request.nonce(), 4, true, invalid[0], invalid[1], new byte[1]));
+            follower.receive(
+                    1,
+                    first.to,
+                    new Note.StateChunk(first.request.nonce(), 4, true, invalid[0], invalid[1], new byte[1]));
         }
         assertThat(follower.dropped()).isEqualTo(7);
         assertThat(updates).isEmpty();
--- a/src/test/java/firstair/fleet/ledger/AgreementsTest.java
+++ b/src/test/java/firstair/fleet/ledger/LedgerStateMachinesTest.java
@@ -9,10 +9,11 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class AgreementsTest {
+class LedgerStateMachinesTest {
     private static final double RETENTION_MS = 10_000;
     private AgreedContracts contracts = new AgreedContracts(RETENTION_MS);
-    private Agreements agreements = new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, contracts)));
+    private LedgerStateMachines agreements =
+            new LedgerStateMachines(new TreeMap<>(Map.of(LedgerStateMachines.CONTRACTS, contracts)));
     private long index;
 
     private Outcome apply(String by, long incarnation, long number, byte[] operation) {
@@ -24,7 +25,7 @@
     }
 
     private AgreedContracts.Put put(Outcome outcome) {
-        return AgreedContracts.result(((Outcome.Agreed) outcome).result());
+        return AgreedContracts.result(((Outcome.Committed) outcome).result());
     }
 
     @Test
@@ -50,16 +51,16 @@
 
     @Test
     void aProposalOlderThanTheKeptResultsIsRejectedNotAppliedAgain() {
-        for (int n = 1; n <= Agreements.MAX_RESULTS_PER_MEMBER + 1; n++) {
+        for (int n = 1; n <= LedgerStateMachines.MAX_RESULTS_PER_MEMBER + 1; n++) {
             apply("a", 1, n, put(n - 1, n));
         }
-        assertThat(apply("a", 1, 1, put(Agreements.MAX_RESULTS_PER_MEMBER + 1, 99)))
+        assertThat(apply("a", 1, 1, put(LedgerStateMachines.MAX_RESULTS_PER_MEMBER + 1, 99)))
                 .isInstanceOf(Outcome.Refused.class);
-        apply("a", 2, 1, put(Agreements.MAX_RESULTS_PER_MEMBER + 1, 99)); // the next process of the member
-        assertThat(apply("a", 1, 99, put(Agreements.MAX_RESULTS_PER_MEMBER + 2, 99)))
+        apply("a", 2, 1, put(LedgerStateMachines.MAX_RESULTS_PER_MEMBER + 1, 99)); // the next process of the member
+        assertThat(apply("a", 1, 99, put(LedgerStateMachines.MAX_RESULTS_PER_MEMBER + 2, 99)))
                 .isInstanceOf(Outcome.Refused.class);
         assertThat(contracts.versions().get(contracts.versions().size() - 1).number())
-                .isEqualTo(Agreements.MAX_RESULTS_PER_MEMBER + 2);
+                .isEqualTo(LedgerStateMachines.MAX_RESULTS_PER_MEMBER + 2);
     }
 
     @Test
@@ -91,12 +92,13 @@
         apply("b", 3, 1, put(1, 6));
         byte[] snapshot = agreements.snapshot();
         contracts = new AgreedContracts(RETENTION_MS);
-        agreements = new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, contracts)));
+        agreements = new LedgerStateMachines(new TreeMap<>(Map.of(LedgerStateMachines.CONTRACTS, contracts)));
         agreements.restore(snapshot);
         assertThat(agreements.snapshot()).isEqualTo(snapshot);
         assertThat(agreements.version()).isEqualTo(2);
         assertThat(put(apply("b", 3, 1, put(1, 6)))).isEqualTo(new AgreedContracts.Put(true, 2));
-        assertThat(AgreedContracts.read(Agreements.parts(agreements.state()).get(Agreements.CONTRACTS)))
+        assertThat(AgreedContracts.read(
+                        LedgerStateMachines.parts(agreements.state()).get(LedgerStateMachines.CONTRACTS)))
                 .isEqualTo(contracts.versions())
                 .hasSize(2);
     }
@@ -104,7 +106,7 @@
     @Test
     void aRejectedOperationChangesNothingAndAnUnknownKindThrows() {
         byte[] before = contracts.snapshot();
-        Outcome refused = apply("a", 1, 1, new byte[] {Agreements.CONTRACTS, 1});
+        Outcome refused = apply("a", 1, 1, new byte[] {LedgerStateMachines.CONTRACTS, 1});
         assertThat(((Outcome.Refused) refused).code()).isEqualTo("F102");
         assertThat(contracts.snapshot()).isEqualTo(before);
         assertThatThrownBy(() -> apply("a", 1, 2, new byte[] {99})).isInstanceOf(Fault.UnknownEntry.class);
--- a/src/test/java/firstair/fleet/ledger/LedgerStepsTest.java
+++ b/src/test/java/firstair/fleet/ledger/LedgerStepsTest.java
@@ -35,7 +35,7 @@
 
     private record Sent(String from, String to, Note note) {
         RaftMessage message() {
-            return note instanceof Note.Engine e ? RaftCodec.decode(e.bytes()) : null;
+            return note instanceof Note.ConsensusMessage e ? RaftCodec.decode(e.bytes()) : null;
         }
     }
 
@@ -45,7 +45,7 @@
     private boolean storeFails;
     private double now;
 
-    private Ledger ledger(String name, LedgerMemory memory, Keeper keeper) {
+    private Ledger ledger(String name, LedgerState memory, LedgerStore keeper) {
         Setup setup =
                 new Setup("fleet", name, "z", List.of("a", "b", "c", "x", "y"), VOTERS, 500, 3000, 100, 0.01, 0.5);
         Outbox outbox = new Outbox() {
@@ -59,7 +59,7 @@
                 reports.add(text);
             }
         };
-        Agreement echo = new Agreement() {
+        ReplicatedStateMachine echo = new ReplicatedStateMachine() {
             @Override
             public byte[] apply(long index, byte[] operation) {
                 if (operation.length == 0) {
@@ -81,14 +81,14 @@
                 1,
                 memory,
                 keeper,
-                new Agreements(new TreeMap<>(Map.of(7, echo))),
+                new LedgerStateMachines(new TreeMap<>(Map.of(7, echo))),
                 outbox,
                 new Random(name.charAt(0)),
                 (version, state, linearizable, requestedAt) -> {});
     }
 
-    private static LedgerMemory created(String name) {
-        return LedgerMemory.founded("fleet", name, VOTERS);
+    private static LedgerState created(String name) {
+        return LedgerState.initial("fleet", name, VOTERS);
     }
 
     /** Delivers the matching notes on the wire and those sent in response; returns those sent to other members. */
@@ -101,7 +101,7 @@
                     wire.remove(s);
                     more = true;
                     if (ledgers.containsKey(s.to)) {
-                        ledgers.get(s.to).heard(now, s.from, s.note);
+                        ledgers.get(s.to).receive(now, s.from, s.note);
                     } else {
                         toMembers.add(s);
                     }
@@ -112,21 +112,24 @@
     }
 
     private String leader() {
-        return VOTERS.stream().filter(v -> ledgers.get(v).leads()).findFirst().orElse(null);
+        return VOTERS.stream()
+                .filter(v -> ledgers.get(v).isLeader())
+                .findFirst()
+                .orElse(null);
     }
 
     @BeforeEach
     void elect() {
         for (String v : VOTERS) {
-            LedgerMemory memory = created(v);
-            MemoryKeeper kept = new MemoryKeeper(memory);
-            ledgers.put(v, ledger(v, memory, new Keeper() {
+            LedgerState memory = created(v);
+            InMemoryLedgerStore kept = new InMemoryLedgerStore(memory);
+            ledgers.put(v, ledger(v, memory, new LedgerStore() {
                 @Override
-                public void keep(byte[] change) throws IOException {
+                public void append(byte[] change) throws IOException {
                     if (storeFails) {
                         throw new IOException("no space left");
                     }
-                    kept.keep(change);
+                    kept.append(change);
                 }
 
                 @Override
@@ -146,17 +149,17 @@
     @Test
     void aReadIsNotConfirmedByRequestsSentBeforeIt() {
         String leader = leader();
-        ledgers.get(leader).heard(now, "x", new Note.AgreedAsk(1, 0));
+        ledgers.get(leader).receive(now, "x", new Note.StateRequest(1, 0));
         deliver(s -> s.from.equals(leader) && ledgers.containsKey(s.to)); // the others have responded
-        ledgers.get(leader).heard(now, "y", new Note.AgreedAsk(2, 0)); // while their responses are in flight
+        ledgers.get(leader).receive(now, "y", new Note.StateRequest(2, 0)); // while their responses are in flight
         List<Sent> answers = new ArrayList<>();
         for (Sent s : List.copyOf(wire)) {
             if (s.to.equals(leader)) {
                 wire.remove(s);
-                ledgers.get(leader).heard(now, s.from, s.note);
+                ledgers.get(leader).receive(now, s.from, s.note);
             }
         }
-        wire.stream().filter(s -> s.note instanceof Note.Agreed).forEach(answers::add);
+        wire.stream().filter(s -> s.note instanceof Note.StateChunk).forEach(answers::add);
         assertThat(answers).extracting(Sent::to).containsExactly("x");
         assertThat(deliver(s -> true)).extracting(Sent::to).contains("x", "y");
     }
@@ -176,7 +179,7 @@
                 .setFlowControlSequenceNumber(0)
                 .build();
         long before = ledger.dropped();
-        ledger.heard(now, other, new Note.Engine(RaftCodec.encode(late)));
+        ledger.receive(now, other, new Note.ConsensusMessage(RaftCodec.encode(late)));
         assertThat(ledger.dropped()).isEqualTo(before + 1);
         assertThat(wire).isEmpty();
     }
@@ -185,11 +188,11 @@
     void aVoterWhoseStoreFailsSendsNothingMore() {
         String leader = leader();
         storeFails = true;
-        ledgers.get(leader).heard(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {7, 1}).encode()));
+        ledgers.get(leader).receive(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {7, 1}).encode()));
         assertThat(ledgers.get(leader).fault()).isInstanceOf(Fault.LedgerUnwritten.class);
-        assertThat(ledgers.get(leader).leads()).isFalse();
+        assertThat(ledgers.get(leader).isLeader()).isFalse();
         assertThat(reports).singleElement().asString().startsWith("F502").contains("no space left");
-        assertThat(wire).noneMatch(s -> s.note instanceof Note.Engine);
+        assertThat(wire).noneMatch(s -> s.note instanceof Note.ConsensusMessage);
         assertThat(wire)
                 .extracting(Sent::note)
                 .filteredOn(Note.Proposed.class::isInstance)
@@ -199,11 +202,11 @@
     @Test
     void anUnknownKindIsRejectedAndAnUnknownOperationStopsTheVoter() {
         String leader = leader();
-        ledgers.get(leader).heard(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {9, 1}).encode()));
+        ledgers.get(leader).receive(now, "x", new Note.Propose(5, new Proposal("x", 1, 1, new byte[] {9, 1}).encode()));
         Note.Proposed refused = (Note.Proposed) deliver(s -> true).get(0).note;
         assertThat(((Outcome.Refused) Outcome.decode(refused.result())).code()).isEqualTo("F503");
         assertThat(ledgers.get(leader).fault()).isNull();
-        ledgers.get(leader).heard(now, "x", new Note.Propose(6, new Proposal("x", 1, 2, new byte[] {7}).encode()));
+        ledgers.get(leader).receive(now, "x", new Note.Propose(6, new Proposal("x", 1, 2, new byte[] {7}).encode()));
         deliver(s -> true);
         assertThat(ledgers.get(leader).fault()).isInstanceOf(Fault.UnknownEntry.class);
     }
@@ -221,13 +224,13 @@
                 .setSticky(false)
                 .build();
         int term = ledger.term();
-        assertThatThrownBy(() -> ledger.heard(now, "a", new Note.Engine(RaftCodec.encode(foreign))))
+        assertThatThrownBy(() -> ledger.receive(now, "a", new Note.ConsensusMessage(RaftCodec.encode(foreign))))
                 .isInstanceOf(Fault.OtherFleet.class);
-        assertThatThrownBy(() -> ledger.heard(now, "b", new Note.Engine(new byte[] {1, 2, 3})))
+        assertThatThrownBy(() -> ledger.receive(now, "b", new Note.ConsensusMessage(new byte[] {1, 2, 3})))
                 .isInstanceOf(Fault.Unreadable.class);
-        assertThatThrownBy(() -> ledger.heard(now, "mallory", new Note.AgreedAsk(1, 0)))
+        assertThatThrownBy(() -> ledger.receive(now, "mallory", new Note.StateRequest(1, 0)))
                 .isInstanceOf(Fault.Stranger.class);
-        assertThatThrownBy(() -> ledger.heard(
+        assertThatThrownBy(() -> ledger.receive(
                         now, "x", new Note.Propose(1, new Proposal("mallory", 1, 1, new byte[] {7}).encode())))
                 .isInstanceOf(Fault.Stranger.class);
         assertThat(ledger.term()).isEqualTo(term);
@@ -236,14 +239,14 @@
     /** The candidates that get a vote of term 9 from a voter that is killed and restarted between their requests. */
     private List<String> votes(boolean durable) {
         List<String> granted = new ArrayList<>();
-        LedgerMemory memory = created("a");
+        LedgerState memory = created("a");
         for (String candidate : List.of("b", "c")) {
-            MemoryKeeper kept = new MemoryKeeper(memory);
+            InMemoryLedgerStore kept = new InMemoryLedgerStore(memory);
             wire.clear();
-            Ledger voter = ledger("a", memory, new Keeper() {
+            Ledger voter = ledger("a", memory, new LedgerStore() {
                 @Override
-                public void keep(byte[] change) {
-                    kept.keep(change);
+                public void append(byte[] change) {
+                    kept.append(change);
                 }
 
                 @Override
@@ -263,13 +266,13 @@
                     .setLastLogIndex(0)
                     .setSticky(false)
                     .build();
-            voter.heard(now, candidate, new Note.Engine(RaftCodec.encode(voteRequest)));
+            voter.receive(now, candidate, new Note.ConsensusMessage(RaftCodec.encode(voteRequest)));
             for (Sent s : wire) {
                 if (s.message() instanceof VoteResponse v && v.isGranted()) {
                     granted.add(s.to);
                 }
             }
-            memory = kept.killed(LOSE_ALL_UNFORCED);
+            memory = kept.afterKill(LOSE_ALL_UNFORCED);
         }
         return granted;
     }
@@ -286,10 +289,11 @@
 
     @Test
     void aLedgerOfAnotherVoterOrOtherVotersIsRejected() {
-        LedgerMemory others = created("b");
-        assertThatThrownBy(() -> ledger("a", others, new MemoryKeeper(others))).isInstanceOf(Fault.BadSetup.class);
-        LedgerMemory withOtherVoters = LedgerMemory.founded("fleet", "a", List.of("a", "b", "d"));
-        assertThatThrownBy(() -> ledger("a", withOtherVoters, new MemoryKeeper(withOtherVoters)))
+        LedgerState others = created("b");
+        assertThatThrownBy(() -> ledger("a", others, new InMemoryLedgerStore(others)))
+                .isInstanceOf(Fault.BadSetup.class);
+        LedgerState withOtherVoters = LedgerState.initial("fleet", "a", List.of("a", "b", "d"));
+        assertThatThrownBy(() -> ledger("a", withOtherVoters, new InMemoryLedgerStore(withOtherVoters)))
                 .isInstanceOf(Fault.BadSetup.class);
     }
 }
--- a/src/test/java/firstair/fleet/ledger/LedgerTest.java
+++ b/src/test/java/firstair/fleet/ledger/LedgerTest.java
@@ -40,7 +40,7 @@
                 }
                 case 5 -> {
                     if (fleet.running.containsKey(voter)) {
-                        fleet.running.get(voter).ledger.leave(fleet.now);
+                        fleet.running.get(voter).ledger.transferLeadership(fleet.now);
                     }
                 }
                 default -> {
@@ -87,10 +87,10 @@
         int detected = 0;
         for (long seed = 100; seed < 110; seed++) {
             VoterCluster fleet = new VoterCluster(seed, 3);
-            fleet.keeperWrapper = kept -> new Keeper() {
+            fleet.keeperWrapper = kept -> new LedgerStore() {
                 @Override
-                public void keep(byte[] change) throws IOException {
-                    kept.keep(change);
+                public void append(byte[] change) throws IOException {
+                    kept.append(change);
                 }
 
                 @Override
@@ -137,7 +137,7 @@
         fleet.run(9000);
         assertThat(fleet.refused).containsExactly(lost);
         assertThat(fleet.acknowledged).containsKey(other);
-        assertThat(fleet.running.get(isolated).ledger.leads()).isFalse();
+        assertThat(fleet.running.get(isolated).ledger.isLeader()).isFalse();
         fleet.blockedLinks.clear();
         fleet.run(5000);
         assertThat(fleet.running.get(isolated).ledger.version())
@@ -172,7 +172,7 @@
         fleet.start();
         fleet.run(6000);
         String leader = fleet.leader();
-        fleet.running.get(leader).ledger.leave(fleet.now);
+        fleet.running.get(leader).ledger.transferLeadership(fleet.now);
         fleet.run(1000);
         assertThat(fleet.leader()).isNotNull().isNotEqualTo(leader);
     }
--- a/src/test/java/firstair/fleet/ledger/VoterCluster.java
+++ b/src/test/java/firstair/fleet/ledger/VoterCluster.java
@@ -33,7 +33,7 @@
     }
 
     /** Records the operations it applies and compares them with those that other voters applied. */
-    private final class RecordingStateMachine implements Agreement {
+    private final class RecordingStateMachine implements ReplicatedStateMachine {
         private final List<String> applied = new ArrayList<>();
 
         @Override
@@ -67,7 +67,7 @@
     final class Process implements Outbox {
         final Setup setup;
         private final long incarnation;
-        MemoryKeeper keeper;
+        InMemoryLedgerStore keeper;
         Ledger ledger; // only at voters
         Proposer proposer; // only at other members
         Follower follower;
@@ -75,18 +75,18 @@
         private double timerAt = Double.POSITIVE_INFINITY;
         private boolean stopped;
 
-        private Process(String name, long incarnation, LedgerMemory memory) {
+        private Process(String name, long incarnation, LedgerState memory) {
             this.setup = setup(name);
             this.incarnation = incarnation;
             Random own = new Random(random.nextLong());
             if (memory != null) {
-                keeper = new MemoryKeeper(memory);
+                keeper = new InMemoryLedgerStore(memory);
                 ledger = new Ledger(
                         setup,
                         incarnation,
                         memory,
                         keeperWrapper.apply(keeper),
-                        new Agreements(new TreeMap<>(Map.of(KIND, new RecordingStateMachine()))),
+                        new LedgerStateMachines(new TreeMap<>(Map.of(KIND, new RecordingStateMachine()))),
                         this,
                         own,
                         this::update);
@@ -97,8 +97,9 @@
         }
 
         private void update(long version, byte[] state, boolean linearizable, double requestedAt) {
-            List<String> held =
-                    state.length == 0 ? List.of() : list(Agreements.parts(state).get(KIND));
+            List<String> held = state.length == 0
+                    ? List.of()
+                    : list(LedgerStateMachines.parts(state).get(KIND));
             check(
                     held.size() <= committed.size() && held.equals(committed.subList(0, held.size())),
                     "a state that was never committed");
@@ -139,11 +140,11 @@
             }
             try {
                 if (ledger != null) {
-                    ledger.heard(now, from, note);
+                    ledger.receive(now, from, note);
                 } else if (note instanceof Note.Proposed m) {
-                    proposer.heard(now, from, m);
-                } else if (note instanceof Note.Agreed m) {
-                    follower.heard(now, from, m);
+                    proposer.receive(now, from, m);
+                } else if (note instanceof Note.StateChunk m) {
+                    follower.receive(now, from, m);
                 }
             } catch (Fault e) {
                 throw new AssertionError("seed " + seed + ": " + e.line());
@@ -183,7 +184,7 @@
         }
 
         private void checkLeader() {
-            if (ledger != null && ledger.leads()) {
+            if (ledger != null && ledger.isLeader()) {
                 String before = leaders.putIfAbsent(ledger.term(), setup.self());
                 check(before == null || before.equals(setup.self()), "two leaders in term " + ledger.term());
             }
@@ -195,7 +196,7 @@
     final List<String> voters;
     final List<String> members = new ArrayList<>();
     final Map<String, Process> running = new LinkedHashMap<>();
-    final Map<String, LedgerMemory> storage = new LinkedHashMap<>();
+    final Map<String, LedgerState> storage = new LinkedHashMap<>();
     final Set<String> blockedLinks = new HashSet<>(); // "a>b" for notes from a to b
     final List<String> committed = new ArrayList<>(); // ids of all committed operations, in order
     final Map<String, Double> acknowledged = new LinkedHashMap<>(); // ids and when their outcome was received
@@ -204,7 +205,7 @@
     private final Set<String> committedIds = new LinkedHashSet<>();
     private final Map<Integer, String> leaders = new TreeMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    Function<Keeper, Keeper> keeperWrapper = k -> k;
+    Function<LedgerStore, LedgerStore> keeperWrapper = k -> k;
     double lossRate;
     double duplicationRate;
     double maxDelayMs = 20;
@@ -229,7 +230,7 @@
     }
 
     void start() {
-        voters.forEach(v -> storage.put(v, LedgerMemory.founded("fleet", v, voters)));
+        voters.forEach(v -> storage.put(v, LedgerState.initial("fleet", v, voters)));
         members.forEach(this::start);
     }
 
@@ -247,7 +248,7 @@
         Process p = running.remove(name);
         p.stopped = true;
         if (p.keeper != null) {
-            storage.put(name, p.keeper.killed(random));
+            storage.put(name, p.keeper.afterKill(random));
         }
     }
 
@@ -257,13 +258,13 @@
 
     String propose(String member) {
         String id = member + (++proposals) + padding;
-        byte[] operation = Agreements.operation(KIND, id.getBytes());
+        byte[] operation = LedgerStateMachines.operation(KIND, id.getBytes());
         Process p = running.get(member);
         if (p.pausedUntil > now) {
             return id;
         }
         Consumer<Outcome> done = o -> {
-            if (o instanceof Outcome.Agreed a) {
+            if (o instanceof Outcome.Committed a) {
                 check(new String(a.result()).equals(id), "the result of another operation");
                 check(committed.contains(id), id + " acknowledged but not committed");
                 acknowledged.put(id, now);
@@ -282,7 +283,7 @@
 
     String leader() {
         return running.values().stream()
-                .filter(p -> p.ledger != null && p.ledger.leads())
+                .filter(p -> p.ledger != null && p.ledger.isLeader())
                 .map(p -> p.setup.self())
                 .findFirst()
                 .orElse(null);
--- a/src/test/java/firstair/fleet/member/MembershipTest.java
+++ b/src/test/java/firstair/fleet/member/MembershipTest.java
@@ -171,9 +171,9 @@
         Net.Process old = net.of("relay-2");
         Net.Process young = net.start("relay-2");
         net.run(10_000);
-        assertThat(old.members.steppedBack()).isInstanceOf(Fault.NameTaken.class);
+        assertThat(old.members.stopReason()).isInstanceOf(Fault.NameTaken.class);
         assertThat(old.members.alive()).isEmpty();
-        assertThat(young.members.steppedBack()).isNull();
+        assertThat(young.members.stopReason()).isNull();
         int sent = old.sent;
         net.run(60_000);
         assertThat(old.sent).isEqualTo(sent);
@@ -207,11 +207,11 @@
                 new Setup("f", "a", "z", all, all.subList(0, 3), 1000, 8000, 200, 0.01, 0.5), 50, new Random(1), this);
 
         private void told(double now, String member, long incarnation, int refutation, Status status) {
-            us.heard(now, "b", 9, new Note.Hello(1, List.of(new Rumour(member, incarnation, refutation, status))));
+            us.receive(now, "b", 9, new Note.Hello(1, List.of(new Rumour(member, incarnation, refutation, status))));
         }
 
         private Rumour ofUs() {
-            return ((Note.HelloBack) sent.get(sent.size() - 1)).rumours().get(0);
+            return ((Note.HelloAnswer) sent.get(sent.size() - 1)).rumours().get(0);
         }
 
         @Override
@@ -230,7 +230,7 @@
         assertThat(a.us.status("c")).isEqualTo(Status.GONE);
         a.told(1, "c", 8, 0, Status.ALIVE);
         a.told(2, "c", 7, 99, Status.GONE);
-        a.us.heard(3, "c", 7, new Note.Leaving());
+        a.us.receive(3, "c", 7, new Note.Leaving());
         assertThat(a.us.status("c")).isEqualTo(Status.ALIVE);
         assertThat(a.us.incarnation("c")).isEqualTo(8);
         a.told(4, "c", 8, 1, Status.SUSPECT);
@@ -253,7 +253,7 @@
         assertThat(a.ofUs().refutation()).isEqualTo(5);
         int sent = a.sent.size();
         a.told(4, "a", 51, 0, Status.ALIVE);
-        assertThat(a.us.steppedBack()).isInstanceOf(Fault.NameTaken.class);
+        assertThat(a.us.stopReason()).isInstanceOf(Fault.NameTaken.class);
         assertThat(a.us.timer(5)).isInfinite();
         a.us.leave();
         assertThat(a.sent).hasSize(sent);
--- a/src/test/java/firstair/fleet/member/Net.java
+++ b/src/test/java/firstair/fleet/member/Net.java
@@ -5,7 +5,7 @@
 import firstair.fleet.fault.Fault;
 import firstair.fleet.talk.Codec;
 import firstair.fleet.talk.Envelope;
-import firstair.fleet.talk.Gate;
+import firstair.fleet.talk.EnvelopeFilter;
 import firstair.fleet.talk.Note;
 import firstair.fleet.talk.Note.Status;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
         final String name;
         final long incarnation;
         final Membership members;
-        final Gate gate;
+        final EnvelopeFilter gate;
         private final Map<String, Status> before = new HashMap<>();
         boolean up = true;
         double pausedUntil;
@@ -47,7 +47,7 @@
             this.incarnation = incarnation;
             Setup s = new Setup("f", name, "z", names, names.subList(0, 3), HELLO, 8 * HELLO, 200, 0.01, 0.5);
             members = making.of(s, incarnation, new Random(random.nextLong()), this);
-            gate = new Gate(s, incarnation);
+            gate = new EnvelopeFilter(s, incarnation);
         }
 
         @Override
@@ -79,8 +79,8 @@
             }
             try {
                 Envelope e = codec.read(bytes);
-                for (Note n : gate.pass(e)) {
-                    members.heard(now, e.from(), e.incarnation(), n);
+                for (Note n : gate.accept(e)) {
+                    members.receive(now, e.from(), e.incarnation(), n);
                 }
             } catch (Fault.NameTaken f) {
                 members.nameTaken();
--- a/src/test/java/firstair/fleet/residency/BoundTest.java
+++ b/src/test/java/firstair/fleet/residency/BoundTest.java
@@ -97,7 +97,7 @@
                         int version = v;
                         schedule(
                                 random.nextDouble() * 300,
-                                () -> process.agreed(now(), version, versions.get(version), true));
+                                () -> process.acceptVersion(now(), version, versions.get(version), true));
                     }
                     schedule(random.nextDouble() * 900, () -> {
                         if (process == contracts) {
@@ -150,7 +150,7 @@
                 }
             }
             if (defect != Defect.REMOVES_ALWAYS) {
-                Contract.follows(versions, all);
+                Contract.checkKeepsGuarantees(versions, all);
             }
             return random.nextInt(3) == 0 && !last.isEmpty() ? last : all;
         }
--- a/src/test/java/firstair/fleet/residency/ContractTest.java
+++ b/src/test/java/firstair/fleet/residency/ContractTest.java
@@ -95,15 +95,16 @@
         Map<String, Contract> first = Map.of("t", contract("t", Set.of("a", "b"), Set.of("a")));
         Map<String, Contract> second = Map.of("t", contract("t", Set.of("a", "b"), Set.of()));
         Map<String, Contract> third = Map.of("t", contract("t", Set.of("b"), Set.of()));
-        Contract.follows(List.of(first), second);
-        assertThatThrownBy(() -> Contract.follows(List.of(first, second), third))
+        Contract.checkKeepsGuarantees(List.of(first), second);
+        assertThatThrownBy(() -> Contract.checkKeepsGuarantees(List.of(first, second), third))
                 .isInstanceOf(Fault.BadContract.class)
                 .hasMessageContaining("an earlier version has in always");
-        assertThatThrownBy(() -> Contract.follows(List.of(first), Map.of())).isInstanceOf(Fault.BadContract.class);
-        assertThatThrownBy(() -> Contract.follows(
+        assertThatThrownBy(() -> Contract.checkKeepsGuarantees(List.of(first), Map.of()))
+                .isInstanceOf(Fault.BadContract.class);
+        assertThatThrownBy(() -> Contract.checkKeepsGuarantees(
                         List.of(first),
                         Map.of("t", new Contract("t", Set.of("a"), Map.of("pay", Set.of("b")), Set.of(), 0, 0))))
                 .isInstanceOf(Fault.BadContract.class);
-        Contract.follows(List.of(second), third); // once no relay holds the first version any more
+        Contract.checkKeepsGuarantees(List.of(second), third); // once no relay holds the first version any more
     }
 }
--- a/src/test/java/firstair/fleet/residency/ContractsTest.java
+++ b/src/test/java/firstair/fleet/residency/ContractsTest.java
@@ -47,7 +47,7 @@
     /** A relay that holds version 1 with these zones, agreed everywhere and confirmed at 0. */
     private Contracts settled(String zones, String always) {
         Contracts c = started(acme(zones, always));
-        c.agreed(0, 1, acme(zones, always), true);
+        c.acceptVersion(0, 1, acme(zones, always), true);
         c.settled(0, 1);
         c.confirmed(0, 0, 1);
         return c;
@@ -63,7 +63,7 @@
         assertThat(zones(c, 1)).isEqualTo("a");
         c.confirmed(5, 2, 0); // a settings file is never agreed on
         assertThat(zones(c, 5)).isEqualTo("a");
-        c.agreed(10, 7, acme("ab", "ab"), true);
+        c.acceptVersion(10, 7, acme("ab", "ab"), true);
         c.confirmed(10, 5, 7);
         assertThat(zones(c, 10)).isEqualTo("a"); // a relay may still use the unknown version 6
         c.confirmed(1_000, 900, 7);
@@ -75,13 +75,13 @@
     @Test
     void aRestrictionAppliesAtOnceAndAnExtensionOnceNoRelayUsesEarlierVersions() {
         Contracts c = settled("ab", "");
-        c.agreed(100, 2, acme("a", ""), true);
+        c.acceptVersion(100, 2, acme("a", ""), true);
         assertThat(zones(c, 100)).isEqualTo("a"); // before it is confirmed
-        c.agreed(200, 3, acme("abc", ""), true); // removed and added again: other relays may still use version 2
+        c.acceptVersion(200, 3, acme("abc", ""), true); // removed and added again: other relays may still use version 2
         c.confirmed(1_100, 1_090, 3);
         assertThat(zones(c, 1_209)).isEqualTo("a");
         assertThat(zones(c, 1_210)).isEqualTo("abc");
-        c.agreed(1_300, 4, acme("abcd", ""), true);
+        c.acceptVersion(1_300, 4, acme("abcd", ""), true);
         assertThat(zones(c, 1_300)).isEqualTo("abc");
         c.settled(1_310, 4);
         assertThat(zones(c, 1_310)).isEqualTo("abcd");
@@ -90,14 +90,14 @@
     @Test
     void aMissedVersionLeavesOnlyAlwaysUntilItIsReceivedOrExpired() {
         Contracts c = settled("ab", "a");
-        c.agreed(100, 3, acme("abc", "ac"), true);
+        c.acceptVersion(100, 3, acme("abc", "ac"), true);
         c.confirmed(100, 90, 3);
         assertThat(zones(c, 100)).isEqualTo("a");
-        c.agreed(120, 2, acme("ab", "a"), true); // arrives late
+        c.acceptVersion(120, 2, acme("ab", "a"), true); // arrives late
         assertThat(zones(c, 120)).isEqualTo("ab");
         c.confirmed(1_100, 1_000, 3);
         assertThat(zones(c, 1_110)).isEqualTo("abc");
-        c.agreed(1_200, 6, acme("abcd", "acd"), true);
+        c.acceptVersion(1_200, 6, acme("abcd", "acd"), true);
         c.settled(1_200, 5); // not received: version 3 stays binding
         assertThat(zones(c, 1_200)).isEqualTo("ac");
     }
@@ -115,7 +115,7 @@
         assertThat(zones(c, 3_100)).isEqualTo("ab");
         c.confirmed(3_200, 3_060, 0);
         c.confirmed(3_200, 9_000, 1); // sent in the future
-        c.agreed(3_200, -4, Map.of(), true);
+        c.acceptVersion(3_200, -4, Map.of(), true);
         assertThat(c.dropped()).isEqualTo(2);
         c.timer(4_039);
         assertThat(reports).hasSize(1);
@@ -129,7 +129,7 @@
         c.confirmed(950, 900, 2);
         assertThat(zones(c, 980)).isEqualTo("ab");
         assertThat(zones(c, 990)).isEmpty();
-        c.agreed(1_000, 2, acme("b", ""), true);
+        c.acceptVersion(1_000, 2, acme("b", ""), true);
         assertThat(zones(c, 1_000)).isEqualTo("b");
         c.confirmed(1_010, 1_005, 1); // a reply that is wrong or late
         assertThat(zones(c, 1_889)).isEqualTo("b");
@@ -139,7 +139,7 @@
     @Test
     void aProvisionalVersionOnlyRestrictsUntilALaterConfirmation() {
         Contracts c = settled("ab", "");
-        c.agreed(100, 2, acme("bc", ""), false);
+        c.acceptVersion(100, 2, acme("bc", ""), false);
         assertThat(zones(c, 100)).isEqualTo("b");
         assertThat(c.version()).isEqualTo(1);
         c.confirmed(150, 99, 1);
@@ -152,23 +152,23 @@
     void aTenantUnknownToAnOlderVersionHasNoZonesUntilThatExpires() {
         Contracts c = started(Map.of());
         assertThat(c.inForce()).isFalse();
-        c.agreed(0, 1, Map.of(), true);
+        c.acceptVersion(0, 1, Map.of(), true);
         c.settled(0, 1);
-        c.agreed(10, 2, acme("ab", "a"), true);
+        c.acceptVersion(10, 2, acme("ab", "a"), true);
         c.confirmed(900, 890, 2);
         assertThat(c.inForce()).isTrue();
-        assertThat(c.names("acme")).isTrue();
+        assertThat(c.hasContract("acme")).isTrue();
         assertThat(zones(c, 1_019)).isEmpty();
         assertThat(zones(c, 1_020)).isEqualTo("ab");
-        c.agreed(1_030, 3, Map.of(), true);
-        assertThat(c.names("acme")).isFalse();
+        c.acceptVersion(1_030, 3, Map.of(), true);
+        assertThat(c.hasContract("acme")).isFalse();
         assertThat(zones(c, 1_030)).isEmpty();
     }
 
     @Test
     void aContractThatIsNotYetInEffectRestrictsButExtendsNothing() {
         Contracts c = settled("ab", "");
-        c.agreed(
+        c.acceptVersion(
                 10,
                 2,
                 Map.of(
@@ -182,7 +182,7 @@
         c.confirmed(5_000, 5_000, 2);
         assertThat(zones(c, 5_000)).isEqualTo("bc");
         assertThat(c.zones(5_000, "acme", "pay")).containsExactly("c");
-        c.wall(5_000, 1_004_000); // the wall clock is set back
+        c.setWallClock(5_000, 1_004_000); // the wall clock is set back
         assertThat(zones(c, 5_000)).isEqualTo("b");
     }
 
@@ -190,8 +190,8 @@
     void manyChangesUseBoundedMemoryAndLeaveOnlyAlways() {
         Contracts c = settled("ab", "a");
         for (int v = 2; v <= 200; v++) {
-            c.agreed(10, v, acme("ab", "a"), true);
-            c.agreed(10, 1_000 + v, acme("ab", "a"), false);
+            c.acceptVersion(10, v, acme("ab", "a"), true);
+            c.acceptVersion(10, 1_000 + v, acme("ab", "a"), false);
         }
         c.confirmed(20, 15, 200);
         assertThat(zones(c, 20)).isEqualTo("a");
--- a/src/test/java/firstair/fleet/residency/ResidencyTest.java
+++ b/src/test/java/firstair/fleet/residency/ResidencyTest.java
@@ -19,7 +19,7 @@
     private static Contracts contracts(Map<String, Contract> all, boolean required) {
         Contracts c = new Contracts(
                 ContractsTest.SETUP, 0, 0, 1e9, all, required, ContractsTest.reportingTo(new ArrayList<>()));
-        c.agreed(0, 1, all, true);
+        c.acceptVersion(0, 1, all, true);
         c.settled(0, 1);
         c.confirmed(0, 0, 1);
         return c;
@@ -61,15 +61,15 @@
     @Test
     void thisRelaysShareLimitsTheQuotaAndAnExpiredLeaseEarnsNothing() {
         Residency r = residency(new Contract("acme", Set.of("a"), Map.of(), Set.of(), 10, 0));
-        r.part(0, "acme", Setup.WHOLE / 2, 3_000, Setup.WHOLE / 10); // 5 a second, later 1 a second
-        r.part(0, "nobody", Setup.WHOLE, 1e9, 0);
+        r.setQuotaShare(0, "acme", Setup.WHOLE / 2, 3_000, Setup.WHOLE / 10); // 5 a second, later 1 a second
+        r.setQuotaShare(0, "nobody", Setup.WHOLE, 1e9, 0);
         assertThatThrownBy(() -> r.admit(0, "acme", "any"))
                 .isInstanceOfSatisfying(Fault.TenantQuota.class, f -> assertThat(f.afterMs())
                         .isEqualTo(200)); // a relay that starts has no unused quota
         r.admit(200, "acme", "any");
         assertThat(admitted(r, 200, 10_000)).isEqualTo(14 + 7);
         assertThat(admitted(r, 100_000, 100_010)).isEqualTo(2); // the quota of two seconds
-        r.part(100_010, "acme", 0, 1e9, 0);
+        r.setQuotaShare(100_010, "acme", 0, 1e9, 0);
         assertThatThrownBy(() -> r.admit(100_010, "acme", "any"))
                 .isInstanceOfSatisfying(
                         Fault.TenantQuota.class, f -> assertThat(f.afterMs()).isEqualTo(60_000));
--- a/src/test/java/firstair/fleet/talk/CodecTest.java
+++ b/src/test/java/firstair/fleet/talk/CodecTest.java
@@ -195,9 +195,9 @@
         });
         assertThat(codec.read(later).notes())
                 .containsExactly(
-                        new Note.HeardOf(6, "c", 5),
+                        new Note.ProbeAnswer(6, "c", 5),
                         new Note.Hello(7, List.of(new Note.Rumour("m", 3, 0, Note.Status.SUSPECT))),
-                        new Note.LoanBack(8));
+                        new Note.LoanReturn(8));
         assertThatThrownBy(() -> codec.read(head(3, 2, p -> {}))).isInstanceOf(Fault.OtherVersion.class);
     }
 
@@ -208,9 +208,9 @@
             wrong.add(new Note.Loan(1, 2, "b", 3, ms));
         }
         wrong.add(new Note.Loan(1, 2, "b", -3, 4));
-        wrong.add(new Note.AskAbout(1, ""));
-        wrong.add(new Note.AskAbout(1, "x".repeat(129)));
-        wrong.add(new Note.HeardOf(1, "x", -1));
+        wrong.add(new Note.ProbeRequest(1, ""));
+        wrong.add(new Note.ProbeRequest(1, "x".repeat(129)));
+        wrong.add(new Note.ProbeAnswer(1, "x", -1));
         wrong.add(new Note.Counts(Collections.nCopies(10_001, new Note.Count("a", 1, "b", 1, 1, 1))));
         for (Note n : wrong) {
             assertThatThrownBy(() -> codec.write(new Envelope("f", 1, "a", 1, "b", 0, List.of(n))))
@@ -255,11 +255,11 @@
         for (Note n : e.notes()) {
             if (n instanceof Note.Counts c) {
                 all.addAll(c.counts());
-            } else if (n instanceof Note.Signs s) {
-                all.addAll(s.signs());
+            } else if (n instanceof Note.HealthReports s) {
+                all.addAll(s.reports());
             } else if (n instanceof Note.Hello h) {
                 all.addAll(h.rumours());
-            } else if (n instanceof Note.HelloBack h) {
+            } else if (n instanceof Note.HelloAnswer h) {
                 all.addAll(h.rumours());
             } else {
                 all.add(n);
@@ -281,12 +281,12 @@
                 "b",
                 0,
                 List.of(
-                        new Note.LoanBack(1),
-                        new Note.Engine(new byte[5000]),
-                        new Note.LoanBack(2),
+                        new Note.LoanReturn(1),
+                        new Note.ConsensusMessage(new byte[5000]),
+                        new Note.LoanReturn(2),
                         new Note.Counts(counts)));
         List<Envelope> parts = codec.split(whole, 1400);
-        assertThat(parts.get(1).notes()).singleElement().isInstanceOf(Note.Engine.class);
+        assertThat(parts.get(1).notes()).singleElement().isInstanceOf(Note.ConsensusMessage.class);
         assertThat(codec.write(parts.get(1)).length).isGreaterThan(5000);
         int all = codec.write(whole).length - 5000;
         assertThat(parts.size()).isLessThanOrEqualTo(all / 1300 + 4);
--- a/src/test/java/firstair/kit/fleet/AgreedDefectsTest.java
+++ b/src/test/java/firstair/kit/fleet/AgreedDefectsTest.java
@@ -6,8 +6,8 @@
 import firstair.control.Controller.Share;
 import firstair.fleet.Setup;
 import firstair.fleet.fault.Fault;
-import firstair.fleet.ledger.LedgerMemory;
-import firstair.fleet.ledger.MemoryKeeper;
+import firstair.fleet.ledger.InMemoryLedgerStore;
+import firstair.fleet.ledger.LedgerState;
 import firstair.fleet.ledger.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
         world.fleet.run(15_000);
         world.book("r1", "fees", "north", 100, 200, 30);
         world.fleet.run(5000);
-        assertThat(world.outcomes.get("fees")).isInstanceOf(Outcome.Agreed.class);
+        assertThat(world.outcomes.get("fees")).isInstanceOf(Outcome.Committed.class);
         world.fleet.kill("r2");
         world.fleet.forget("r2");
         world.fleet.net().heal();
@@ -43,7 +43,8 @@
         assertThatThrownBy(() -> forgetting((life, settings, destinations) -> {
                     if (life.folder().lost()) {
                         Setup s = life.setup();
-                        life.folder().keep(new MemoryKeeper(LedgerMemory.founded(s.fleet(), s.self(), s.voters())));
+                        life.folder()
+                                .keep(new InMemoryLedgerStore(LedgerState.initial(s.fleet(), s.self(), s.voters())));
                     }
                     return Fleets.agreeing().made(life, settings, destinations);
                 }))
@@ -70,9 +71,10 @@
                         new FleetPlayed(life, settings, destinations, Fleets.EPOCH_MS) {
                             @Override
                             public void share(int destination, Share s) {
-                                double part =
-                                        fleet().part(life.now(), destination).parts() / (double) Setup.WHOLE;
-                                super.share(destination, new Share(part, s.until(), s.sure(), s.repeats()));
+                                double part = fleet().allocation(life.now(), destination)
+                                                .parts()
+                                        / (double) Setup.WHOLE;
+                                super.share(destination, new Share(part, s.until(), s.guaranteed(), s.repeats()));
                             }
                         }))
                 .isInstanceOfSatisfying(
--- a/src/test/java/firstair/kit/fleet/AgreedStage.java
+++ b/src/test/java/firstair/kit/fleet/AgreedStage.java
@@ -43,7 +43,7 @@
                 (life, settings, destinations) -> new FleetPlayed(life, settings, destinations, epochMs));
         world.fleet.startAll();
         world.found(teams);
-        assertThat(world.outcomes.get("founded")).isInstanceOf(Outcome.Agreed.class);
+        assertThat(world.outcomes.get("founded")).isInstanceOf(Outcome.Committed.class);
         return self();
     }
 
@@ -51,7 +51,7 @@
             @Quoted String team, @Quoted String id, double calls, double inS, double forS) {
         world.book("r1", id, team, calls, inS, forS);
         world.fleet.run(3000);
-        assertThat(world.outcomes.get(id)).isInstanceOf(Outcome.Agreed.class);
+        assertThat(world.outcomes.get(id)).isInstanceOf(Outcome.Committed.class);
         return self();
     }
 
@@ -213,7 +213,7 @@
                         + "\",\"shift\":\"skip\",\"most\":3}}",
                 Map.of("berlin", berlin));
         world.fleet.run(3000);
-        assertThat(world.outcomes.get("nightly")).isInstanceOf(Outcome.Agreed.class);
+        assertThat(world.outcomes.get("nightly")).isInstanceOf(Outcome.Committed.class);
         world.ask(
                 "r1",
                 "confirmed",
@@ -245,7 +245,7 @@
     }
 
     AgreedStage $Is$(@Quoted String id, @Quoted String state) {
-        assertThat(booking(id).state().word()).isEqualTo(state);
+        assertThat(booking(id).state().label()).isEqualTo(state);
         return self();
     }
 
--- a/src/test/java/firstair/kit/fleet/AgreedWorld.java
+++ b/src/test/java/firstair/kit/fleet/AgreedWorld.java
@@ -118,7 +118,7 @@
         }
         ask("r1", "founded", all);
         fleet.run(5000);
-        fleet.goOn(Rules.usual().sealBeforeMs()); // until then relays were told that nothing is booked
+        fleet.goOn(Rules.defaults().sealBeforeMs()); // until then relays were told that nothing is booked
         fleet.run(ELECTED_MS);
     }
 
--- a/src/test/java/firstair/kit/fleet/Chatter.java
+++ b/src/test/java/firstair/kit/fleet/Chatter.java
@@ -23,7 +23,7 @@
     }
 
     double part() {
-        return (double) life.setup().even() / Setup.WHOLE;
+        return (double) life.setup().equalParts() / Setup.WHOLE;
     }
 
     @Override
@@ -32,7 +32,7 @@
                 DESTINATION,
                 part(),
                 Double.POSITIVE_INFINITY,
-                (double) life.setup().sure() / Setup.WHOLE);
+                (double) life.setup().guaranteedParts() / Setup.WHOLE);
         timer(now);
     }
 
--- a/src/test/java/firstair/kit/fleet/FaultyLinksTest.java
+++ b/src/test/java/firstair/kit/fleet/FaultyLinksTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import firstair.relay.Loop;
-import firstair.relay.fleet.PeerWire;
+import firstair.relay.fleet.PeerTransport;
 import firstair.relay.standin.Await;
 import firstair.relay.standin.LoopThread;
 import java.io.BufferedReader;
@@ -34,7 +34,7 @@
     private final Loop loop = LoopThread.start(() -> {});
     private final Map<String, InetSocketAddress> places = FaultyLinks.places(List.of("a", "b", "c"));
     private final FaultyLinks links = new FaultyLinks(SEED, places);
-    private final Map<String, PeerWire> relays = new LinkedHashMap<>();
+    private final Map<String, PeerTransport> relays = new LinkedHashMap<>();
     private final Map<String, LinkedBlockingQueue<byte[]>> got = new LinkedHashMap<>();
 
     FaultyLinksTest() throws IOException {}
@@ -50,12 +50,14 @@
     private void start(String name) throws IOException {
         Map<String, InetSocketAddress> others = new LinkedHashMap<>();
         places.keySet().stream().filter(o -> !o.equals(name)).forEach(o -> others.put(o, links.between(name, o)));
-        relays.put(name, new PeerWire(loop, places.get(name), others, PeerWire.Bounds.of(3), got.get(name)::add));
+        relays.put(
+                name,
+                new PeerTransport(loop, places.get(name), others, PeerTransport.Bounds.of(3), got.get(name)::add));
     }
 
     @AfterEach
     void end() {
-        relays.values().forEach(PeerWire::close);
+        relays.values().forEach(PeerTransport::close);
         loop.end();
         links.close();
     }
--- a/src/test/java/firstair/kit/fleet/Planted.java
+++ b/src/test/java/firstair/kit/fleet/Planted.java
@@ -16,7 +16,7 @@
             return new FleetPlayed(life, settings, destinations, Fleets.EPOCH_MS) {
                 @Override
                 public void share(int destination, Share s) {
-                    super.share(destination, new Share(s.part(), s.until() + 2000, s.sure(), s.repeats()));
+                    super.share(destination, new Share(s.part(), s.until() + 2000, s.guaranteed(), s.repeats()));
                 }
             };
         }
@@ -90,7 +90,8 @@
                 @Override
                 public void share(int destination, Share s) {
                     super.share(
-                            destination, new Share(s.part(), begun + (s.until() - begun) * 1.5, s.sure(), s.repeats()));
+                            destination,
+                            new Share(s.part(), begun + (s.until() - begun) * 1.5, s.guaranteed(), s.repeats()));
                 }
             };
         }
@@ -102,7 +103,7 @@
         Played play(Life life, Sharing settings, List<Integer> destinations) {
             return new FleetPlayed(life, settings, destinations, Fleets.EPOCH_MS) {
                 @Override
-                public void confine() {
+                public void recheckZones() {
                     // nobody is told
                 }
             };
--- a/src/test/java/firstair/kit/fleet/World.java
+++ b/src/test/java/firstair/kit/fleet/World.java
@@ -33,11 +33,11 @@
     }
 
     double even() {
-        return (double) setup.even() / Setup.WHOLE;
+        return (double) setup.equalParts() / Setup.WHOLE;
     }
 
     double sure() {
-        return (double) setup.sure() / Setup.WHOLE;
+        return (double) setup.guaranteedParts() / Setup.WHOLE;
     }
 
     /** So long after the last promise a silent member's part may be somebody else's, ms. */
--- a/src/test/java/firstair/relay/ConfigTest.java
+++ b/src/test/java/firstair/relay/ConfigTest.java
@@ -60,7 +60,7 @@
         assertThat(s.index()).isEqualTo(3);
         assertThat(s.zone()).isEqualTo(1);
         assertThat(s.askForList()).isTrue();
-        assertThat(s.weight()).isEqualTo(Weight.ROUGH);
+        assertThat(s.weight()).isEqualTo(Weight.ESTIMATED);
         assertThat(s.limitsTold()).isTrue();
         assertThat(s.late()).isEqualTo(LateCurve.HALVING);
         assertThat(s.classes())
--- a/src/test/java/firstair/relay/FaultsTest.java
+++ b/src/test/java/firstair/relay/FaultsTest.java
@@ -4,12 +4,12 @@
 
 import firstair.control.Control;
 import firstair.control.Controller;
-import firstair.control.Controller.News;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
 import firstair.kit.run.Node;
 import firstair.kit.standin.StandIn;
-import firstair.relay.discovery.Watch;
+import firstair.relay.discovery.EndpointListWatch;
 import firstair.relay.discovery.Zones;
 import firstair.relay.endpoints.Endpoints;
 import firstair.relay.endpoints.Item;
@@ -96,10 +96,10 @@
             value = FaultyDialer.Fault.class,
             names = {"FAILS_AT_ONCE", "NEVER_CALLS_BACK"})
     void aWatchThatFailsBelowIsNewsAndIsAskedAgain(FaultyDialer.Fault fault) throws Exception {
-        BlockingQueue<News> news = new LinkedBlockingQueue<>();
+        BlockingQueue<ListUpdate> news = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
         try (Platform platform = new Platform(LIST)) {
-            Watch w = new Watch(
+            EndpointListWatch w = new EndpointListWatch(
                     new FaultyDialer(wire, fault, 1),
                     limits,
                     loop,
@@ -110,19 +110,19 @@
                     (n, listed) -> news.add(n));
             loop.post(w::listen);
             boolean waited = fault == FaultyDialer.Fault.NEVER_CALLS_BACK;
-            assertThat(next(news)).isEqualTo(waited ? News.OVERDUE : News.FAILED);
+            assertThat(next(news)).isEqualTo(waited ? ListUpdate.OVERDUE : ListUpdate.FAILED);
             loop.post(w::listen);
-            assertThat(next(news)).isEqualTo(News.COMPLETE);
+            assertThat(next(news)).isEqualTo(ListUpdate.COMPLETE);
         }
     }
 
     @Test
     void aWatchThatThrowsBelowIsNewsOnceItsTimeIsUpAndMovesOn() throws Exception {
-        BlockingQueue<News> news = new LinkedBlockingQueue<>();
+        BlockingQueue<ListUpdate> news = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
         try (Platform platform = new Platform(LIST);
                 Platform later = new Platform(LIST)) {
-            Watch w = new Watch(
+            EndpointListWatch w = new EndpointListWatch(
                     new FaultyDialer(wire, FaultyDialer.Fault.THROWS, 1),
                     limits,
                     loop,
@@ -132,8 +132,8 @@
                     1,
                     (n, listed) -> news.add(n));
             loop.post(w::listen);
-            loop.post(() -> w.move(later.address()));
-            assertThat(next(news)).isEqualTo(News.COMPLETE);
+            loop.post(() -> w.setAddress(later.address()));
+            assertThat(next(news)).isEqualTo(ListUpdate.COMPLETE);
             assertThat(later.watched()).isTrue();
         }
     }
@@ -144,10 +144,10 @@
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
         Endpoints e = new Endpoints(new FaultyDialer(wire, fault, 1), limits, loop, outcomes::add);
-        e.learn(Map.of("a", wireAddress()));
+        e.updateAddresses(Map.of("a", wireAddress()));
         loop.post(() -> e.call("a", List.of(new Item(1, 0, "r1", null, new byte[0], 200, loop.now() + 5000, false))));
         assertThat(next(outcomes).result()).isEqualTo(Result.CONNECT_FAILED);
-        loop.post(() -> assertThat(e.out()).isZero());
+        loop.post(() -> assertThat(e.callsInProgress()).isZero());
     }
 
     private static java.net.InetSocketAddress wireAddress() {
--- a/src/test/java/firstair/relay/LimitsTest.java
+++ b/src/test/java/firstair/relay/LimitsTest.java
@@ -4,7 +4,7 @@
 
 import firstair.config.Read;
 import firstair.config.Values;
-import firstair.relay.fleet.PeerWire;
+import firstair.relay.fleet.PeerTransport;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A relay of a fleet has connections from and to the other relays as well, by {@link PeerWire}. Found by reading:
-     * they were outside the descriptors that are shared out.
+     * A relay of a fleet has connections from and to the other relays as well, by {@link PeerTransport}. Found by
+     * reading: they were outside the descriptors that are shared out.
      */
     @Test
     void connectionsOfOtherRelaysStayWithinTheDescriptorsToo() {
@@ -35,7 +35,7 @@
                             TunableSettings.schema())
                     .values();
             Limits l = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000).tuned(own);
-            int peers = PeerWire.Bounds.of(members).connections() + members;
+            int peers = PeerTransport.Bounds.of(members).connections() + members;
             assertThat(l.maxClients() + l.maxLinks() + peers)
                     .as("%s members, %s descriptors", members, sockets)
                     .isLessThanOrEqualTo(sockets - 20);
--- a/src/test/java/firstair/relay/ListClockTest.java
+++ b/src/test/java/firstair/relay/ListClockTest.java
@@ -4,10 +4,10 @@
 
 import firstair.control.Control;
 import firstair.control.Controller;
-import firstair.control.Controller.News;
+import firstair.control.Controller.ListUpdate;
 import firstair.kit.run.Node;
 import firstair.kit.standin.StandIn;
-import firstair.relay.discovery.Watch;
+import firstair.relay.discovery.EndpointListWatch;
 import firstair.relay.discovery.Zones;
 import firstair.relay.net.Dialer;
 import firstair.relay.net.Link;
@@ -64,7 +64,7 @@
     private Path folder;
 
     /** The longest pause that the decisions make after any of many failures in a row, over many seeds. */
-    private static double longestPause(News news, boolean ask, double askEveryMs) {
+    private static double longestPause(ListUpdate news, boolean ask, double askEveryMs) {
         double longest = 0;
         for (int seed = 0; seed < 100; seed++) {
             int[] asked = new int[1];
@@ -109,8 +109,8 @@
     @ParameterizedTest
     @CsvSource({"true,10000", "false,0", "false,10000", "true,0", "true,3000"})
     void theSumOfWaitsAndPausesStaysBelowSixSeconds(boolean ask, double askEveryMs) {
-        double pause = longestPause(News.FAILED, ask, askEveryMs);
-        double shortPause = longestPause(News.OVERDUE, ask, askEveryMs);
+        double pause = longestPause(ListUpdate.FAILED, ask, askEveryMs);
+        double shortPause = longestPause(ListUpdate.OVERDUE, ask, askEveryMs);
         double failing = Math.max(USUAL.listWaitMs() + shortPause, USUAL.listWaitMs() / 2 + pause); // however it fails
         double silence = USUAL.listSilenceMs() + USUAL.sweepMs();
         assertThat(TURN_MS).isLessThan(USUAL.listWaitMs());
@@ -263,8 +263,8 @@
      */
     @Test
     void theListIsThereInTimeWhateverBecomesOfTheCalls() throws Exception {
-        Map<News, Double> pauses = new EnumMap<>(News.class);
-        for (News n : List.of(News.FAILED, News.OVERDUE)) {
+        Map<ListUpdate, Double> pauses = new EnumMap<>(ListUpdate.class);
+        for (ListUpdate n : List.of(ListUpdate.FAILED, ListUpdate.OVERDUE)) {
             pauses.put(n, Math.max(longestPause(n, true, 10_000), longestPause(n, false, 0)));
         }
         List<String> orders = List.of(
@@ -318,7 +318,7 @@
     }
 
     /** Plays the orders side by side and returns those that were too late, with the calls that were made. */
-    private static List<String> played(List<String> orders, Map<News, Double> pauses) throws Exception {
+    private static List<String> played(List<String> orders, Map<ListUpdate, Double> pauses) throws Exception {
         Map<String, Double> took = new ConcurrentHashMap<>();
         Map<String, Queue<String>> courses = new ConcurrentHashMap<>();
         List<StandIn> places = new ArrayList<>();
@@ -331,8 +331,8 @@
             Queue<String> words = new ConcurrentLinkedQueue<>(List.of(order.split(" ")));
             Queue<String> course = new ConcurrentLinkedQueue<>(); // calls, with the times at which they were made
             courses.put(order, course);
-            Watch[] made = new Watch[1];
-            made[0] = new Watch(
+            EndpointListWatch[] made = new EndpointListWatch[1];
+            made[0] = new EndpointListWatch(
                     flawed(wire, loop, words, from, course),
                     USUAL,
                     loop,
@@ -378,12 +378,12 @@
         });
         Wire wire = new Wire(USUAL);
         Loop loop = LoopThread.start(() -> {});
-        BlockingQueue<News> told = new LinkedBlockingQueue<>();
-        Watch[] made = new Watch[1];
-        made[0] = new Watch(
+        BlockingQueue<ListUpdate> told = new LinkedBlockingQueue<>();
+        EndpointListWatch[] made = new EndpointListWatch[1];
+        made[0] = new EndpointListWatch(
                 wire, USUAL, loop, place[0].address(), List.of("one"), new Zones(List.of("z")), 1, (news, listed) -> {
                     told.add(news);
-                    if (news == News.FAILED || news == News.OVERDUE) {
+                    if (news == ListUpdate.FAILED || news == ListUpdate.OVERDUE) {
                         loop.after(300, made[0]::listen);
                     }
                 });
@@ -391,7 +391,7 @@
         try {
             Await.until("six calls", () -> place[0].accepted() >= 6);
             back.set(true);
-            Await.until("the list", () -> told.contains(News.COMPLETE));
+            Await.until("the list", () -> told.contains(ListUpdate.COMPLETE));
             loop.post(made[0]::listen); // asked for by a failure that was told before: what is out does not let wait
             Await.until("one watch", () -> place[0].open() == 1);
             int calls = place[0].accepted();
@@ -448,8 +448,8 @@
         loop.post(() -> {
             for (int i = 0; i < relays; i++) {
                 int relay = i;
-                Watch[] made = new Watch[1];
-                made[0] = new Watch(
+                EndpointListWatch[] made = new EndpointListWatch[1];
+                made[0] = new EndpointListWatch(
                         wire,
                         USUAL,
                         loop,
@@ -458,7 +458,7 @@
                         new Zones(List.of("z")),
                         1,
                         (news, listed) -> {
-                            if (news == News.FAILED || news == News.OVERDUE) {
+                            if (news == ListUpdate.FAILED || news == ListUpdate.OVERDUE) {
                                 failed.add(relay);
                                 loop.after(300 + random.nextInt(200), made[0]::listen);
                             } else {
@@ -497,7 +497,7 @@
             @Override
             public void close() {}
         };
-        Logger log = Logger.getLogger(Watch.class.getName());
+        Logger log = Logger.getLogger(EndpointListWatch.class.getName());
         log.addHandler(handler);
         StandIn place = new StandIn(r -> {
             write(r, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
@@ -505,10 +505,10 @@
         });
         Wire wire = new Wire(USUAL);
         Loop loop = LoopThread.start(() -> {});
-        Watch[] made = new Watch[1];
-        made[0] = new Watch(
+        EndpointListWatch[] made = new EndpointListWatch[1];
+        made[0] = new EndpointListWatch(
                 wire, USUAL, loop, place.address(), List.of("one"), new Zones(List.of("z")), 1, (news, listed) -> {
-                    if (news == News.FAILED || news == News.OVERDUE) {
+                    if (news == ListUpdate.FAILED || news == ListUpdate.OVERDUE) {
                         loop.post(made[0]::listen);
                     }
                 });
--- a/src/test/java/firstair/relay/discovery/WatchTest.java
+++ b/src/test/java/firstair/relay/discovery/EndpointListWatchTest.java
@@ -5,8 +5,8 @@
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonParser;
+import firstair.control.Controller.ListUpdate;
 import firstair.control.Controller.Listing;
-import firstair.control.Controller.News;
 import firstair.kit.standin.StandIn;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
@@ -38,10 +38,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class WatchTest {
+class EndpointListWatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private record Update(News news, EndpointList listed) {}
+    private record Update(ListUpdate news, EndpointList listed) {}
 
     private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
     private Limits limits;
@@ -65,12 +65,12 @@
         }
     }
 
-    private Watch watch(long version) {
+    private EndpointListWatch watch(long version) {
         return watch(server.address(), version);
     }
 
-    private Watch watch(InetSocketAddress at, long version) {
-        Watch watch = new Watch(
+    private EndpointListWatch watch(InetSocketAddress at, long version) {
+        EndpointListWatch watch = new EndpointListWatch(
                 wire,
                 limits,
                 loop,
@@ -94,11 +94,11 @@
         Platform platform = new Platform(Platform.list(41, true, "s1 7 127.0.0.1:1"));
         server = platform;
         watch(-1);
-        assertThat(next().news()).isEqualTo(News.COMPLETE);
+        assertThat(next().news()).isEqualTo(ListUpdate.COMPLETE);
         assertThat(next().listed().version()).isEqualTo(41); // the watch's first object
         platform.tell(Platform.list(42, false, "s1 7 127.0.0.1:1 draining"));
         Update change = next();
-        assertThat(change.news()).isEqualTo(News.CHANGES);
+        assertThat(change.news()).isEqualTo(ListUpdate.CHANGES);
         assertThat(change.listed().entries().get(0).listing()).isEqualTo(Listing.LEAVING);
     }
 
@@ -112,14 +112,14 @@
             r.write((HEAD + Integer.toHexString(valid.length() + invalid.length()) + "\r\n" + valid + invalid + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
         });
-        try (LogLines lines = new LogLines(Watch.class)) {
-            Watch watch = watch(41);
+        try (LogLines lines = new LogLines(EndpointListWatch.class)) {
+            EndpointListWatch watch = watch(41);
             for (int i = 0; i < 10; i++) {
-                assertThat(next().news()).isEqualTo(News.COMPLETE);
-                assertThat(next().news()).isEqualTo(News.FAILED);
+                assertThat(next().news()).isEqualTo(ListUpdate.COMPLETE);
+                assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
                 loop.post(watch::listen);
             }
-            assertThat(next().news()).isEqualTo(News.COMPLETE);
+            assertThat(next().news()).isEqualTo(ListUpdate.COMPLETE);
             assertThat(lines.beginning("list lost: not a list of endpoints"))
                     .singleElement()
                     .asString()
@@ -137,20 +137,20 @@
         });
         watch(12);
         assertThat(targets.poll(10, TimeUnit.SECONDS)).isEqualTo("GET /api/targets?follow=1&since=12");
-        assertThat(next().news()).isEqualTo(News.FAILED);
+        assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
     }
 
     @Test
     void aRejectedAResetAndAnEndedWatchAreReportedOnce() throws Exception {
         server = new StandIn(r -> r.reset());
         watch(1);
-        assertThat(next().news()).isEqualTo(News.FAILED);
+        assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
         server.close();
         watch(server.address(), 1);
-        assertThat(next().news()).isEqualTo(News.FAILED);
+        assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
         server = new StandIn(r -> r.answer(200));
         watch(1);
-        assertThat(next().news()).isEqualTo(News.FAILED);
+        assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
         assertThat(updates.poll(100, TimeUnit.MILLISECONDS)).isNull();
     }
 
@@ -215,7 +215,7 @@
                     + "\r\n\r\n" + expected[0];
             String follow = HEAD + chunk("\n") + chunk(expected[1] + expected[2]);
             for (int split = 0; split <= Math.max(get.length(), follow.length()) + 12; split++) {
-                Watch watch = new Watch(
+                EndpointListWatch watch = new EndpointListWatch(
                         splitAt(split, get, follow),
                         limits,
                         loop,
@@ -227,13 +227,15 @@
                 loop.post(watch::listen);
                 for (int i = 0; i < expected.length; i++) {
                     Update update = next();
-                    assertThat(update.news()).as("split at %d", split).isEqualTo(i == 0 ? News.COMPLETE : News.CHANGES);
+                    assertThat(update.news())
+                            .as("split at %d", split)
+                            .isEqualTo(i == 0 ? ListUpdate.COMPLETE : ListUpdate.CHANGES);
                     assertThat(update.listed().version())
                             .as("split at %d", split)
                             .isEqualTo(41 + i);
                     assertThat(update.listed().entries().get(0).endpoint()).isEqualTo("s\u00fc\ud83d\ude00");
                 }
-                loop.post(watch::leave);
+                loop.post(watch::close);
             }
         }
     }
@@ -261,7 +263,7 @@
         watch(1);
         assertThat(next().listed().version()).isEqualTo(42);
         if (!incomplete.isEmpty()) { // the rest is overdue; the next call starts next to this one or after its silence
-            assertThat(next().news()).isEqualTo(News.OVERDUE);
+            assertThat(next().news()).isEqualTo(ListUpdate.OVERDUE);
         }
         assertThat(next().listed().version()).isEqualTo(44);
         assertThat(targets).startsWith("/api/targets?follow=1&since=1", "/api/targets?follow=1&since=42");
@@ -279,14 +281,14 @@
     void aCallWithoutAResponseIsOverdue() throws Exception {
         server = new StandIn(r -> {});
         watch(1);
-        assertThat(next().news()).isEqualTo(News.OVERDUE);
+        assertThat(next().news()).isEqualTo(ListUpdate.OVERDUE);
     }
 
     @Test
     void emptyLinesKeepAWatchOpen() throws Exception {
         BlockingQueue<StandIn.Request> requests = new LinkedBlockingQueue<>();
         server = new StandIn(requests::add);
-        Watch watch = watch(1);
+        EndpointListWatch watch = watch(1);
         StandIn.Request r = requests.take();
         r.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         double end = loop.now() + 1200; // three times the silence after which a watch is replaced
@@ -302,7 +304,7 @@
         Platform platform = new Platform("nonsense");
         server = platform;
         watch(1);
-        assertThat(next().news()).isEqualTo(News.FAILED);
+        assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
     }
 
     /** The latest list from discovery is used even if its version is lower; the next watch continues from it. */
@@ -320,7 +322,7 @@
         watch(41);
         assertThat(next().listed().version()).isEqualTo(43);
         Update lowerVersion = next();
-        assertThat(lowerVersion.news()).isEqualTo(News.CHANGES);
+        assertThat(lowerVersion.news()).isEqualTo(ListUpdate.CHANGES);
         assertThat(lowerVersion.listed().entries().get(0).listing()).isEqualTo(Listing.LEAVING);
         assertThat(next().listed().version()).as("after a silence").isEqualTo(43);
         assertThat(targets).startsWith("/api/targets?follow=1&since=41", "/api/targets?follow=1&since=40");
--- a/src/test/java/firstair/relay/endpoints/CallRaceTest.java
+++ b/src/test/java/firstair/relay/endpoints/CallRaceTest.java
@@ -70,7 +70,7 @@
         selector = new SelectorGate(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
-                endpoints.ask((id, attempt) -> LONG_MS);
+                endpoints.recheckConnected((id, attempt) -> LONG_MS);
                 endpoints.write(id -> true, () -> false);
             }
         });
@@ -79,7 +79,7 @@
         server.setReceiveBufferSize(4096);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         server.setSoTimeout(10_000);
-        loop.post(() -> endpoints.learn(Map.of("e", (InetSocketAddress) server.getLocalSocketAddress())));
+        loop.post(() -> endpoints.updateAddresses(Map.of("e", (InetSocketAddress) server.getLocalSocketAddress())));
     }
 
     @AfterEach
@@ -236,8 +236,8 @@
         inRoundWithDueTimer(
                 loop.now() + TIMEOUT_MS + 1,
                 () -> write(socket, "HTTP/1.1 200 x\\nContent-Length: 14\\n\\nr1 ok\\nr2 ok\\n"));
-        assertThat(next().over()).isTrue();
-        assertThat(next().over()).isTrue();
+        assertThat(next().messageEnded()).isTrue();
+        assertThat(next().messageEnded()).isTrue();
         assertEndedOnce();
     }
 
--- a/src/test/java/firstair/relay/endpoints/DelayedConnectionTest.java
+++ b/src/test/java/firstair/relay/endpoints/DelayedConnectionTest.java
@@ -58,24 +58,24 @@
         gate = new GateDialer(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
-                endpoints.ask((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
-                endpoints.ready((e, i) -> recorded.add(i.id()));
+                endpoints.recheckConnected((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
+                endpoints.forEachReady((e, i) -> recorded.add(i.id()));
                 endpoints.write(id -> !unrecorded.contains(id), () -> false);
             }
         });
-        endpoints = new Endpoints(gate, limits, loop, new Endpoints.Told() {
+        endpoints = new Endpoints(gate, limits, loop, new Endpoints.Listener() {
             @Override
             public void ended(Outcome outcome) {
                 outcomes.add(outcome);
             }
 
             @Override
-            public void waits(double at, String endpoint, long id, int attempt, double waitMs) {
+            public void onRetryAfter(double at, String endpoint, long id, int attempt, double waitMs) {
                 waits.add(new Wait(at, waitMs, loop.now(), outcomes.size()));
             }
 
             @Override
-            public void unwritten(long id, int attempt) {
+            public void onNotWritten(long id, int attempt) {
                 unwritten.add(id);
             }
         });
@@ -96,7 +96,7 @@
             handler.handle(r);
         });
         open.add(standIn);
-        loop.post(() -> endpoints.learn(Map.of("e", standIn.address())));
+        loop.post(() -> endpoints.updateAddresses(Map.of("e", standIn.address())));
         return standIn;
     }
 
@@ -262,7 +262,7 @@
         assertThat(calls).isEmpty();
         Await.until(
                 "connection kept or closed, and no call in progress",
-                () -> endpoints.out() == 0 && standIn.accepted() == 1);
+                () -> endpoints.callsInProgress() == 0 && standIn.accepted() == 1);
     }
 
     /** The old address may belong to another endpoint by now, which must not get the message. */
@@ -297,7 +297,8 @@
     private void serverSendsFirst(String text, boolean closes) throws Exception {
         ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         open.add(server);
-        loop.post(() -> endpoints.learn(Map.of("e", (java.net.InetSocketAddress) server.getLocalSocketAddress())));
+        loop.post(() ->
+                endpoints.updateAddresses(Map.of("e", (java.net.InetSocketAddress) server.getLocalSocketAddress())));
         gate.shut();
         call(1);
         Socket standIn = server.accept();
@@ -324,7 +325,7 @@
         serverSendsFirst("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
         Outcome outcome = next();
         assertThat(outcome.result()).isEqualTo(Result.CONNECT_FAILED);
-        assertThat(outcome.over()).isFalse();
+        assertThat(outcome.messageEnded()).isFalse();
     }
 
     /** After part of a line the connection could still carry the request, but its response could not be separated. */
@@ -333,7 +334,7 @@
         serverSendsFirst("HTTP/1.1 200 O", false);
         Outcome outcome = next(); // at the latest when the response timeout expires
         assertThat(outcome.result()).isEqualTo(Result.CONNECT_FAILED);
-        assertThat(outcome.over()).isFalse();
+        assertThat(outcome.messageEnded()).isFalse();
         gate.pass();
         awaitLoop();
         assertThat(outcomes).isEmpty();
@@ -434,26 +435,26 @@
         Endpoints[] started = new Endpoints[1];
         madeLoop[0] = LoopThread.start(() -> {
             if (started[0] != null) {
-                started[0].ask((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
+                started[0].recheckConnected((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
                 started[0].write(id -> true, () -> false);
             }
         });
         open.add(madeLoop[0]::end);
-        Endpoints local = new Endpoints(staleDialer, limits, madeLoop[0], new Endpoints.Told() {
+        Endpoints local = new Endpoints(staleDialer, limits, madeLoop[0], new Endpoints.Listener() {
             @Override
             public void ended(Outcome outcome) {
                 outcomes.add(outcome);
             }
 
             @Override
-            public void unwritten(long id, int attempt) {
+            public void onNotWritten(long id, int attempt) {
                 unwritten.add(id);
                 withheld.add(id);
             }
         });
         madeLoop[0].post(() -> {
             started[0] = local;
-            local.learn(Map.of("e", standIn.address()));
+            local.updateAddresses(Map.of("e", standIn.address()));
             local.call("e", List.of(item(1, LONG_MS, 1e9)));
         });
         assertThat(next().result()).isEqualTo(Result.OK);
--- a/src/test/java/firstair/relay/endpoints/EndpointsTest.java
+++ b/src/test/java/firstair/relay/endpoints/EndpointsTest.java
@@ -50,7 +50,7 @@
         wire = new Wire(limits);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
-                endpoints.ask((id, attempt) -> LONG_MS);
+                endpoints.recheckConnected((id, attempt) -> LONG_MS);
                 endpoints.write(id -> true, () -> false);
             }
         });
@@ -74,7 +74,7 @@
     }
 
     private void learn(InetSocketAddress at) {
-        loop.post(() -> endpoints.learn(Map.of("e", at)));
+        loop.post(() -> endpoints.updateAddresses(Map.of("e", at)));
     }
 
     private static Item item(long id, double timeoutMs, double deadlineAt) {
@@ -293,7 +293,7 @@
         assertThat(standIn.open()).isEqualTo(2); // both kept, and the limit is two
         LinkedBlockingQueue<StandIn.Request> second = new LinkedBlockingQueue<>();
         try (StandIn other = new StandIn(second::add)) {
-            loop.post(() -> endpoints.learn(Map.of("other", other.address())));
+            loop.post(() -> endpoints.updateAddresses(Map.of("other", other.address())));
             loop.post(() -> endpoints.call("other", List.of(item(3, LONG_MS, 1e9))));
             second.take().answer(200);
             assertThat(next().result()).isEqualTo(Result.OK);
@@ -383,7 +383,7 @@
     void aBrokenResponseWithStatus200DeliversAndItsConnectionIsClosed(String response) throws Exception {
         Outcome outcome = outcomeOfBrokenResponse(response);
         assertThat(outcome.result()).isEqualTo(Result.OK);
-        assertThat(outcome.over()).isTrue();
+        assertThat(outcome.messageEnded()).isTrue();
     }
 
     /** Even with a 503 the call may have run: sending an unsafe message again would run it twice. */
@@ -402,7 +402,7 @@
     void aCallWithAnyOtherBrokenResponseMayHaveRun(String response) throws Exception {
         Outcome outcome = outcomeOfBrokenResponse(response);
         assertThat(outcome.result()).isEqualTo(Result.RESET);
-        assertThat(outcome.over()).isFalse();
+        assertThat(outcome.messageEnded()).isFalse();
     }
 
     @Test
@@ -462,7 +462,7 @@
     void connectionsToARemovedEndpointAreClosed() throws Exception {
         StandIn standIn = endpoint(r -> r.answer(200));
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
-        loop.post(() -> endpoints.forget(List.of("e")));
+        loop.post(() -> endpoints.removeEndpoints(List.of("e")));
         Await.until("its connection closed", () -> standIn.open() == 0);
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.CONNECT_FAILED);
         assertThat(standIn.accepted()).isEqualTo(1);
@@ -482,7 +482,7 @@
         assertThat(later.waitMs()).isEqualTo(500);
         Outcome gone = next();
         assertThat(gone.result()).isEqualTo(Result.NOT_SENT);
-        assertThat(gone.over()).isTrue();
+        assertThat(gone.messageEnded()).isTrue();
         StandIn.Request r = calls.take();
         assertThat(r.target()).isEqualTo("/receive-many");
         assertThat(r.body())
--- a/src/test/java/firstair/relay/endpoints/MultiMessageCallTest.java
+++ b/src/test/java/firstair/relay/endpoints/MultiMessageCallTest.java
@@ -53,7 +53,7 @@
         gate = new GateDialer(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
-                endpoints.ask((id, attempt) -> timeoutsMs.getOrDefault(id, LONG_MS));
+                endpoints.recheckConnected((id, attempt) -> timeoutsMs.getOrDefault(id, LONG_MS));
                 endpoints.write(id -> true, () -> false);
             }
         });
@@ -75,7 +75,7 @@
             handler.handle(r);
         });
         open.add(standIn);
-        loop.post(() -> endpoints.learn(Map.of("e", standIn.address())));
+        loop.post(() -> endpoints.updateAddresses(Map.of("e", standIn.address())));
         return standIn;
     }
 
@@ -130,7 +130,7 @@
             next(done);
         }
         assertThat(outcomes).as("a second outcome").isEmpty();
-        assertThat(endpoints.out()).isZero();
+        assertThat(endpoints.callsInProgress()).isZero();
     }
 
     private static byte[] ok(int messages) {
@@ -175,7 +175,7 @@
                 new TestMessage(3, TIMEOUT_MS, LONG_MS));
         List<Outcome> results = List.of(next(), next(), next());
         assertThat(results).extracting(Outcome::id).containsExactly(1L, 2L, 3L);
-        assertThat(results).allMatch(outcome -> outcome.result() == Result.TIMEOUT && !outcome.over());
+        assertThat(results).allMatch(outcome -> outcome.result() == Result.TIMEOUT && !outcome.messageEnded());
         assertThat(loop.now() - from).isGreaterThanOrEqualTo(TIMEOUT_MS - 1);
         assertThat(results.get(2).tookMs() - results.get(0).tookMs())
                 .as("between the first and the last outcome")
@@ -254,7 +254,7 @@
         cancelled.add(true);
         List<Outcome> results = List.of(next(), next());
         assertThat(results).extracting(Outcome::id).containsExactly(1L, 3L);
-        assertThat(results).allMatch(outcome -> outcome.result() == Result.OK && outcome.over());
+        assertThat(results).allMatch(outcome -> outcome.result() == Result.OK && outcome.messageEnded());
         assertNoFurtherOutcome();
     }
 
@@ -283,7 +283,7 @@
         for (int i = 0; i < messages; i++) {
             Outcome outcome = next();
             assertThat(outcome.result()).isEqualTo(Result.TIMEOUT);
-            assertThat(outcome.over()).isFalse();
+            assertThat(outcome.messageEnded()).isFalse();
         }
         assertNoFurtherOutcome();
     }
@@ -335,7 +335,7 @@
         for (int i = 0; i < messages; i++) {
             Outcome outcome = next();
             assertThat(outcome.result()).isEqualTo(result);
-            assertThat(outcome.over()).isEqualTo(result == Result.OK);
+            assertThat(outcome.messageEnded()).isEqualTo(result == Result.OK);
         }
         assertNoFurtherOutcome();
     }
--- a/src/test/java/firstair/relay/fleet/FleetConfigTest.java
+++ b/src/test/java/firstair/relay/fleet/FleetConfigTest.java
@@ -98,7 +98,7 @@
                 .hasSize(1200)
                 .startsWith("c", "a", "b")
                 .endsWith("r1199");
-        assertThat(fleet().setup().sure()).isPositive();
+        assertThat(fleet().setup().guaranteedParts()).isPositive();
     }
 
     @Test
@@ -135,7 +135,7 @@
         assertThat(defaults.listen())
                 .as("own address among the peers")
                 .isEqualTo(defaults.addresses().get("b"));
-        assertThat(defaults.sharing().agrees()).isFalse();
+        assertThat(defaults.sharing().needsAgreement()).isFalse();
     }
 
     @Test
@@ -232,10 +232,10 @@
                 "fleet.calendars",
                 Files.writeString(folder.resolve("k.toml"), CALENDARS).toString());
         Calendar bank = fleet().calendars().get("bank");
-        assertThat(bank.works(LocalDate.of(2026, 12, 23))).isTrue();
+        assertThat(bank.isWorkingDay(LocalDate.of(2026, 12, 23))).isTrue();
         assertThat(List.of(24, 25, 27))
                 .as("closed, a holiday, a Sunday")
-                .noneMatch(day -> bank.works(LocalDate.of(2026, 12, day)));
+                .noneMatch(day -> bank.isWorkingDay(LocalDate.of(2026, 12, day)));
         for (String invalid : List.of(
                 "closed = ['2026-12-24']", "weekend = ['someday']", "opens = 'soon'", "hours = 1", "zone = 'Mars'")) {
             Files.writeString(
--- a/src/test/java/firstair/relay/fleet/PeerWireTest.java
+++ b/src/test/java/firstair/relay/fleet/PeerTransportTest.java
@@ -28,36 +28,36 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class PeerWireTest {
-    private static final PeerWire.Bounds DEFAULT_BOUNDS = PeerWire.Bounds.of(3);
+class PeerTransportTest {
+    private static final PeerTransport.Bounds DEFAULT_BOUNDS = PeerTransport.Bounds.of(3);
     private static final InetSocketAddress FREE_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final int WAIT_S = 20;
 
     private final Loop loop = LoopThread.start(() -> {});
-    private final List<PeerWire> wires = new ArrayList<>();
+    private final List<PeerTransport> wires = new ArrayList<>();
     private final LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
-    private final PeerWire b = wire(FREE_PORT, Map.of(), DEFAULT_BOUNDS, received::add);
+    private final PeerTransport b = wire(FREE_PORT, Map.of(), DEFAULT_BOUNDS, received::add);
 
-    PeerWireTest() throws IOException {}
+    PeerTransportTest() throws IOException {}
 
-    private PeerWire wire(
+    private PeerTransport wire(
             InetSocketAddress address,
             Map<String, InetSocketAddress> peers,
-            PeerWire.Bounds bounds,
-            PeerWire.Listener listener)
+            PeerTransport.Bounds bounds,
+            PeerTransport.Listener listener)
             throws IOException {
-        PeerWire wire = new PeerWire(loop, address, peers, bounds, listener);
+        PeerTransport wire = new PeerTransport(loop, address, peers, bounds, listener);
         wires.add(wire);
         return wire;
     }
 
-    private PeerWire sender(Map<String, InetSocketAddress> peers, PeerWire.Bounds bounds) throws IOException {
+    private PeerTransport sender(Map<String, InetSocketAddress> peers, PeerTransport.Bounds bounds) throws IOException {
         return wire(FREE_PORT, peers, bounds, x -> {});
     }
 
     @AfterEach
     void end() {
-        wires.forEach(PeerWire::close);
+        wires.forEach(PeerTransport::close);
         loop.end();
     }
 
@@ -69,7 +69,7 @@
 
     @Test
     void boundsOfALargeFleetAllowForAllRelaysAndStillBoundBytes() {
-        PeerWire.Bounds large = PeerWire.Bounds.of(1200);
+        PeerTransport.Bounds large = PeerTransport.Bounds.of(1200);
         assertThat(large.connections()).isGreaterThan(1200);
         assertThat(large.inboundDatagrams()).isGreaterThanOrEqualTo(1200);
         assertThat(large.inboundFrames()).isGreaterThanOrEqualTo(1200);
@@ -77,7 +77,7 @@
         assertThat(large.outboundBytes()).isEqualTo(DEFAULT_BOUNDS.outboundBytes());
     }
 
-    private void send(PeerWire from, String to, byte[] bytes) {
+    private void send(PeerTransport from, String to, byte[] bytes) {
         loop.post(() -> from.send(to, bytes));
     }
 
@@ -95,7 +95,7 @@
         assertThat(done.await(WAIT_S, TimeUnit.SECONDS)).isTrue();
     }
 
-    private void datagram(PeerWire to, byte[] bytes) throws IOException {
+    private void datagram(PeerTransport to, byte[] bytes) throws IOException {
         try (DatagramSocket s = new DatagramSocket()) {
             s.send(new DatagramPacket(bytes, bytes.length, to.address()));
         }
@@ -103,7 +103,7 @@
 
     @Test
     void bytesAboveAndBelowTheSizeOfADatagramArriveComplete() throws Exception {
-        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
+        PeerTransport a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         for (int length : new int[] {1, 1400, 1401, 70_000, 1 << 20}) {
             send(a, "b", bytes(length, length));
             assertThat(next()).as("%d bytes", length).isEqualTo(bytes(length, length));
@@ -117,7 +117,7 @@
     @Test
     void framesArriveInOrderOverOneConnection() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            PeerWire a = sender(Map.of("b", (InetSocketAddress) server.getLocalSocketAddress()), DEFAULT_BOUNDS);
+            PeerTransport a = sender(Map.of("b", (InetSocketAddress) server.getLocalSocketAddress()), DEFAULT_BOUNDS);
             send(a, "b", bytes(2000, 1));
             send(a, "b", bytes(3000, 2));
             try (Socket s = server.accept()) {
@@ -133,7 +133,7 @@
 
     @Test
     void bytesThatCannotBeSentAreOnlyCounted() throws Exception {
-        PeerWire a = sender(
+        PeerTransport a = sender(
                 Map.of(
                         "b",
                         b.address(),
@@ -165,12 +165,12 @@
 
     @Test
     void aPeerThatNeverReadsUsesBoundedMemoryAndAffectsNoOther() throws Exception {
-        PeerWire.Bounds bounds =
-                new PeerWire.Bounds(1400, 1 << 20, 64, 8, 4 << 20, 32, 3 << 20, 4 << 20, 300, 60_000, 1000, 4);
+        PeerTransport.Bounds bounds =
+                new PeerTransport.Bounds(1400, 1 << 20, 64, 8, 4 << 20, 32, 3 << 20, 4 << 20, 300, 60_000, 1000, 4);
         try (ServerSocket nonReading = new ServerSocket()) {
             nonReading.setReceiveBufferSize(4096);
             nonReading.bind(FREE_PORT);
-            PeerWire a = sender(
+            PeerTransport a = sender(
                     Map.of("nonReading", (InetSocketAddress) nonReading.getLocalSocketAddress(), "b", b.address()),
                     bounds);
             int frames = 40;
@@ -204,10 +204,10 @@
 
     @Test
     void anIdleConnectionIsClosedAndReopened() throws Exception {
-        PeerWire.Bounds bounds =
-                new PeerWire.Bounds(1400, 1 << 20, 64, 8, 4 << 20, 32, 1 << 20, 1 << 20, 5000, 1500, 1000, 4);
+        PeerTransport.Bounds bounds =
+                new PeerTransport.Bounds(1400, 1 << 20, 64, 8, 4 << 20, 32, 1 << 20, 1 << 20, 5000, 1500, 1000, 4);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            PeerWire a =
+            PeerTransport a =
                     sender(Map.of("c", (InetSocketAddress) server.getLocalSocketAddress(), "b", b.address()), bounds);
             send(a, "c", bytes(2000, 1));
             try (Socket first = server.accept()) {
@@ -250,7 +250,7 @@
         datagram(b, new byte[60_000]);
         Await.until("malformed input is counted", () -> b.counts().malformed() == 5);
         assertThat(b.counts().received()).isZero();
-        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
+        PeerTransport a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         send(a, "b", bytes(5000, 1));
         assertThat(next()).isEqualTo(bytes(5000, 1));
     }
@@ -277,7 +277,7 @@
             assertThat(next()).as("now the most recently active one").containsExactly(1);
             all.add(new Socket(b.address().getAddress(), b.address().getPort()));
             Await.until("the connection that was silent for longest is closed", () -> ended(all.get(1)));
-            assertThat(all.subList(2, all.size() - 1)).noneMatch(PeerWireTest::ended);
+            assertThat(all.subList(2, all.size() - 1)).noneMatch(PeerTransportTest::ended);
             active.getOutputStream()
                     .write(ByteBuffer.allocate(5).putInt(1).put((byte) 2).array());
             assertThat(next()).containsExactly(2);
@@ -290,12 +290,12 @@
 
     @Test
     void aRestartedPeerIsReachedAgain() throws Exception {
-        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
+        PeerTransport a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         send(a, "b", bytes(5000, 1));
         assertThat(next()).hasSize(5000);
         onLoop(b::close);
         LinkedBlockingQueue<byte[]> again = new LinkedBlockingQueue<>();
-        PeerWire c = wire(b.address(), Map.of(), DEFAULT_BOUNDS, again::add);
+        PeerTransport c = wire(b.address(), Map.of(), DEFAULT_BOUNDS, again::add);
         assertThat(c.address()).isEqualTo(b.address());
         Await.until("a frame and a datagram", () -> {
             send(a, "b", bytes(6000, 2));
@@ -317,7 +317,7 @@
     void theAddressIsFreeOnceCloseReturns() throws Exception {
         InetSocketAddress address = LoopbackPorts.shared().next();
         for (int i = 0; i < 300; i++) {
-            PeerWire wire = wire(address, Map.of(), DEFAULT_BOUNDS, x -> {});
+            PeerTransport wire = wire(address, Map.of(), DEFAULT_BOUNDS, x -> {});
             try (Socket s = new Socket(address.getAddress(), address.getPort())) {
                 wire.close();
                 new ServerSocket(address.getPort(), 1, address.getAddress()).close();
@@ -354,14 +354,14 @@
         long accepted = b.counts().received() - b.counts().overflowed();
         assertThat(accepted).isEqualTo(DEFAULT_BOUNDS.inboundDatagrams());
         // Frames have their own queue, so that excess datagrams do not displace them.
-        PeerWire a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
+        PeerTransport a = sender(Map.of("b", b.address()), DEFAULT_BOUNDS);
         free.countDown();
         send(a, "b", bytes(5000, 1));
         Await.until("the queued datagrams and the frame", () -> received.size() == accepted + 1);
         assertThat(before[0]).as("other tasks wait for one batch").isLessThanOrEqualTo(DEFAULT_BOUNDS.batchSize());
     }
 
-    private static boolean quiet(PeerWire wire) {
+    private static boolean quiet(PeerTransport wire) {
         long before = wire.counts().received();
         LockSupport.parkNanos(50_000_000);
         return wire.counts().received() == before;
@@ -370,13 +370,13 @@
     @Test
     void anExceptionForOneItemDoesNotAffectTheOthers() throws Exception {
         LinkedBlockingQueue<byte[]> others = new LinkedBlockingQueue<>();
-        PeerWire c = wire(FREE_PORT, Map.of(), DEFAULT_BOUNDS, x -> {
+        PeerTransport c = wire(FREE_PORT, Map.of(), DEFAULT_BOUNDS, x -> {
             if (x.length == 1) {
                 throw new IllegalStateException("planted");
             }
             others.add(x);
         });
-        PeerWire a = sender(Map.of("c", c.address()), DEFAULT_BOUNDS);
+        PeerTransport a = sender(Map.of("c", c.address()), DEFAULT_BOUNDS);
         onLoop(() -> {
             a.send("c", new byte[1]);
             a.send("c", new byte[2]);
--- a/src/test/java/firstair/relay/store/LedgerFileTest.java
+++ b/src/test/java/firstair/relay/store/LedgerFileTest.java
@@ -7,11 +7,11 @@
 import firstair.fleet.Setup;
 import firstair.fleet.fault.Fault;
 import firstair.fleet.ledger.AgreedContracts;
-import firstair.fleet.ledger.Agreements;
-import firstair.fleet.ledger.Keeper;
+import firstair.fleet.ledger.InMemoryLedgerStore;
 import firstair.fleet.ledger.Ledger;
-import firstair.fleet.ledger.LedgerMemory;
-import firstair.fleet.ledger.MemoryKeeper;
+import firstair.fleet.ledger.LedgerState;
+import firstair.fleet.ledger.LedgerStateMachines;
+import firstair.fleet.ledger.LedgerStore;
 import firstair.fleet.ledger.Outcome;
 import firstair.fleet.talk.Note;
 import java.io.IOException;
@@ -60,7 +60,7 @@
         return LedgerFile.open(folder, "fleet", "a", VOTERS, first, MOST);
     }
 
-    private void voter(String name, LedgerMemory memory, Keeper keeper) {
+    private void voter(String name, LedgerState memory, LedgerStore keeper) {
         Setup setup = new Setup("fleet", name, "z", VOTERS, VOTERS, 500, 3000, 100, 0.01, 0.5);
         ledgers.put(
                 name,
@@ -69,11 +69,12 @@
                         1,
                         memory,
                         keeper,
-                        new Agreements(new TreeMap<>(Map.of(Agreements.CONTRACTS, new AgreedContracts(0)))),
+                        new LedgerStateMachines(
+                                new TreeMap<>(Map.of(LedgerStateMachines.CONTRACTS, new AgreedContracts(0)))),
                         new Outbox() {
                             @Override
                             public void send(String to, Note note) {
-                                wire.add(() -> ledgers.get(to).heard(now, name, note));
+                                wire.add(() -> ledgers.get(to).receive(now, name, note));
                             }
 
                             @Override
@@ -95,11 +96,11 @@
     }
 
     /** Three voters, of which a keeps its ledger in the file. */
-    private LedgerFile fleet(LedgerFile file, Keeper keeper) {
+    private LedgerFile fleet(LedgerFile file, LedgerStore keeper) {
         voter("a", file.memory(), keeper);
         for (String other : List.of("b", "c")) {
-            LedgerMemory memory = LedgerMemory.founded("fleet", other, VOTERS);
-            voter(other, memory, new MemoryKeeper(memory));
+            LedgerState memory = LedgerState.initial("fleet", other, VOTERS);
+            voter(other, memory, new InMemoryLedgerStore(memory));
         }
         ledgers.values().forEach(l -> l.start(now));
         run(6000);
@@ -120,7 +121,7 @@
                         .propose(now, AgreedContracts.put(n, n, List.of("{\"tenant\":\"some-name\"}")), came::add);
             }
             run(20);
-            assertThat(came).as("put %d", i).hasSize(10).allMatch(Outcome.Agreed.class::isInstance);
+            assertThat(came).as("put %d", i).hasSize(10).allMatch(Outcome.Committed.class::isInstance);
         }
     }
 
@@ -155,10 +156,10 @@
         TreeMap<Long, List<byte[]>> forced = new TreeMap<>(); // what the memory was at each size of the file
         LedgerFile file = open(true);
         forced.put(file.size(), file.memory().changes());
-        fleet(file, new Keeper() {
+        fleet(file, new LedgerStore() {
             @Override
-            public void keep(byte[] change) throws IOException {
-                file.keep(change);
+            public void append(byte[] change) throws IOException {
+                file.append(change);
             }
 
             @Override
@@ -178,7 +179,7 @@
             if (before.getKey() == cut) {
                 assertThat(text(back.memory().changes())).as("cut at %d", cut).isEqualTo(text(before.getValue()));
             } else {
-                LedgerMemory least = LedgerMemory.of(before.getValue());
+                LedgerState least = LedgerState.of(before.getValue());
                 assertThat(back.memory().term()).as("cut at %d", cut).isGreaterThanOrEqualTo(least.term());
                 assertThat(back.memory().last()).as("cut at %d", cut).isGreaterThanOrEqualTo(least.last());
             }
@@ -225,7 +226,7 @@
     void onceItCannotWriteItNeverPretendsToAgain() throws IOException {
         LedgerFile file = open(true);
         file.close(); // the next write fails
-        assertThatThrownBy(() -> file.keep(new byte[1])).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> file.append(new byte[1])).isInstanceOf(IOException.class);
         assertThatThrownBy(file::force).isInstanceOf(IOException.class);
         Path blocked = folder.resolve("ledger.log").resolve("below-a-file");
         assertThatThrownBy(() -> LedgerFile.open(blocked, "fleet", "a", VOTERS, true, MOST))
