--- a/src/main/java/firstair/fleet/booking/Bookings.java
+++ b/src/main/java/firstair/fleet/booking/Bookings.java
@@ -211,24 +211,24 @@
     private void put(Operation.Put request) {
         Booking old = bookings.get(request.id());
         if (old != null && !old.request().equals(request)) {
-            throw new Fault.BadRequest("id", "another booking has this id");
+            throw new Fault.BadRequest("id", "another booking has this name");
         }
         if (old != null && old.state() != State.REFUSED) {
             return; // repeated request
         }
         if (!teams.containsKey(request.team())) {
-            throw new Fault.BadRequest("team", "unknown team");
+            throw new Fault.BadRequest("team", "no team of this name");
         }
         for (int destination : request.rates().keySet()) {
             if (!destinations.containsKey(destination)) {
-                throw new Fault.BadRequest("calls." + destination, "not a bookable destination");
+                throw new Fault.BadRequest("calls." + destination, "nothing can be booked there");
             }
         }
         if (request.startMs() > time + rules.aheadMs()) {
             throw new Fault.BadRequest("start", "is more than " + rules.aheadMs() + " ms ahead");
         }
         if (old == null && bookings.size() >= rules.maxBookings() && !removeOldestRefused()) {
-            throw new Fault.BadRequest("id", rules.maxBookings() + " bookings are stored, which is the maximum");
+            throw new Fault.BadRequest("id", rules.maxBookings() + " bookings are kept, there is no room for more");
         }
         Booking booking = Booking.of(request, nextNumber++, time);
         changes.add(new Change(request.id(), null, State.REQUESTED, time, "requested"));
@@ -305,7 +305,7 @@
             throw new Fault.IllegalChange(booking.id(), booking.state().label(), "longer");
         }
         if (o.endMs() <= booking.endMs()) {
-            throw new Fault.BadRequest("end", "must be after the current end");
+            throw new Fault.BadRequest("end", "has to be after the end so far");
         }
         // relays may have received the current end, which must stay valid
         if (booking.state() == State.RUNNING && withinHorizon(booking.endMs())) {
@@ -360,7 +360,7 @@
     private void limit(Operation.Limit o) {
         Destination destination = destinations.get(o.destination());
         if (destination == null) {
-            throw new Fault.BadRequest("destination", "not a bookable destination");
+            throw new Fault.BadRequest("destination", "nothing can be booked there");
         }
         destination.limit = o.limit();
         cutToCapacity(destination);
@@ -373,7 +373,7 @@
         } else if (teams.size() < MAX_TEAMS) {
             teams.put(o.team(), new Team(o));
         } else {
-            throw new Fault.BadRequest("team", "at most " + MAX_TEAMS + " teams");
+            throw new Fault.BadRequest("team", MAX_TEAMS + " teams at most");
         }
         teamsWithRefund.add(o.team());
     }
@@ -386,7 +386,7 @@
             destination = new Destination(o, newTimeline.get());
             destinations.put(o.destination(), destination);
         } else {
-            throw new Fault.BadRequest("destination", "at most " + MAX_DESTINATIONS + " destinations");
+            throw new Fault.BadRequest("destination", MAX_DESTINATIONS + " destinations at most");
         }
         cutToCapacity(destination);
     }
--- a/src/main/java/firstair/fleet/booking/Calendar.java
+++ b/src/main/java/firstair/fleet/booking/Calendar.java
@@ -114,14 +114,14 @@
         try {
             zone = ZoneId.of(terms.zone());
         } catch (DateTimeException e) {
-            throw badCalendar("unknown time zone " + terms.zone());
+            throw badCalendar("no time zone " + terms.zone());
         }
         weekend = terms.weekend().isEmpty() ? EnumSet.noneOf(DayOfWeek.class) : EnumSet.copyOf(terms.weekend());
         if (weekend.size() == DayOfWeek.values().length) {
-            throw badCalendar("has no working day in the week");
+            throw badCalendar("nobody ever works");
         }
         if (terms.closed().size() > MAX_CLOSED_DAYS) {
-            throw badCalendar("at most " + MAX_CLOSED_DAYS + " closed days");
+            throw badCalendar(MAX_CLOSED_DAYS + " closing days at most");
         }
         closed = new TreeSet<>(terms.closed());
         if (!allDay() && minuteOfDay(terms.closes(), true) <= minuteOfDay(terms.opens(), false)) {
@@ -132,13 +132,13 @@
         for (String country : terms.countries()) {
             String[] parts = country.toLowerCase(Locale.ROOT).split("-", -1);
             if (!codes.contains(parts[0])) {
-                throw badCalendar("no holiday data for country " + country);
+                throw badCalendar("no holidays of country " + country);
             }
             HolidayManager manager = HolidayManager.getInstance(ManagerParameters.create(parts[0]));
             if (parts.length > 1
                     && (parts.length > 2
                             || !manager.getCalendarHierarchy().getChildren().containsKey(parts[1]))) {
-                throw badCalendar("unknown subdivision " + country + " of its country");
+                throw badCalendar("no part " + country + " of its country");
             }
             countries.merge(manager, parts.length > 1 ? new String[] {parts[1]} : new String[0], (a, b) -> {
                 throw badCalendar("country " + parts[0] + " is named twice");
@@ -160,7 +160,7 @@
 
     private Set<LocalDate> holidays(int year) {
         if (year < FIRST_YEAR || year > LAST_YEAR) {
-            throw badCalendar("the year " + year + " is out of range");
+            throw badCalendar("the year " + year + " is too far away");
         }
         Set<LocalDate> days = holidays.get(year);
         if (days == null) {
@@ -245,7 +245,7 @@
         LocalDate effective = effectiveDay(nowMs);
         LocalDate last = today.plusYears(MAX_YEARS_AHEAD);
         if (repeat.first.isBefore(today.minusYears(MAX_YEARS_AHEAD)) || repeat.first.isAfter(last)) {
-            throw badCalendar("the rule must begin within two years of now");
+            throw badCalendar("the rule has to begin within two years of now");
         }
         Map<LocalDate, Span> spans = new TreeMap<>();
         for (LocalDate ruleDay : ruleDays(repeat, last)) {
@@ -282,16 +282,16 @@
 
     private void validate(Repeat repeat) {
         if (repeat.maxOccurrences < 1 || repeat.maxOccurrences > MAX_OCCURRENCES) {
-            throw badCalendar("a rule must have 1 to " + MAX_OCCURRENCES + " occurrences");
+            throw badCalendar("a rule may come 1 to " + MAX_OCCURRENCES + " times");
         }
         if (repeat.first.getYear() < FIRST_YEAR || repeat.first.getYear() > LAST_YEAR) {
-            throw badCalendar("the first day of the rule is out of range");
+            throw badCalendar("the rule begins too far away");
         }
         if (!allDay()
                 && (minuteOfDay(repeat.from, false) < minuteOfDay(terms.opens(), false)
                         || minuteOfDay(repeat.to, true) > minuteOfDay(terms.closes(), true)
                         || minuteOfDay(repeat.to, true) <= minuteOfDay(repeat.from, false))) {
-            throw badCalendar("not open from " + repeat.from + " to " + repeat.to);
+            throw badCalendar("it is not open from " + repeat.from + " to " + repeat.to);
         }
     }
 
@@ -317,14 +317,14 @@
                 | DateTimeException
                 | IndexOutOfBoundsException e) {
             throw badCalendar("rule " + repeat.rule.substring(0, Math.min(repeat.rule.length(), MAX_RULE_LENGTH))
-                    + " is invalid: " + e.getMessage());
+                    + " cannot be used: " + e.getMessage());
         }
         return Collections.unmodifiableList(days);
     }
 
     private RecurrenceRule parseRule(String text) throws InvalidRecurrenceRuleException {
         if (text.length() > MAX_RULE_LENGTH) {
-            throw badCalendar("the rule is longer than " + MAX_RULE_LENGTH + " characters");
+            throw badCalendar("a rule of more than " + MAX_RULE_LENGTH + " characters");
         }
         RecurrenceRule rule = new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
         Set<Freq> allowed = EnumSet.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
@@ -334,10 +334,10 @@
                 || rule.hasPart(RecurrenceRule.Part.BYHOUR)
                 || rule.hasPart(RecurrenceRule.Part.BYMINUTE)
                 || rule.hasPart(RecurrenceRule.Part.BYSECOND)) {
-            throw badCalendar("the rule must select whole days: " + text);
+            throw badCalendar("a rule has to say days: " + text);
         }
         if (rule.getUntil() != null && !rule.getUntil().isAllDay()) {
-            throw badCalendar("UNTIL must be a date: " + text);
+            throw badCalendar("UNTIL has to be a date: " + text);
         }
         return rule;
     }
--- a/src/main/java/firstair/fleet/booking/ClosingHours.java
+++ b/src/main/java/firstair/fleet/booking/ClosingHours.java
@@ -30,7 +30,7 @@
         days = Collections.unmodifiableSet(days.isEmpty() ? EnumSet.noneOf(DayOfWeek.class) : EnumSet.copyOf(days));
         dates = dates.stream().distinct().sorted().toList();
         if (dates.size() > MAX_DATES) {
-            throw new Fault.BadRequest("closed.dates", "at most " + MAX_DATES + " dates");
+            throw new Fault.BadRequest("closed.dates", MAX_DATES + " dates at most");
         }
     }
 
--- a/src/main/java/firstair/fleet/booking/JsonFields.java
+++ b/src/main/java/firstair/fleet/booking/JsonFields.java
@@ -42,10 +42,10 @@
         try {
             all = STRICT.fromJson(text, JsonElement.class);
         } catch (JsonParseException e) {
-            throw new Fault.BadRequest("body", "is not valid JSON");
+            throw new Fault.BadRequest("body", "is not JSON");
         }
         if (all == null || !all.isJsonObject()) {
-            throw new Fault.BadRequest("body", "must be a JSON object");
+            throw new Fault.BadRequest("body", "has to be a JSON object");
         }
         return new JsonFields("", all.getAsJsonObject());
     }
@@ -60,7 +60,7 @@
     void rejectUnread() {
         for (String name : object.keySet()) {
             if (!readNames.contains(name)) {
-                throw new Fault.BadRequest(path + truncated(name), "unknown field");
+                throw new Fault.BadRequest(path + truncated(name), "is no field here");
             }
         }
     }
@@ -69,7 +69,7 @@
     String string(String name) {
         JsonElement e = get(name);
         if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
-            throw invalid(name, "must be a string");
+            throw invalid(name, "has to be a text");
         }
         return e.getAsString();
     }
@@ -84,7 +84,7 @@
         List<T> all = new ArrayList<>();
         for (JsonElement e : array(name)) {
             if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
-                throw invalid(name, "must contain only strings");
+                throw invalid(name, "has to hold texts");
             }
             all.add(parsed(name, e.getAsString(), expected, reader));
         }
@@ -95,7 +95,7 @@
         try {
             return reader.apply(text);
         } catch (DateTimeException | IllegalArgumentException | ArithmeticException e) {
-            throw invalid(name, "must be " + expected);
+            throw invalid(name, "has to be " + expected);
         }
     }
 
@@ -113,7 +113,7 @@
         }
         JsonElement e = get(name);
         if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isBoolean()) {
-            throw invalid(name, "must be true or false");
+            throw invalid(name, "has to be true or false");
         }
         return e.getAsBoolean();
     }
@@ -155,7 +155,7 @@
     private SortedMap<Integer, Long> byNumber(String name, boolean asThousandths) {
         JsonElement all = get(name);
         if (!all.isJsonObject()) {
-            throw invalid(name, "must be an object");
+            throw invalid(name, "has to be an object");
         }
         SortedMap<Integer, Long> map = new TreeMap<>();
         for (Map.Entry<String, JsonElement> e : all.getAsJsonObject().entrySet()) {
@@ -164,7 +164,7 @@
             try {
                 key = Integer.parseInt(e.getKey());
             } catch (NumberFormatException x) {
-                throw new Fault.BadRequest(field, "is not a number");
+                throw new Fault.BadRequest(field, "is no number");
             }
             map.put(key, asThousandths ? thousandths(field, e.getValue()) : longValue(field, e.getValue()));
         }
@@ -176,7 +176,7 @@
         List<JsonFields> all = new ArrayList<>();
         for (JsonElement e : array(name)) {
             if (!e.isJsonObject()) {
-                throw invalid(name, "must contain only objects");
+                throw invalid(name, "has to hold objects");
             }
             all.add(new JsonFields(path + name + "[" + all.size() + "].", e.getAsJsonObject()));
         }
@@ -187,7 +187,7 @@
     JsonFields object(String name) {
         JsonElement e = get(name);
         if (!e.isJsonObject()) {
-            throw invalid(name, "must be an object");
+            throw invalid(name, "has to be an object");
         }
         return new JsonFields(path + name + ".", e.getAsJsonObject());
     }
@@ -195,7 +195,7 @@
     private Iterable<JsonElement> array(String name) {
         JsonElement e = get(name);
         if (!e.isJsonArray() || e.getAsJsonArray().size() > MAX_LIST_SIZE) {
-            throw invalid(name, "must be a list");
+            throw invalid(name, "has to be a list");
         }
         return e.getAsJsonArray();
     }
@@ -218,9 +218,9 @@
                 }
             }
         } catch (NumberFormatException x) {
-            throw new Fault.BadRequest(field, "is not a number");
+            throw new Fault.BadRequest(field, "is no number");
         }
-        throw new Fault.BadRequest(field, "must be a number");
+        throw new Fault.BadRequest(field, "has to be a number");
     }
 
     private static long longValue(String field, JsonElement e) {
@@ -238,8 +238,8 @@
             throw new Fault.BadRequest(
                     field,
                     decimals == 0
-                            ? "must be a whole number"
-                            : "must be a number with at most " + decimals + " decimals");
+                            ? "has to be a whole number"
+                            : "has to be a number with " + decimals + " decimals at most");
         }
     }
 
--- a/src/main/java/firstair/fleet/booking/Operation.java
+++ b/src/main/java/firstair/fleet/booking/Operation.java
@@ -159,7 +159,7 @@
                 || name.isEmpty()
                 || name.length() > MAX_NAME_LENGTH
                 || !name.chars().allMatch(Operation::isNameCharacter)) {
-            throw new Fault.BadRequest(field, "1 to " + MAX_NAME_LENGTH + " letters, digits or . _ : - are required");
+            throw new Fault.BadRequest(field, "1 to " + MAX_NAME_LENGTH + " letters, digits or . _ : - are needed");
         }
     }
 
@@ -172,13 +172,13 @@
                 || reason.isBlank()
                 || reason.length() > MAX_REASON_LENGTH
                 || reason.chars().anyMatch(c -> Character.isISOControl(c) || Character.isSurrogate((char) c))) {
-            throw new Fault.BadRequest("reason", "1 to " + MAX_REASON_LENGTH + " characters are required");
+            throw new Fault.BadRequest("reason", "1 to " + MAX_REASON_LENGTH + " characters are needed");
         }
     }
 
     private static void checkRange(String field, long value, long min, long max) {
         if (value < min || value > max) {
-            throw new Fault.BadRequest(field, "must be from " + min + " to " + max);
+            throw new Fault.BadRequest(field, "has to be from " + min + " to " + max);
         }
     }
 
@@ -186,7 +186,7 @@
         checkRange("start", startMs, 0, MAX_TIME_MS);
         checkRange("end", endMs, 0, MAX_TIME_MS);
         if (endMs <= startMs) {
-            throw new Fault.BadRequest("end", "must be after the start");
+            throw new Fault.BadRequest("end", "has to be after the start");
         }
     }
 }
--- a/src/main/java/firstair/fleet/booking/Operations.java
+++ b/src/main/java/firstair/fleet/booking/Operations.java
@@ -33,7 +33,7 @@
     public static Operation read(byte[] bytes) {
         JsonFields fields = parse(bytes);
         if (fields.has("repeat")) {
-            throw new Fault.BadRequest("repeat", "must be expanded by a calendar first");
+            throw new Fault.BadRequest("repeat", "has to be expanded by a calendar first");
         }
         return operation(fields);
     }
@@ -52,12 +52,12 @@
             return List.of(operation(fields));
         }
         if (!fields.string("kind").equals("put")) {
-            throw new Fault.BadRequest("repeat", "is only allowed for kind put");
+            throw new Fault.BadRequest("repeat", "is for requests only");
         }
         JsonFields repeatFields = fields.object("repeat");
         Calendar calendar = calendars.get(repeatFields.string("calendar"));
         if (calendar == null) {
-            throw new Fault.BadCalendar(repeatFields.string("calendar"), "is not configured");
+            throw new Fault.BadCalendar(repeatFields.string("calendar"), "is not among the settings");
         }
         Calendar.Repeat repeat = new Calendar.Repeat(
                 repeatFields.string("rule"),
@@ -84,7 +84,7 @@
 
     private static JsonFields parse(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
-            throw new Fault.BadRequest("body", "at most " + MAX_BYTES + " bytes");
+            throw new Fault.BadRequest("body", MAX_BYTES + " bytes at most");
         }
         return JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
     }
@@ -154,7 +154,7 @@
     private static int bookableShare(JsonFields fields) {
         long parts = fields.millionths("bookable");
         if (parts < 0 || parts > Setup.WHOLE) {
-            throw new Fault.BadRequest("bookable", "must be from 0 to 1");
+            throw new Fault.BadRequest("bookable", "has to be from 0 to 1");
         }
         return (int) parts;
     }
--- a/src/main/java/firstair/fleet/booking/Rates.java
+++ b/src/main/java/firstair/fleet/booking/Rates.java
@@ -28,15 +28,15 @@
     /** The rates of a request after validation; throws {@link Fault.BadRequest}. */
     static SortedMap<Integer, Long> validated(Map<Integer, Long> rates) {
         if (rates == null || rates.isEmpty() || rates.size() > MAX_DESTINATIONS) {
-            throw new Fault.BadRequest("calls", "1 to " + MAX_DESTINATIONS + " destinations are required");
+            throw new Fault.BadRequest("calls", "1 to " + MAX_DESTINATIONS + " destinations are needed");
         }
         for (Map.Entry<Integer, Long> e : rates.entrySet()) {
             if (e.getKey() == null || e.getKey() < 0) {
-                throw new Fault.BadRequest("calls", "a destination must be a number, 0 or greater");
+                throw new Fault.BadRequest("calls", "a destination is a number from 0 on");
             }
             if (e.getValue() == null || e.getValue() <= 0 || e.getValue() > MAX_RATE) {
                 throw new Fault.BadRequest(
-                        "calls." + e.getKey(), "must be 0.001 to " + MAX_RATE / PARTS_PER_CALL + " calls per second");
+                        "calls." + e.getKey(), "0.001 to " + MAX_RATE / PARTS_PER_CALL + " calls a second");
             }
         }
         return copy(rates);
--- a/src/main/java/firstair/fleet/booking/Rules.java
+++ b/src/main/java/firstair/fleet/booking/Rules.java
@@ -56,7 +56,7 @@
 
     private static void check(String field, long value, long min, long max) {
         if (value < min || value > max) {
-            throw new Fault.BadSetup("fleet.bookings." + field, "must be from " + min + " to " + max);
+            throw new Fault.BadSetup("fleet.bookings." + field, "has to be from " + min + " to " + max);
         }
     }
 }
--- a/src/main/java/firstair/fleet/booking/SealedBookings.java
+++ b/src/main/java/firstair/fleet/booking/SealedBookings.java
@@ -90,7 +90,7 @@
     private static SortedMap<Integer, Long> rates(JsonFields fields, String name) {
         SortedMap<Integer, Long> rates = fields.longsByNumber(name);
         if (rates.values().stream().anyMatch(r -> r < 0 || r > Rates.MAX_RATE)) {
-            throw new Fault.BadRequest(name, "must be from 0 to " + Rates.MAX_RATE);
+            throw new Fault.BadRequest(name, "has to be from 0 to " + Rates.MAX_RATE);
         }
         return rates;
     }
--- a/src/main/java/firstair/fleet/booking/Zones.java
+++ b/src/main/java/firstair/fleet/booking/Zones.java
@@ -23,9 +23,9 @@
                 return ZoneId.of(name);
             }
         } catch (DateTimeException e) {
-            throw new Fault.BadRequest(field, "unknown time zone");
+            throw new Fault.BadRequest(field, "no time zone of this name");
         }
-        throw new Fault.BadRequest(field, "a time zone is required");
+        throw new Fault.BadRequest(field, "a time zone is needed");
     }
 
     /** The instant of a start, epoch ms. */
--- a/src/main/java/firstair/fleet/fault/Fault.java
+++ b/src/main/java/firstair/fleet/fault/Fault.java
@@ -199,10 +199,7 @@
 
         /** @param tenant the name given in the request */
         public UnknownTenant(String tenant) {
-            super(
-                    "F301",
-                    "no contract for tenant " + tenant,
-                    "add its contract, or correct X-Addressing at the client");
+            super("F301", "no contract of tenant " + tenant, "add its contract, or correct X-Addressing at the client");
         }
     }
 
@@ -234,8 +231,8 @@
         public OutsideContract(String tenant, String zone, String zones) {
             super(
                     "F304",
-                    "messages of " + tenant + " must not be stored in zone " + zone,
-                    "send them to a relay in " + zones);
+                    "messages of " + tenant + " may not be kept in zone " + zone,
+                    "hand them in at a relay in " + zones);
         }
     }
 
@@ -246,7 +243,10 @@
 
         /** @param afterMs time until quota is available again */
         public TenantQuota(String tenant, double afterMs) {
-            super("F305", "tenant " + tenant + " is over its quota", "retry after the given wait, or raise the quota");
+            super(
+                    "F305",
+                    "tenant " + tenant + " is over its quota",
+                    "come again after the told wait, or raise the quota");
             this.afterMs = afterMs;
         }
 
@@ -264,8 +264,8 @@
         public ContractsOld(long version) {
             super(
                     "F306",
-                    "contracts (version " + version + ") not confirmed within their term, applying the strictest known",
-                    "restore the links to the voters");
+                    "contracts (version " + version + ") not confirmed for their term, acting by the strictest known",
+                    "mend the links to the voters");
         }
     }
 
@@ -277,8 +277,8 @@
         public NoZoneLeft(String tenant) {
             super(
                     "F307",
-                    "gave up a message of " + tenant + ", unresolved in a zone that its contract no longer allows",
-                    "ask the partner whether it was processed");
+                    "a message of " + tenant + " is in doubt in a zone that its contract has left, given up",
+                    "ask the partner whether it ran");
         }
     }
 
@@ -402,8 +402,8 @@
         public NotNow(double afterMs) {
             super(
                     "F411",
-                    "no majority of the voters is reachable from here",
-                    "retry after the given wait, or at another relay");
+                    "no majority of the voters can be heard here",
+                    "come again after the told wait, or elsewhere");
             this.afterMs = afterMs;
         }
 
--- a/src/main/java/firstair/fleet/ledger/Ledger.java
+++ b/src/main/java/firstair/fleet/ledger/Ledger.java
@@ -134,13 +134,13 @@
             Follower.Listener listener) {
         if (!memory.fleet().equals(setup.fleet()) || !memory.self().equals(setup.self())) {
             throw new Fault.BadSetup(
-                    "fleet.name", "the stored ledger belongs to " + memory.self() + " in fleet " + memory.fleet());
+                    "fleet.name", "the ledger here is that of " + memory.self() + " in fleet " + memory.fleet());
         }
         if (!List.copyOf(memory.voters()).containsAll(setup.voters())
                 || memory.voters().size() != setup.voters().size()) {
             throw new Fault.BadSetup(
                     "fleet.voters",
-                    "the stored ledger has the voters " + memory.voters() + ", which cannot be changed");
+                    "the ledger here is of " + memory.voters() + ", and voters cannot be changed under it");
         }
         this.setup = setup;
         this.stateMachines = stateMachines;
--- a/src/main/java/firstair/fleet/ledger/LedgerState.java
+++ b/src/main/java/firstair/fleet/ledger/LedgerState.java
@@ -62,7 +62,7 @@
         LedgerState memory = new LedgerState();
         changes.forEach(memory::apply);
         if (memory.fleet == null) {
-            throw new Fault.Unreadable("a ledger without fleet and voter");
+            throw new Fault.Unreadable("nobody's ledger");
         }
         memory.restoredState();
         return memory;
@@ -181,7 +181,7 @@
         long next = Math.max(0, snapshotIndex) + 1;
         for (LogEntry entry : entriesAfter) {
             if (entry.getIndex() != next) {
-                throw new Fault.Unreadable("log entry " + next + " is missing");
+                throw new Fault.Unreadable("entry " + next + " is missing");
             }
             next++;
         }
@@ -219,7 +219,7 @@
         @Override
         public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
             if (!state.isVoting() || !Voter.nameOf(state.getLocalEndpoint()).equals(self)) {
-                throw new IOException("the engine reports another local voter");
+                throw new IOException("the engine takes itself for another voter");
             }
         }
 
@@ -230,7 +230,7 @@
                 names.add(Voter.nameOf(e));
             }
             if (!names.containsAll(voters) || names.size() != voters.size()) {
-                throw new IOException("the engine reports other voters");
+                throw new IOException("the engine takes others for voters");
             }
         }
 
--- a/src/main/java/firstair/fleet/ledger/MessagePackFormat.java
+++ b/src/main/java/firstair/fleet/ledger/MessagePackFormat.java
@@ -94,7 +94,7 @@
         long nonNegativeLong() {
             long value = number();
             if (value < 0) {
-                throw new Fault.Unreadable("a negative number");
+                throw new Fault.Unreadable("a count below zero");
             }
             return value;
         }
@@ -103,7 +103,7 @@
         int listSize() {
             long value = nonNegativeLong();
             if (value > length) {
-                throw new Fault.Unreadable("more values announced than bytes available");
+                throw new Fault.Unreadable("more values than bytes");
             }
             return (int) value;
         }
@@ -111,7 +111,7 @@
         int nonNegativeInt() {
             long value = nonNegativeLong();
             if (value > Integer.MAX_VALUE) {
-                throw new Fault.Unreadable("a number exceeds the range of int");
+                throw new Fault.Unreadable("a number too high");
             }
             return (int) value;
         }
@@ -137,7 +137,7 @@
             return checked(() -> {
                 int size = unpacker.unpackBinaryHeader();
                 if (size < 0 || size > length) { // checked before memory is allocated for it
-                    throw new Fault.Unreadable("more bytes announced than available");
+                    throw new Fault.Unreadable("more bytes told than there are");
                 }
                 return unpacker.readPayload(size);
             });
@@ -154,7 +154,7 @@
         /** Checks that the input has been read to its end. */
         void expectEnd() {
             if (checked(unpacker::hasNext)) {
-                throw new Fault.Unreadable("bytes after the end");
+                throw new Fault.Unreadable("bytes behind its end");
             }
         }
     }
--- a/src/main/java/firstair/fleet/ledger/RaftCodec.java
+++ b/src/main/java/firstair/fleet/ledger/RaftCodec.java
@@ -236,7 +236,7 @@
             LogEntry entry = entry(in);
             if (!entries.isEmpty()
                     && entry.getIndex() != entries.get(entries.size() - 1).getIndex() + 1) {
-                throw new Fault.Unreadable("log entries with a gap");
+                throw new Fault.Unreadable("entries with a gap");
             }
             entries.add(entry);
         }
@@ -274,7 +274,7 @@
                 .setGroupMembersView(members(in))
                 .build();
         if (chunk.getSnapshotChunkIndex() >= chunk.getSnapshotChunkCount()) {
-            throw new Fault.Unreadable("a snapshot chunk beyond the last one");
+            throw new Fault.Unreadable("a piece behind the last of its snapshot");
         }
         return chunk;
     }
--- a/src/main/java/firstair/fleet/residency/Contract.java
+++ b/src/main/java/firstair/fleet/residency/Contract.java
@@ -46,12 +46,12 @@
     public Contract {
         if (tenant == null || !tenant.matches(NAME)) {
             throw new Fault.BadContract(
-                    String.valueOf(tenant), "tenant: must be 1 to 64 letters, digits, dots, hyphens or underscores");
+                    String.valueOf(tenant), "tenant: has to be 1 to 64 letters, digits, dots, hyphens or underscores");
         }
         zones = sortedZones(tenant, "zones", zones);
         always = always == null || always.isEmpty() ? Set.of() : sortedZones(tenant, "always", always);
         if (zones.isEmpty()) {
-            throw new Fault.BadContract(tenant, "zones: must not be empty");
+            throw new Fault.BadContract(tenant, "zones: names none");
         }
         checkAlwaysWithin(tenant, always, "zones", zones);
         Map<String, Set<String>> sorted = new TreeMap<>();
@@ -60,17 +60,17 @@
             String field = "classes." + entry.getKey();
             Set<String> allowed = sortedZones(tenant, field, entry.getValue());
             if (entry.getKey() == null || entry.getKey().isBlank() || allowed.isEmpty()) {
-                throw new Fault.BadContract(tenant, field + ": needs a name and at least one zone");
+                throw new Fault.BadContract(tenant, field + ": needs a name and one zone at least");
             }
             checkAlwaysWithin(tenant, always, field, allowed);
             sorted.put(entry.getKey(), allowed);
         }
         classes = Collections.unmodifiableMap(sorted);
         if (!(callsPerS >= 0) || Double.isInfinite(callsPerS)) {
-            throw new Fault.BadContract(tenant, "calls_per_s: must be 0 or more, is " + callsPerS);
+            throw new Fault.BadContract(tenant, "calls_per_s: has to be 0 or more, is " + callsPerS);
         }
         if (from < 0) {
-            throw new Fault.BadContract(tenant, "from: must be 1970 or later");
+            throw new Fault.BadContract(tenant, "from: has to be 1970 or later");
         }
     }
 
@@ -94,11 +94,11 @@
             for (String field : new TreeSet<>(table.keySet())) {
                 if (!FIELDS.contains(field)) {
                     throw new Fault.BadContract(
-                            name, field + ": unknown field, expected one of " + String.join(", ", FIELDS));
+                            name, field + ": no such field, there are " + String.join(", ", FIELDS));
                 }
             }
             if (!(table.get("tenant") instanceof String)) {
-                throw new Fault.BadContract(name, "tenant: must be a string");
+                throw new Fault.BadContract(name, "tenant: has to be text");
             }
             Contract contract = new Contract(
                     name,
@@ -131,8 +131,8 @@
                     if (after == null || !after.allowsForAllClasses(zone)) {
                         throw new Fault.BadContract(
                                 before.tenant,
-                                "zones: omits " + zone
-                                        + ", which an earlier version has in always; first remove it there everywhere");
+                                "zones: leaves out " + zone
+                                        + ", which always has promised; take it out of always first, everywhere");
                     }
                 }
             }
@@ -145,12 +145,12 @@
 
     private void checkZonesExist(Set<String> known) {
         if (Collections.disjoint(zones, known)) {
-            throw new Fault.BadContract(tenant, "zones: none of " + String.join(", ", zones) + " exists");
+            throw new Fault.BadContract(tenant, "zones: none of " + String.join(", ", zones) + " is known");
         }
         classes.forEach((name, allowed) -> {
             if (Collections.disjoint(allowed, known)) {
                 throw new Fault.BadContract(
-                        tenant, "classes." + name + ": none of " + String.join(", ", allowed) + " exists");
+                        tenant, "classes." + name + ": none of " + String.join(", ", allowed) + " is known");
             }
         });
     }
@@ -158,7 +158,7 @@
     private static void checkAlwaysWithin(String tenant, Set<String> always, String field, Set<String> allowed) {
         for (String zone : always) {
             if (!allowed.contains(zone)) {
-                throw new Fault.BadContract(tenant, "always: names " + zone + ", which " + field + " omits");
+                throw new Fault.BadContract(tenant, "always: names " + zone + ", which " + field + " leaves out");
             }
         }
     }
@@ -168,7 +168,7 @@
         Set<String> sorted = new TreeSet<>();
         for (String value : values == null ? List.<String>of() : values) {
             if (value == null || value.isBlank()) {
-                throw new Fault.BadContract(tenant, field + ": contains a blank zone");
+                throw new Fault.BadContract(tenant, field + ": names a blank zone");
             }
             sorted.add(value);
         }
@@ -180,12 +180,12 @@
             return Set.of();
         }
         if (!(value instanceof List<?> given)) {
-            throw new Fault.BadContract(tenant, field + ": must be a list of zones");
+            throw new Fault.BadContract(tenant, field + ": has to be a list of zones");
         }
         List<String> texts = new ArrayList<>();
         for (Object entry : given) {
             if (!(entry instanceof String text)) {
-                throw new Fault.BadContract(tenant, field + ": must be a list of zones");
+                throw new Fault.BadContract(tenant, field + ": has to be a list of zones");
             }
             texts.add(text);
         }
@@ -195,7 +195,7 @@
     private static Map<String, Set<String>> zonesByClass(String tenant, Object value) {
         Map<String, Set<String>> all = new TreeMap<>();
         if (value != null && !(value instanceof Map<?, ?>)) {
-            throw new Fault.BadContract(tenant, "classes: must be a table of lists of zones");
+            throw new Fault.BadContract(tenant, "classes: has to be a table of lists of zones");
         }
         if (value instanceof Map<?, ?> given) {
             given.forEach((name, zones) -> all.put(String.valueOf(name), zoneList(tenant, "classes." + name, zones)));
@@ -205,7 +205,7 @@
 
     private static double callRate(String tenant, Object value) {
         if (value != null && !(value instanceof Number)) {
-            throw new Fault.BadContract(tenant, "calls_per_s: must be a number");
+            throw new Fault.BadContract(tenant, "calls_per_s: has to be a number");
         }
         return value == null ? 0 : ((Number) value).doubleValue();
     }
@@ -217,7 +217,7 @@
         try {
             return OffsetDateTime.parse(value.toString()).toInstant().toEpochMilli();
         } catch (DateTimeException | ArithmeticException e) {
-            throw new Fault.BadContract(tenant, "from: must be a date and time with offset, or ms since 1970");
+            throw new Fault.BadContract(tenant, "from: has to be a date and time with its offset, or ms since 1970");
         }
     }
 }
--- a/src/main/java/firstair/fleet/residency/Residency.java
+++ b/src/main/java/firstair/fleet/residency/Residency.java
@@ -100,7 +100,7 @@
             throw new Fault.OutsideContract(
                     tenant,
                     setup.zone(),
-                    zones.isEmpty() ? "no zone yet: the contract is not confirmed" : String.join(", ", zones));
+                    zones.isEmpty() ? "no zone yet: the contract waits to be confirmed" : String.join(", ", zones));
         }
         takeFromQuota(now, tenant);
         return Optional.of(zones);
--- a/src/main/java/firstair/relay/fleet/FleetDriver.java
+++ b/src/main/java/firstair/relay/fleet/FleetDriver.java
@@ -129,7 +129,7 @@
             try {
                 last = Long.parseLong(Files.readString(file).strip());
             } catch (NumberFormatException | IOException e) {
-                LOG.warning("cannot read " + file + ", using the wall clock instead: " + e);
+                LOG.warning("the file " + file + " cannot be read, the wall clock takes its place: " + e);
             }
         }
         long next = Math.max(last + 1, System.currentTimeMillis());
@@ -309,7 +309,7 @@
             try {
                 ledger.close();
             } catch (IOException e) {
-                LOG.warning("fleet: cannot close the ledger: " + e);
+                LOG.warning("fleet: the ledger was not closed: " + e);
             }
         }
     }
@@ -331,7 +331,7 @@
             List<Operation> operations =
                     Operations.readAll(operationJson(request), config.calendars(), calendarClock.nowMs());
             if (operations.isEmpty()) {
-                throw new Fault.BadRequest("repeat", "no occurrence is left that can still be requested");
+                throw new Fault.BadRequest("repeat", "no time that could still be asked for");
             }
             fleet.book(loop.now(), operations, outcome -> answer(request, outcome));
         } catch (Fault fault) {
@@ -361,11 +361,11 @@
                     ? operation
                     : JsonParser.parseString(new String(request.body(), StandardCharsets.UTF_8));
             if (!read.isJsonObject()) {
-                throw new Fault.BadRequest("body", "not a JSON object");
+                throw new Fault.BadRequest("body", "no JSON object");
             }
             operation = read.getAsJsonObject();
         } catch (JsonParseException e) {
-            throw new Fault.BadRequest("body", "not JSON");
+            throw new Fault.BadRequest("body", "no JSON");
         }
         if (!operation.has("kind")) {
             operation.addProperty("kind", request.method().equals("PUT") ? "put" : "end");
--- a/src/test/java/firstair/fleet/ErrorsTest.java
+++ b/src/test/java/firstair/fleet/ErrorsTest.java
@@ -48,6 +48,6 @@
     void aFaultIsOneLineWithItsCodeAndAStep() {
         Fault fault = new Fault.TenantQuota("acme", 250);
         assertThat(fault.line())
-                .isEqualTo("F305: tenant acme is over its quota; retry after the given wait, or raise the quota");
+                .isEqualTo("F305: tenant acme is over its quota; come again after the told wait, or raise the quota");
     }
 }
