--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -249,7 +249,9 @@
         void report(String text);
     }
 
-    /** An update of the list of endpoints; without entries for {@link ListUpdate#FAILED} and {@link ListUpdate#OVERDUE}. */
+    /**
+     * An update of the list of endpoints; without entries for {@link ListUpdate#FAILED} and {@link ListUpdate#OVERDUE}.
+     */
     void list(double now, ListUpdate news, List<Entry> entries);
 
     /** A message was accepted; it must get exactly one final answer. */
--- a/src/main/java/firstair/fleet/booking/RelayBookings.java
+++ b/src/main/java/firstair/fleet/booking/RelayBookings.java
@@ -169,7 +169,8 @@
 
     /**
      * Counts calls requested on a booking, whether or not they could be sent. Borrowed capacity is returned at once:
-     * the next query of {@link #borrowableRate} is reduced by {@value #BORROWING_HEADROOM} times the calls of the busiest of
+     * the next query of {@link #borrowableRate} is reduced by {@value #BORROWING_HEADROOM} times the calls of the
+     * busiest of
      * the last {@value #USAGE_WINDOW_S} seconds.
      *
      * @param nowMs on the relay's own clock
@@ -185,7 +186,8 @@
     }
 
     /**
-     * Calls per second that ordinary traffic of this relay may send now in addition to {@link #ordinaryRate}: the unused
+     * Calls per second that ordinary traffic of this relay may send now in addition to {@link #ordinaryRate}: the
+     * unused
      * part of its own shares of the bookings there. A relay borrows only from its own shares, so it does not have to
      * ask other relays.
      *
--- a/src/main/java/firstair/fleet/budget/LeaseRules.java
+++ b/src/main/java/firstair/fleet/budget/LeaseRules.java
@@ -35,7 +35,8 @@
  * loan of a lender per budget at a time, the last that it accepted, and the lender counts the largest of those that
  * have not expired.
  *
- * <p><b>Exception.</b> Two processes that run under one name at once may both use {@link Setup#guaranteedParts()} until the older
+ * <p><b>Exception.</b> Two processes that run under one name at once may both use {@link Setup#guaranteedParts()} until
+ * the older
  * one learns of the other. Where that name is a voter's, they may also grant one lease to two holders, each on its own:
  * a voter's name must not run twice.
  */
--- a/src/main/java/firstair/fleet/budget/RetryBudgets.java
+++ b/src/main/java/firstair/fleet/budget/RetryBudgets.java
@@ -13,7 +13,8 @@
  * A retry budget for each destination: first attempts earn retries in a fixed ratio. Earning and spending are local and
  * need no notes; retries are transferred between relays for good, and the giver deducts them before it sends. So over
  * the whole fleet there are never more retries than first attempts times the ratio, whatever is lost, duplicated or
- * late. A transfer ({@link RetryTransfer}) answers a request and carries its nonce, and counts once and only at the process that
+ * late. A transfer ({@link RetryTransfer}) answers a request and carries its nonce, and counts once and only at the
+ * process that
  * requested it: one that arrived again after a restart would otherwise be counted a second time.
  */
 final class RetryBudgets {
--- a/src/main/java/firstair/fleet/judge/HealthEvidence.java
+++ b/src/main/java/firstair/fleet/judge/HealthEvidence.java
@@ -26,7 +26,8 @@
  * others; this relay distrusts itself by the same rule, and then its own failures count as one witness among others.
  * Members are trusted to forward the evidence of others unchanged.
  *
- * <p>A {@link HealthReport} is ordered by its {@code calls}: the number of all calls of that process to the subject so far, so
+ * <p>A {@link HealthReport} is ordered by its {@code calls}: the number of all calls of that process to the subject so
+ * far, so
  * that of two signs of one process the newer one is known without any clock. {@code ageMs} and {@code holdsMs} both
  * count from the observation. Of several copies of a sign the one with the earliest times counts, so duplicates and
  * late copies change nothing. Evidence is removed when it expires.
--- a/src/main/java/firstair/fleet/ledger/Ledger.java
+++ b/src/main/java/firstair/fleet/ledger/Ledger.java
@@ -43,7 +43,8 @@
 import java.util.function.Consumer;
 
 /**
- * One voter: a node of a Raft group (MicroRaft), driven from outside. The owner passes received notes to {@link #receive}
+ * One voter: a node of a Raft group (MicroRaft), driven from outside. The owner passes received notes to {@link
+ * #receive}
  * and calls {@link #timer} at {@link #wakeAt}; the engine runs inside of these calls, on the caller's thread, and
  * starts no thread of its own. Times are milliseconds on the relay's monotonic clock; the wall clock isn't used, so it
  * may jump. The same calls with the same {@code Random} give the same notes.
@@ -134,13 +135,13 @@
             Follower.Listener listener) {
         if (!memory.fleet().equals(setup.fleet()) || !memory.self().equals(setup.self())) {
             throw new Fault.BadSetup(
-                    "fleet.name", "the stored ledger belongs to " + memory.self() + " in fleet " + memory.fleet());
+                    "fleet.name", "the ledger here is that of " + memory.self() + " in fleet " + memory.fleet());
         }
         if (!List.copyOf(memory.voters()).containsAll(setup.voters())
                 || memory.voters().size() != setup.voters().size()) {
             throw new Fault.BadSetup(
                     "fleet.voters",
-                    "the stored ledger has the voters " + memory.voters() + ", which cannot be changed");
+                    "the ledger here is of " + memory.voters() + ", and voters cannot be changed under it");
         }
         this.setup = setup;
         this.stateMachines = stateMachines;
@@ -250,7 +251,8 @@
 
     /**
      * Transfers leadership, if this voter is the leader, to the voter heard from most recently. That takes a round trip
-     * or two: at a regular shutdown, wait until {@link #isLeader} returns false, but not for long, since the others also
+     * or two: at a regular shutdown, wait until {@link #isLeader} returns false, but not for long, since the others
+     * also
      * elect a new leader without a transfer.
      */
     public void transferLeadership(double at) {
--- a/src/main/java/firstair/fleet/ledger/Proposer.java
+++ b/src/main/java/firstair/fleet/ledger/Proposer.java
@@ -17,7 +17,9 @@
  * milliseconds on the caller's monotonic clock.
  */
 public final class Proposer {
-    /** Half of the results that {@link LedgerStateMachines} keeps, so that none of an open proposal is evicted there. */
+    /**
+     * Half of the results that {@link LedgerStateMachines} keeps, so that none of an open proposal is evicted there.
+     */
     static final int MAX_OPEN = LedgerStateMachines.MAX_RESULTS_PER_MEMBER / 2;
 
     private static final double RETRY_MS = 500; // an answer takes two round trips and two writes to disk
--- a/src/main/java/firstair/fleet/residency/Contracts.java
+++ b/src/main/java/firstair/fleet/residency/Contracts.java
@@ -23,7 +23,8 @@
  * before the query was sent. The confirmation is valid for {@code term * (1 - drift)} of the relay's own clock from the
  * sending, which is at most one term of true time: it has expired one term after the next version was agreed, whatever
  * the relay has received by then. Without a confirmation a relay uses only zones that every version it knows names in
- * {@code always}, and {@link Contract#checkKeepsGuarantees} lets no later version remove those. Operators keep the same guarantee
+ * {@code always}, and {@link Contract#checkKeepsGuarantees} lets no later version remove those. Operators keep the same
+ * guarantee
  * for the file: it names a zone in {@code always} only while every agreed version allows that zone.
  *
  * <p><b>Extensions are delayed.</b> The allowed zones are those common to all versions that any relay may still use.
--- a/src/main/java/firstair/fleet/talk/Note.java
+++ b/src/main/java/firstair/fleet/talk/Note.java
@@ -48,7 +48,9 @@
     /** Requests a loan of a budget, in millionths of the whole; or, of {@code r:7}, a permanent transfer of retries. */
     record LoanRequest(long nonce, String budget, int parts) implements Note {}
 
-    /** Lends parts of a budget; the borrower stops {@code termMs} after it sent the {@link LoanRequest} with this nonce. */
+    /**
+     * Lends parts of a budget; the borrower stops {@code termMs} after it sent the {@link LoanRequest} with this nonce.
+     */
     record Loan(long nonce, long number, String budget, int parts, double termMs) implements Note {}
 
     /** The borrower returns a loan. */
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -69,7 +69,10 @@
             return endpoint.equals(other);
         }
 
-        /** A message reported by {@link #forEachReady} was not written, because its connection was dead; it may be retried. */
+        /**
+         * A message reported by {@link #forEachReady} was not written, because its connection was dead; it may be
+         * retried.
+         */
         default void onNotWritten(long id, int attempt) {}
     }
 
@@ -143,8 +146,10 @@
     }
 
     /**
-     * Sends the messages that are {@link #forEachReady}, except those that could not be recorded. Some calls are left to the
-     * next round, which checks them again with {@link #recheckConnected}: those to which a Retry-After may apply that was read since
+     * Sends the messages that are {@link #forEachReady}, except those that could not be recorded. Some calls are left
+     * to the
+     * next round, which checks them again with {@link #recheckConnected}: those to which a Retry-After may apply that
+     * was read since
      * this round began, and all that remain once {@code overrun} reports that writing takes too long.
      *
      * @param recorded whether the attempt of a message has been stored
@@ -168,7 +173,9 @@
         return remaining.isEmpty();
     }
 
-    /** Leaves the calls that are {@link #forEachReady}, and recorded by now, to the next round, which checks them again. */
+    /**
+     * Leaves the calls that are {@link #forEachReady}, and recorded by now, to the next round, which checks them again.
+     */
     public void postpone() {
         connected.forEach(call -> call.recorded = true);
     }
--- a/src/test/java/firstair/relay/LimitsTest.java
+++ b/src/test/java/firstair/relay/LimitsTest.java
@@ -21,7 +21,8 @@
     }
 
     /**
-     * A relay of a fleet has connections from and to the other relays as well, by {@link PeerTransport}. Found by reading:
+     * A relay of a fleet has connections from and to the other relays as well, by {@link PeerTransport}. Found by
+     * reading:
      * they were outside the descriptors that are shared out.
      */
     @Test
