--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -158,8 +158,8 @@
     record EarlierAttempt(String endpoint, double sentAt, boolean maybeRan) {}
 
     /**
-     * A message accepted by this relay, or resumed after a restart with its earlier attempts {@code tried}, in
-     * order. {@code again} and {@code fromDeadRelay} say that it may have a history that this relay never saw: its
+     * A message accepted by this relay, or resumed after a restart with its {@code earlierAttempts}, in order.
+     * {@code resubmitted} and {@code fromDeadRelay} say that it may have a history that this relay never saw: its
      * client submits it again, or the relay that had it died. {@code workMs} is an estimate of its work, 0 if none.
      */
     record Message(
@@ -181,7 +181,7 @@
 
     /**
      * This relay's share of a destination's limit: {@code part} of it until a time and the guaranteed part
-     * {@code sure} afterwards, and how many repeats may be sent there from now on.
+     * {@code guaranteed} afterwards, and how many repeats may be sent there from now on.
      */
     record Share(double part, double until, double guaranteed, int repeats) {
         /** No restriction. */
@@ -208,7 +208,9 @@
         void callSent(double now);
     }
 
-    /** The end of an attempt; {@code over} if the message ended with it, {@code waitMs} 0 if it named no wait. */
+    /**
+     * The end of an attempt; {@code messageEnded} if the message ended with it, {@code waitMs} 0 if it named no wait.
+     */
     record Outcome(
             long id,
             int attempt,
--- a/src/main/java/firstair/fleet/budget/LeaseRules.java
+++ b/src/main/java/firstair/fleet/budget/LeaseRules.java
@@ -20,7 +20,7 @@
  * that has expired. Any two majorities share a voter, so no second process holds the same lease meanwhile.
  *
  * <p><b>Release.</b> A holder that releases a lease uses nothing more of any request up to the nonce that it names, and
- * its nonces increase. A voter drops a grant only if its newest request is not newer than that nonce: a StandingBack
+ * its nonces increase. A voter drops a grant only if its newest request is not newer than that nonce: a LeaseRelease
  * that arrives late frees nothing that was granted since. Without the nonce it would.
  *
  * <p><b>Loans.</b> A lender receives a request, sent at s, at h, not before s. It lends out of one lease that it holds
