--- a/src/test/java/firstair/fleet/residency/ContractTest.java
+++ b/src/test/java/firstair/fleet/residency/ContractTest.java
@@ -98,7 +98,7 @@
         Contract.checkKeepsGuarantees(List.of(first), second);
         assertThatThrownBy(() -> Contract.checkKeepsGuarantees(List.of(first, second), third))
                 .isInstanceOf(Fault.BadContract.class)
-                .hasMessageContaining("an earlier version has in always");
+                .hasMessageContaining("always has promised");
         assertThatThrownBy(() -> Contract.checkKeepsGuarantees(List.of(first), Map.of()))
                 .isInstanceOf(Fault.BadContract.class);
         assertThatThrownBy(() -> Contract.checkKeepsGuarantees(
