--- a/src/test/java/firstair/relay/FaultsTest.java
+++ b/src/test/java/firstair/relay/FaultsTest.java
@@ -159,7 +159,7 @@
         Controller real = new Control(s, seed, actions);
         return (Controller) java.lang.reflect.Proxy.newProxyInstance(
                 Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (self, method, args) -> {
-                    if (method.getName().equals("taken")) {
+                    if (method.getName().equals("accepted")) {
                         if (((Controller.Message) args[1]).destination() == 8) {
                             throw new IllegalStateException("thrown by a test");
                         }
