--- a/src/test/java/firstair/relay/EndTest.java
+++ b/src/test/java/firstair/relay/EndTest.java
@@ -39,7 +39,7 @@
         Controller real = new Control(s, seed, actions);
         return (Controller) Proxy.newProxyInstance(
                 Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (self, method, args) -> {
-                    if (method.getName().equals("taken") && ((Controller.Message) args[1]).destination() == 8) {
+                    if (method.getName().equals("accepted") && ((Controller.Message) args[1]).destination() == 8) {
                         reached.release();
                         released.acquire();
                     }
