--- a/src/test/java/firstair/relay/RelayProcessTest.java
+++ b/src/test/java/firstair/relay/RelayProcessTest.java
@@ -384,7 +384,7 @@
         }
         Files.write(file, new byte[] {(byte) 0xf1, (byte) 0xa1, 0, 0, 0, 99, 1, 2}, StandardOpenOption.APPEND);
         node.start();
-        assertThat(node.line("cut off")).contains("8 bytes dropped");
+        assertThat(node.line("store: incomplete last record")).contains("8 bytes dropped");
         assertThat(call().header("request-id")).isEqualTo("m1");
     }
 
