--- a/src/main/java/firstair/relay/LineHandler.java
+++ b/src/main/java/firstair/relay/AsyncLogHandler.java
@@ -10,23 +10,24 @@
 import java.util.logging.LogRecord;
 
 /**
- * Hands lines of the log to a thread that writes them. Standard error may be a pipe that nobody reads: whoever logs
- * must not wait for it. What finds no room is counted, and told once there is room again.
+ * Writes log lines on a thread of its own. Standard error may be a pipe that is not being read, and callers must not
+ * block on it. Lines that don't fit into the buffer are dropped and counted, and their number is logged once there is
+ * space again.
  */
-final class LineHandler extends Handler {
+final class AsyncLogHandler extends Handler {
     private final OutputStream out;
-    private final int mostBytes;
+    private final int maxPendingBytes;
     private final ArrayDeque<byte[]> lines = new ArrayDeque<>();
     private final Formatter formatter;
-    private int bytes;
-    private long lost;
+    private int pendingBytes;
+    private long dropped;
     private boolean writing;
 
-    /** @param mostBytes what may wait to be written */
-    LineHandler(OutputStream out, Formatter formatter, int mostBytes) {
+    /** @param maxPendingBytes size of the buffer for lines that are not written yet */
+    AsyncLogHandler(OutputStream out, Formatter formatter, int maxPendingBytes) {
         this.out = out;
         this.formatter = formatter;
-        this.mostBytes = mostBytes;
+        this.maxPendingBytes = maxPendingBytes;
         Thread writer = new Thread(this::write, "log");
         writer.setDaemon(true);
         writer.start();
@@ -39,12 +40,12 @@
         }
         byte[] line = formatter.format(record).getBytes(StandardCharsets.UTF_8);
         synchronized (lines) {
-            if (bytes + line.length > mostBytes) {
-                lost++;
+            if (pendingBytes + line.length > maxPendingBytes) {
+                dropped++;
                 return;
             }
             lines.add(line);
-            bytes += line.length;
+            pendingBytes += line.length;
             lines.notifyAll();
         }
     }
@@ -52,13 +53,13 @@
     private void write() {
         try {
             while (true) {
-                byte[] next = next();
+                byte[] line = nextLine();
                 try {
-                    out.write(next);
+                    out.write(line);
                     out.flush();
                 } catch (IOException e) {
                     synchronized (lines) {
-                        lost++; // the pipe is closed; the relay goes on without a log
+                        dropped++; // the pipe is closed; the relay continues without a log
                     }
                 }
             }
@@ -67,7 +68,7 @@
         }
     }
 
-    private byte[] next() throws InterruptedException {
+    private byte[] nextLine() throws InterruptedException {
         synchronized (lines) {
             writing = false;
             lines.notifyAll();
@@ -76,27 +77,27 @@
             }
             writing = true;
             byte[] line = lines.poll();
-            bytes -= line.length;
-            if (lost > 0 && bytes < mostBytes / 2) {
-                byte[] told =
-                        (lost + " lines of the log were lost: nobody read them\n").getBytes(StandardCharsets.UTF_8);
-                lost = 0;
-                lines.addFirst(told);
-                bytes += told.length;
+            pendingBytes -= line.length;
+            if (dropped > 0 && pendingBytes < maxPendingBytes / 2) {
+                byte[] report =
+                        (dropped + " lines of the log were lost: nobody read them\n").getBytes(StandardCharsets.UTF_8);
+                dropped = 0;
+                lines.addFirst(report);
+                pendingBytes += report.length;
             }
             return line;
         }
     }
 
-    /** Waits until all is written, but not for long. */
-    void drain(long ms) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+    /** Waits until all lines are written, or until the time is over. */
+    void drain(long timeoutMs) {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         synchronized (lines) {
             try {
-                for (long left = ms;
-                        left > 0 && (writing || !lines.isEmpty());
-                        left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
-                    lines.wait(left);
+                for (long remainingMs = timeoutMs;
+                        remainingMs > 0 && (writing || !lines.isEmpty());
+                        remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime())) {
+                    lines.wait(remainingMs);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -106,11 +107,11 @@
 
     @Override
     public void flush() {
-        // the writer does so after each line
+        // the writer thread flushes after each line
     }
 
     @Override
     public void close() {
-        // lines may come until the process is gone
+        // lines may be logged until the process exits
     }
 }
--- a/src/main/java/firstair/relay/CallBatches.java
+++ b/src/main/java/firstair/relay/CallBatches.java
@@ -9,32 +9,33 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The calls of one round: messages to one endpoint travel together, as many as a call to it carries and a body holds.
+ * Groups the messages of one round into calls: messages to one endpoint share a call, within the number of messages
+ * that the endpoint accepts per call and the size limit of a body.
  */
 final class CallBatches {
-    private final ToIntFunction<String> mostItems;
-    private final int maxBody;
-    private final Map<String, List<Item>> open = new LinkedHashMap<>();
+    private final ToIntFunction<String> maxItems;
+    private final int maxBodyBytes;
+    private final Map<String, List<Item>> batches = new LinkedHashMap<>();
     private final BiConsumer<String, List<Item>> call;
 
     /**
-     * @param mostItems the most messages of a call, by endpoint
-     * @param maxBody   the most bytes of a call's body
-     * @param call      makes one call
+     * @param maxItems     maximum number of messages per call, by endpoint
+     * @param maxBodyBytes maximum size of a call's body
+     * @param call         makes one call
      */
-    CallBatches(ToIntFunction<String> mostItems, int maxBody, BiConsumer<String, List<Item>> call) {
-        this.mostItems = mostItems;
-        this.maxBody = maxBody;
+    CallBatches(ToIntFunction<String> maxItems, int maxBodyBytes, BiConsumer<String, List<Item>> call) {
+        this.maxItems = maxItems;
+        this.maxBodyBytes = maxBodyBytes;
         this.call = call;
     }
 
-    /** Adds a message; a call that has no room for it is made. */
+    /** Adds a message; if it doesn't fit into the endpoint's current batch, that batch is sent first. */
     void add(String endpoint, Item item) {
-        List<Item> batch = open.computeIfAbsent(endpoint, k -> new ArrayList<>());
+        List<Item> batch = batches.computeIfAbsent(endpoint, k -> new ArrayList<>());
         if (!fits(endpoint, batch, item)) {
             call.accept(endpoint, batch);
             batch = new ArrayList<>();
-            open.put(endpoint, batch);
+            batches.put(endpoint, batch);
         }
         batch.add(item);
     }
@@ -42,12 +43,12 @@
     private boolean fits(String endpoint, List<Item> batch, Item item) {
         int bytes = item.bundledBytes()
                 + batch.stream().mapToInt(Item::bundledBytes).sum();
-        return batch.isEmpty() || batch.size() < mostItems.applyAsInt(endpoint) && bytes <= maxBody;
+        return batch.isEmpty() || batch.size() < maxItems.applyAsInt(endpoint) && bytes <= maxBodyBytes;
     }
 
-    /** Makes the calls that are left. */
+    /** Makes the remaining calls. */
     void flush() {
-        open.forEach(call);
-        open.clear();
+        batches.forEach(call);
+        batches.clear();
     }
 }
--- a/src/main/java/firstair/relay/Config.java
+++ b/src/main/java/firstair/relay/Config.java
@@ -20,13 +20,19 @@
 import java.util.Map;
 
 /**
- * What a relay is told at its start.
+ * The configuration of a relay, read when it starts.
  *
- * @param state   the folder that lasts
- * @param known   the list of endpoints as last held, or null
- * @param kinds   names of the kinds of destination, in the order of their numbers
- * @param zones   numbers of the zones
- * @param own     settings that are ours, as far as anybody set them
+ * @param name      name of the relay
+ * @param listen    address that clients connect to
+ * @param discovery address of discovery, and of the platform that takes notices
+ * @param state     the folder for persistent state
+ * @param seed      seed of all random decisions
+ * @param limits    sizes, counts and times of the relay itself
+ * @param settings  the platform's settings
+ * @param known     the list of endpoints as last known, or null
+ * @param kinds     names of the kinds of destination, in the order of their numbers
+ * @param zones     numbers of the zones
+ * @param own       local settings of the installation, as far as they are set
  */
 public record Config(
         String name,
@@ -41,14 +47,22 @@
         Zones zones,
         Values own) {
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
-    /** Reads the file that {@code ROUTER_CONFIG} names; other variables stand in for what it lacks. */
+    /**
+     * Reads the file that {@code ROUTER_CONFIG} names; other variables of the environment supply missing fields.
+     *
+     * @throws ConfigException if the file cannot be read or is invalid
+     */
     public static Config read(Map<String, String> env) {
         return parse(text(env), env);
     }
 
-    /** The text of the file that {@code ROUTER_CONFIG} names. */
+    /**
+     * Returns the content of the file that {@code ROUTER_CONFIG} names.
+     *
+     * @throws ConfigException if the variable is not set or the file cannot be read
+     */
     public static String text(Map<String, String> env) {
         String file = env.get("ROUTER_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -61,7 +75,11 @@
         }
     }
 
-    /** Reads a configuration from its text; variables stand in for what it lacks. */
+    /**
+     * Parses a configuration; variables of the environment supply missing fields.
+     *
+     * @throws ConfigException if the text is not valid JSON, or a field is missing or invalid
+     */
     public static Config parse(String text, Map<String, String> env) {
         JsonObject root;
         try {
@@ -74,10 +92,10 @@
             throw new ConfigException(
                     "ROUTER_CONFIG", "not JSON: " + e.getMessage().replaceAll("\\s+", " "));
         }
-        Json top = new Json("", root);
-        Json site = new Json("settings.", object(root, "settings"));
-        Controller.Settings settings = SettingsReader.read(site);
-        SettingsValidator.validate(site);
+        FlattenedJson fields = new FlattenedJson("", root);
+        FlattenedJson settingsFields = new FlattenedJson("settings.", object(root, "settings"));
+        Controller.Settings settings = SettingsReader.read(settingsFields);
+        SettingsValidator.validate(settingsFields);
         if (settings.classes().isEmpty()) {
             throw new ConfigException("settings.classes", "no class of message");
         }
@@ -85,31 +103,31 @@
         if (state == null || state.isEmpty()) {
             throw new ConfigException("ROUTER_STATE", "missing from the environment");
         }
-        List<String> kinds = names(object(root, "settings"), "shapes");
-        Zones zones = new Zones(names(object(root, "settings"), "azs"));
+        List<String> kinds = orderedNames(object(root, "settings"), "shapes");
+        Zones zones = new Zones(orderedNames(object(root, "settings"), "azs"));
         return new Config(
-                top.text("name", env.getOrDefault("ROUTER_NAME", "relay")),
-                address("listen", top.text("listen", env.get("ROUTER_LISTEN"))),
-                address("discovery", top.text("discovery", env.get("ROUTER_DISCOVERY"))),
+                fields.text("name", env.getOrDefault("ROUTER_NAME", "relay")),
+                address("listen", fields.text("listen", env.get("ROUTER_LISTEN"))),
+                address("discovery", fields.text("discovery", env.get("ROUTER_DISCOVERY"))),
                 Path.of(state),
-                seed(top),
+                seed(fields),
                 Limits.of(
-                        (int) top.whole("limits.sockets", 0),
-                        (int) top.whole("limits.disk_mb", 0),
+                        (int) fields.whole("limits.sockets", 0),
+                        (int) fields.whole("limits.disk_mb", 0),
                         Runtime.getRuntime().maxMemory(),
-                        site.number("quantum", 0),
+                        settingsFields.number("quantum", 0),
                         settings.limits().connectTimeoutMs(),
                         settings.limits().connectionIdleMs()),
                 settings,
-                known(root, kinds, zones),
+                knownList(root, kinds, zones),
                 kinds,
                 zones,
                 Values.NONE);
     }
 
-    /** The same with settings of ours. */
-    public Config with(Values settingsOfOurs) {
-        return new Config(name, listen, discovery, state, seed, limits, settings, known, kinds, zones, settingsOfOurs);
+    /** Returns a copy with these local settings. */
+    public Config with(Values localSettings) {
+        return new Config(name, listen, discovery, state, seed, limits, settings, known, kinds, zones, localSettings);
     }
 
     private static JsonObject object(JsonObject root, String name) {
@@ -122,7 +140,7 @@
         return root.getAsJsonObject(name);
     }
 
-    private static EndpointList known(JsonObject root, List<String> kinds, Zones zones) {
+    private static EndpointList knownList(JsonObject root, List<String> kinds, Zones zones) {
         if (!root.has("known") || root.get("known").isJsonNull()) {
             return null;
         }
@@ -133,29 +151,30 @@
         }
     }
 
-    private static long seed(Json top) {
-        String text = top.text("seed", "0");
+    private static long seed(FlattenedJson fields) {
+        String text = fields.text("seed", "0");
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw top.invalid("seed", "not a hexadecimal number of 64 bits: " + text);
+            throw fields.invalid("seed", "not a hexadecimal number of 64 bits: " + text);
         }
     }
 
-    /** Names in the order of their numbers: of a list as they are, or of a text with commas between. */
-    private static List<String> names(JsonObject settings, String field) {
-        JsonElement told = settings.get(field);
-        List<String> all = new ArrayList<>();
-        if (told != null && told.isJsonArray()) {
-            told.getAsJsonArray().forEach(one -> all.add(one.isJsonPrimitive() ? one.getAsString() : ""));
-        } else if (told != null && told.isJsonPrimitive()) {
-            for (String one : told.getAsString().split(",")) {
-                if (!one.isEmpty()) {
-                    all.add(one);
+    /** Reads names in the order of their numbers, from a JSON array or from a string separated by commas. */
+    private static List<String> orderedNames(JsonObject settings, String field) {
+        JsonElement value = settings.get(field);
+        List<String> names = new ArrayList<>();
+        if (value != null && value.isJsonArray()) {
+            value.getAsJsonArray()
+                    .forEach(element -> names.add(element.isJsonPrimitive() ? element.getAsString() : ""));
+        } else if (value != null && value.isJsonPrimitive()) {
+            for (String name : value.getAsString().split(",")) {
+                if (!name.isEmpty()) {
+                    names.add(name);
                 }
             }
         }
-        return all;
+        return names;
     }
 
     private static InetSocketAddress address(String field, String text) {
--- a/src/main/java/firstair/relay/ConfigException.java
+++ b/src/main/java/firstair/relay/ConfigException.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 
-/** A configuration that cannot be used; the message names the field, or all the places of a file that are wrong. */
+/** An invalid configuration. The message names the field, or lists every error of a file. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient List<String> lines;
 
-    /** Names the field and what is wrong with it. */
-    public ConfigException(String field, String what) {
-        this(List.of(("config: field " + field + ": " + what).replaceAll("\\s+", " ")));
+    /** Reports one error, in one line that names the field. */
+    public ConfigException(String field, String problem) {
+        this(List.of(("config: field " + field + ": " + problem).replaceAll("\\s+", " ")));
     }
 
-    /** Names several places, a line each. */
+    /** Reports several errors, one line each. */
     public ConfigException(List<String> lines) {
         super(String.join("; ", lines));
         this.lines = lines;
     }
 
-    /** What is wrong, a line for each place. */
+    /** The errors, one line each. */
     public List<String> lines() {
         return lines;
     }
--- a/src/main/java/firstair/relay/ConfigReloader.java
+++ b/src/main/java/firstair/relay/ConfigReloader.java
@@ -8,52 +8,53 @@
 import java.util.logging.Logger;
 
 /**
- * Reads a file again while the relay serves. One that cannot be used may be one that is still being written: it is read
- * again for a little, and one that stays so changes nothing.
+ * Reloads a file while the relay serves. An invalid file may still be in the middle of being written, so reading is
+ * retried for a limited time; a file that stays invalid changes nothing.
  */
 final class ConfigReloader {
     private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
     private static final double NS_PER_MS = 1e6;
 
-    private final DoubleSupplier patienceMs;
+    private final DoubleSupplier retryForMs;
     private final long pauseMs;
 
     /**
-     * Reads files on the threads of signals.
+     * Creates a reloader. Its reads block the calling thread, a signal handler's.
      *
-     * @param patienceMs for how long a file that cannot be used is read again
-     * @param pauseMs    between two readings
+     * @param retryForMs how long reading an invalid file is retried
+     * @param pauseMs    pause between two reads
      */
-    ConfigReloader(DoubleSupplier patienceMs, double pauseMs) {
-        this.patienceMs = patienceMs;
+    ConfigReloader(DoubleSupplier retryForMs, double pauseMs) {
+        this.retryForMs = retryForMs;
         this.pauseMs = (long) pauseMs;
     }
 
     /**
-     * Reads until what is read can be used, and hands that on; tells in the log why it could not.
+     * Reads until the result is valid and passes it to {@code use}. Logs the errors if the time for retries is over.
      *
-     * @param name what the log calls it
+     * @param name what the log calls the file
      */
-    <T> void until(Supplier<T> read, Consumer<T> use, String name) {
-        long end = System.nanoTime() + (long) (patienceMs.getAsDouble() * NS_PER_MS);
+    <T> void reload(Supplier<T> read, Consumer<T> use, String name) {
+        long deadlineNs = System.nanoTime() + (long) (retryForMs.getAsDouble() * NS_PER_MS);
         while (true) {
-            List<String> why;
+            List<String> errors;
             try {
                 use.accept(read.get());
                 return;
             } catch (ConfigException e) {
-                why = e.lines();
+                errors = e.lines();
             } catch (RuntimeException e) {
-                why = List.of(name + ": " + e);
+                errors = List.of(name + ": " + e);
             }
-            if (System.nanoTime() > end || !paused()) {
-                why.forEach(l -> LOG.warning(l + "; the " + name + " read before stays"));
+            if (System.nanoTime() > deadlineNs || !pause()) {
+                errors.forEach(line -> LOG.warning(line + "; the " + name + " read before stays"));
                 return;
             }
         }
     }
 
-    private boolean paused() {
+    /** Returns false if the thread was interrupted. */
+    private boolean pause() {
         try {
             TimeUnit.MILLISECONDS.sleep(pauseMs);
             return true;
--- a/src/main/java/firstair/relay/FleetPeers.java
+++ b/src/main/java/firstair/relay/FleetPeers.java
@@ -7,87 +7,94 @@
 import java.util.Set;
 
 /**
- * The other relays of a fleet, as far as this one's messages go: what it may do is asked, what it did is told. Where
- * relays do not talk it is {@link #NONE}, which imposes nothing and loads nothing. On the loop's thread only.
+ * The other relays of the fleet, as the delivery of messages sees them: answers which restrictions apply to a message,
+ * and is informed of what happens to it. Without a fleet this is {@link #NONE}, which imposes no restriction and loads
+ * no code. On the loop's thread only.
  */
 public interface FleetPeers {
-    /** Nobody to talk to. */
+    /** No fleet. */
     FleetPeers NONE = new FleetPeers() {};
 
-    /** What follows for our own decisions. */
+    /** Receives what the fleet changes for this relay's decisions. */
     interface Listener {
-        /** Our share of a destination; -1 for all that are not told apart. */
+        /** This relay's share of a destination's limit; -1 stands for all destinations without a share of their own. */
         void share(int destination, Share share);
 
-        /** What others say of an endpoint. */
+        /**
+         * Other relays received a wait of an endpoint, or consider it unhealthy.
+         *
+         * @param waitUntil  end of the wait, on the loop's clock
+         * @param avoidUntil until when the endpoint is to be avoided, on the loop's clock
+         */
         void warned(String endpoint, double waitUntil, double avoidUntil);
 
-        /** Zones of held messages may have changed: {@link FleetPeers#terms} is to be asked again. */
+        /** The zones of held messages may have changed: {@link FleetPeers#terms} must be called again for each. */
         void confine();
     }
 
     /**
-     * Whether a message may be taken, and what binds it then.
+     * Whether a message may be accepted, and its restrictions if so.
      *
-     * @param status  0 if it may; else the answer to its client, with a wait and a reason
-     * @param afterMs 0 if no wait is told
+     * @param status  0 if it may be accepted, otherwise the HTTP status of the answer to its client
+     * @param afterMs after how many milliseconds the client should retry, 0 to leave that out
+     * @param reason  the reason in the answer, or null
      * @param zones   zones in which it may be sent, or null for all
-     * @param lane    what was booked for it, or null
+     * @param lane    calls that were booked for it, or null
      */
     record Admission(int status, double afterMs, String reason, Set<Integer> zones, BookedCapacity lane) {
-        /** Nothing imposed. */
+        /** Accepted without restrictions. */
         public static final Admission FREE = new Admission(0, 0, null, null, null);
 
-        /** Whether anything binds it. */
-        public boolean binds() {
+        /** Whether any restriction applies. */
+        public boolean restricts() {
             return zones != null || lane != null;
         }
     }
 
-    /** Whether there is anybody to talk to. */
+    /** Whether this relay belongs to a fleet. */
     default boolean talk() {
         return false;
     }
 
-    /** Begins to talk. */
+    /** Starts the exchange with the other relays. */
     default void start() {}
 
-    /** Before each round of decisions: what has run out meanwhile is told first. */
+    /** Called before each round of decisions, to report what has expired since the last one. */
     default void refresh() {}
 
-    /** Whether a message that was handed in may be taken. */
+    /** Decides whether a submitted message may be accepted. */
     default Admission admit(String tenant, String className, int destination, String booking) {
         return Admission.FREE;
     }
 
-    /** What binds a message that is held. */
+    /** Returns the restrictions of a held message. */
     default Admission terms(String tenant, String className, int destination, String booking) {
         return Admission.FREE;
     }
 
-    /** A message was taken. */
+    /** A message was accepted. */
     default void taken(int destination) {}
 
-    /** A call with it is made. */
+    /** A message is sent; {@code repeat} unless it is the first attempt. */
     default void called(int destination, boolean repeat) {}
 
-    /** A call with it has ended. */
+    /** An attempt at a message has ended. */
     default void ended(int destination, Outcome outcome) {}
 
-    /** Destinations and endpoints that are listed. */
+    /** The list of endpoints has changed; these destinations and endpoints are on it now. */
     default void listed(Set<Integer> destinations, Set<String> endpoints) {}
 
-    /** Whether bookings can be asked for. */
+    /** Whether requests for bookings are handled. */
     default boolean books() {
         return false;
     }
 
-    /** Somebody asks for a booking, where {@link #books}. */
-    default void handleBooking(BookingRequest ask) {}
+    /** Handles a request for a booking; only called if {@link #books}. */
+    default void handleBooking(BookingRequest request) {}
 
-    /** Our process is about to end: what others could use goes back at once. */
+    /** The process is about to end: returns at once what other relays can use. */
     default void leave() {}
 
-    /** Ends the talk. */
+    /** Ends the exchange. */
     default void close() {}
 }
--- a/src/main/java/firstair/relay/HeldMessages.java
+++ b/src/main/java/firstair/relay/HeldMessages.java
@@ -16,21 +16,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The messages that this relay has taken and that are not over: found by its own numbers and by the clients' ids, and
- * noted in the store before anybody hears that they are taken. On the loop's thread only.
+ * The messages that this relay has accepted and that have no final answer yet, by the relay's own ids and by the
+ * clients' request ids. A message is recorded in the store before its client is told that it was accepted. On the
+ * loop's thread only.
  */
 final class HeldMessages {
     private static final int ACCEPTED = 202;
 
-    /** A message that is not over; {@code client} until it has been answered. */
+    /** A message without a final answer; {@code client} is null once its client has been answered. */
     static final class Held {
-        final StoredMessage taken;
+        final StoredMessage message;
         final double deadlineAt;
-        final double graceUntil; // until then its end is in time, since the last process took it; else long past
+        final double graceUntil; // of a resumed message: until then its notice is in time; else negative infinity
         Submission client;
 
-        Held(StoredMessage taken, double deadlineAt, double graceUntil, Submission client) {
-            this.taken = taken;
+        Held(StoredMessage message, double deadlineAt, double graceUntil, Submission client) {
+            this.message = message;
             this.deadlineAt = deadlineAt;
             this.graceUntil = graceUntil;
             this.client = client;
@@ -39,9 +40,9 @@
 
     private final Store store;
     private final Map<Long, Held> held = new LinkedHashMap<>();
-    private final Map<String, Long> ids = new HashMap<>(); // of held messages, by the clients' ids
-    private final List<Held> fresh = new ArrayList<>(); // taken in this round, not stored yet
-    private final Deque<Held> unconfirmed = new ArrayDeque<>(); // stored, and their clients are not told yet
+    private final Map<String, Long> idsByRequestId = new HashMap<>();
+    private final List<Held> accepted = new ArrayList<>(); // in this round, not stored yet
+    private final Deque<Held> unanswered = new ArrayDeque<>(); // stored, but their clients are not answered yet
     private long nextId;
 
     HeldMessages(Store store) {
@@ -53,43 +54,43 @@
         return nextId++;
     }
 
-    /** Whether one more message of so many bytes can be taken. */
-    boolean fits(int bytes) {
-        return store.fits(bytes);
+    /** Whether there is space for one more message with a body of this size. */
+    boolean fits(int bodyBytes) {
+        return store.fits(bodyBytes);
     }
 
-    /** What the last process left. */
-    Collection<Store.Open> left() {
+    /** The messages and notices that were pending when the last process ended. */
+    Collection<Store.Open> pendingAtStart() {
         return store.open();
     }
 
-    /** Takes up what the last process left; its end is in time until {@code graceUntil} at the least. */
-    Held resume(StoredMessage taken, double deadlineAt, double graceUntil) {
-        Held one = new Held(taken, deadlineAt, graceUntil, null);
-        hold(one);
-        return one;
+    /** Resumes a message of the last process; its notice is in time until {@code graceUntil} at least. */
+    Held resume(StoredMessage message, double deadlineAt, double graceUntil) {
+        Held resumed = new Held(message, deadlineAt, graceUntil, null);
+        hold(resumed);
+        return resumed;
     }
 
-    /** Takes a new one; it is stored and its client answered with the end of the round. */
-    void take(StoredMessage taken, Submission client) {
-        Held one = new Held(taken, client.deadlineAt(), Double.NEGATIVE_INFINITY, client);
-        hold(one);
-        fresh.add(one);
+    /** Accepts a new message; it is stored and its client is answered at the end of the round. */
+    void accept(StoredMessage message, Submission client) {
+        Held added = new Held(message, client.deadlineAt(), Double.NEGATIVE_INFINITY, client);
+        hold(added);
+        accepted.add(added);
     }
 
-    private void hold(Held one) {
-        held.put(one.taken.id(), one);
-        ids.put(one.taken.requestId(), one.taken.id());
+    private void hold(Held added) {
+        held.put(added.message.id(), added);
+        idsByRequestId.put(added.message.requestId(), added.message.id());
     }
 
-    /** One by our number, or null. */
+    /** The message with this id, or null. */
     Held get(long id) {
         return held.get(id);
     }
 
-    /** One by the client's id, or null. */
-    Held of(String requestId) {
-        Long id = ids.get(requestId);
+    /** The message with this request id of its client, or null. */
+    Held byRequestId(String requestId) {
+        Long id = idsByRequestId.get(requestId);
         return id == null ? null : held.get(id);
     }
 
@@ -105,107 +106,114 @@
         return held.size();
     }
 
-    /** It is over for us; returns it, or null if it was before. */
-    Held release(long id) {
-        Held h = held.remove(id);
-        if (h != null) {
-            ids.remove(h.taken.requestId());
+    /** Removes a message that has its final answer, and returns it; null if it was removed before. */
+    Held remove(long id) {
+        Held removed = held.remove(id);
+        if (removed != null) {
+            idsByRequestId.remove(removed.message.requestId());
         }
-        return h;
+        return removed;
     }
 
-    /** One whose taking has failed: nobody keeps a part of it. */
-    void untake(long id) {
-        fresh.remove(release(id));
+    /** Removes a message whose acceptance failed in this round, before it was stored. */
+    void undoAccept(long id) {
+        accepted.remove(remove(id));
     }
 
-    /** An attempt has ended, and with it perhaps the message. One that was never noted counts among its calls now. */
-    void ended(Outcome o, long nowMs) {
-        if (store.tries(o.id()) == o.attempt()) {
-            store.called(o.id(), o.endpoint(), nowMs);
+    /**
+     * Records the end of an attempt, and the completion of its message if that ended too. An attempt that was not
+     * recorded before is recorded now, so that it counts.
+     */
+    void attemptEnded(Outcome outcome, long nowMs) {
+        if (store.tries(outcome.id()) == outcome.attempt()) {
+            store.called(outcome.id(), outcome.endpoint(), nowMs);
         }
-        store.ended(o.id(), o.attempt(), o.result().maybeRan());
-        if (o.messageEnded()) {
-            over(o.id());
+        store.ended(outcome.id(), outcome.attempt(), outcome.result().maybeRan());
+        if (outcome.messageEnded()) {
+            complete(outcome.id());
         }
     }
 
-    /** Nothing more is owed. */
-    void over(long id) {
+    /** Records that a message is completed, with nothing left to send, and removes it. */
+    void complete(long id) {
         store.over(id);
-        release(id);
+        remove(id);
     }
 
-    /** A notice is owed, and nothing else. */
-    void owed(long id, OwedNotice notice) {
+    /** Records that only the notice of a message is pending. */
+    void noticePending(long id, OwedNotice notice) {
         store.owed(id, notice);
     }
 
-    /** How many calls of a message have been noted: the number of its next one. */
-    int tries(long id) {
+    /** Number of recorded attempts of a message, which is the number of its next one; -1 if it is completed. */
+    int recordedAttempts(long id) {
         return store.tries(id);
     }
 
-    /** A call is about to be written, and may have run from now on. */
-    void called(long id, int attempt, String endpoint, long nowMs) {
+    /** Records that a call is about to be written; from now on it may have run. */
+    void recordCall(long id, int attempt, String endpoint, long nowMs) {
         if (store.tries(id) > attempt) {
-            store.ended(id, attempt, true); // noted before, for a connection that had died by then
+            store.ended(id, attempt, true); // recorded before, for a connection that turned out to be stale
         } else {
             store.called(id, endpoint, nowMs);
         }
     }
 
-    /** A call that was noted has not been written after all; it may be later. */
-    void unwritten(long id, int attempt) {
+    /** Records that a recorded call was not written after all; it may be written later. */
+    void callNotWritten(long id, int attempt) {
         store.ended(id, attempt, false);
     }
 
-    /** Notes what this round has taken; it is in the file with {@link #flush}. */
-    void note() {
-        for (Held h : fresh) {
-            if (held.containsKey(h.taken.id())) {
-                store.taken(h.taken);
+    /** Records the messages accepted in this round; {@link #flush} writes them to the file. */
+    void recordAccepted() {
+        for (Held added : accepted) {
+            if (held.containsKey(added.message.id())) {
+                store.taken(added.message);
             }
         }
     }
 
+    /** Writes all records since the last call; returns false if they could not be written. */
     boolean flush() {
         return store.flush();
     }
 
-    /** Whether the next process will surely not find what a failed {@link #flush} was to write. */
-    boolean certain() {
+    /** Whether it is certain that the next process reads nothing of a failed {@link #flush}. */
+    boolean failedFlushDiscarded() {
         return store.certain();
     }
 
-    /** What this round has taken and not ended. */
-    List<Held> fresh() {
-        return fresh.stream().filter(h -> held.containsKey(h.taken.id())).toList();
+    /** The messages that were accepted in this round and have no final answer yet. */
+    List<Held> acceptedInRound() {
+        return accepted.stream()
+                .filter(added -> held.containsKey(added.message.id()))
+                .toList();
     }
 
     /**
-     * Tells clients of what has been taken, which is stored by now, until {@code heldUp} says that it takes too long:
-     * the rest is told by the next call, so that no notice waits for all of them. A message may be over by then.
+     * Answers the clients of accepted messages, which are stored by now, until {@code delayed} says that it takes too
+     * long. The next call answers the rest, so that notices don't wait for all clients. A message may have its final
+     * answer by then.
      *
-     * @return whether all have been told
+     * @return whether all clients have been answered
      */
-    boolean confirm(BooleanSupplier heldUp) {
-        unconfirmed.addAll(fresh());
-        fresh.clear();
-        while (!unconfirmed.isEmpty()) {
-            confirm(unconfirmed.peek());
-            if (heldUp.getAsBoolean()) {
+    boolean answerAccepted(BooleanSupplier delayed) {
+        unanswered.addAll(acceptedInRound());
+        accepted.clear();
+        while (!unanswered.isEmpty()) {
+            answerAccepted(unanswered.peek());
+            if (delayed.getAsBoolean()) {
                 break;
             }
         }
-        return unconfirmed.isEmpty();
+        return unanswered.isEmpty();
     }
 
-    /** Tells the client of one message, unless it has been told or the message is not stored. */
-    void confirm(Held h) {
-        if (unconfirmed.remove(h)) {
-            Submission client = h.client;
-            h.client = null;
+    /** Answers the client of one message, unless it has been answered or the message is not stored. */
+    void answerAccepted(Held stored) {
+        if (unanswered.remove(stored)) {
+            Submission client = stored.client;
+            stored.client = null;
             client.answer(ACCEPTED, 0);
         }
     }
--- a/src/main/java/firstair/relay/HostPort.java
+++ b/src/main/java/firstair/relay/HostPort.java
@@ -2,11 +2,15 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as {@code host:port}. */
+/** Parses and formats addresses as {@code host:port}. */
 public final class HostPort {
     private HostPort() {}
 
-    /** Reads one; anything else is an {@link IllegalArgumentException}. */
+    /**
+     * Parses an address, and resolves its host name.
+     *
+     * @throws IllegalArgumentException if the text is not {@code host:port}
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -14,12 +18,12 @@
                 return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // not a number, or not a port: told below
+            // not a number, or not a port: reported below
         }
         throw new IllegalArgumentException("not host:port: " + text);
     }
 
-    /** Writes one, with the name or the number that it was given by. */
+    /** Formats an address with the host name or literal that it was created with. */
     public static String of(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
--- a/src/main/java/firstair/relay/Loop.java
+++ b/src/main/java/firstair/relay/Loop.java
@@ -10,15 +10,15 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread that owns the decisions. Other threads post events; they run here in the order in which they
- * came, then the timers that are due, and then the round ends once for all of them.
+ * The event loop: a single thread that owns the decisions. A round runs the events that other threads have posted, in
+ * the order in which they were posted, then the timers that are due, and then the end-of-round task once.
  */
 public final class Loop {
     private static final Logger LOG = Logger.getLogger(Loop.class.getName());
     private static final RateLimitedLogger FAULTS = new RateLimitedLogger(LOG, Level.SEVERE);
     private static final double NS_PER_MS = 1e6;
 
-    /** Something to be run at a time; it can be called off. */
+    /** A task scheduled for a time; it can be cancelled. */
     public final class Timer {
         private final double at;
         private final long number;
@@ -30,7 +30,7 @@
             this.task = task;
         }
 
-        /** Calls it off; on the loop's thread only. */
+        /** Cancels the task, if it has not run yet; on the loop's thread only. */
         public void cancel() {
             if (task != null) {
                 task = null;
@@ -43,106 +43,106 @@
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.<Timer>comparingDouble(t -> t.at).thenComparingLong(t -> t.number));
     private final double roundMs;
-    private final double heldUpMs;
+    private final double maxDelayMs;
     private final double catchUpMs;
     private final long origin = System.nanoTime();
-    private long numbers;
-    private boolean behind; // this thread was held up, and has not caught up yet
+    private long nextNumber;
+    private boolean catchUpPending; // this thread was delayed, and has not waited for pending input yet
     private volatile boolean ended;
 
     /**
-     * Nothing runs before {@link #run}.
+     * Creates a loop; nothing runs before {@link #run}.
      *
-     * @param roundMs   least time between two rounds
-     * @param heldUpMs  so far behind its time a round was held up
-     * @param catchUpMs what it waits then, for other threads to read what has come meanwhile
+     * @param roundMs    minimum time between the starts of two rounds
+     * @param maxDelayMs a round that is later than this counts as delayed
+     * @param catchUpMs  how long a delayed round waits, so that other threads can read what has arrived meanwhile
      */
-    public Loop(double roundMs, double heldUpMs, double catchUpMs) {
+    public Loop(double roundMs, double maxDelayMs, double catchUpMs) {
         this.roundMs = roundMs;
-        this.heldUpMs = heldUpMs;
+        this.maxDelayMs = maxDelayMs;
         this.catchUpMs = catchUpMs;
     }
 
-    /** Milliseconds since this loop was made, on a clock that only advances. */
+    /** Milliseconds since this loop was created, on a monotonic clock. */
     public double now() {
         return (System.nanoTime() - origin) / NS_PER_MS;
     }
 
-    /** Hands in an event, from any thread. */
+    /** Posts an event, from any thread. */
     public void post(Runnable event) {
         inbox.add(event);
     }
 
-    /** Runs a task after a while; on the loop's thread only. */
+    /** Schedules a task after a delay in milliseconds; on the loop's thread only. */
     public Timer after(double ms, Runnable task) {
-        Timer t = new Timer(now() + Math.max(0, ms), numbers++, task);
-        timers.add(t);
-        return t;
+        Timer timer = new Timer(now() + Math.max(0, ms), nextNumber++, task);
+        timers.add(timer);
+        return timer;
     }
 
-    /** Ends {@link #run} after the present round. */
+    /** Makes {@link #run} return after the current round. */
     public void end() {
         ended = true;
         post(() -> {});
     }
 
-    /** Whether this thread, or the whole process, was held up since a moment of {@link #now}. */
-    boolean heldUpSince(double atMs) {
-        return now() - atMs > heldUpMs;
+    /** Whether this thread, or the whole process, was delayed since a time of {@link #now}. */
+    boolean delayedSince(double atMs) {
+        return now() - atMs > maxDelayMs;
     }
 
     /**
-     * Has the next round wait a little. What peers have sent while the process was held up is there to be read: to
-     * decide before it has become events would be to decide by what is long over.
+     * Makes the next round wait a little. Data that peers sent while the process was delayed is still to be read,
+     * and a decision made before it has become events would be based on an outdated state.
      */
     void catchUp() {
-        behind = true;
+        catchUpPending = true;
         post(() -> {});
     }
 
-    /** Runs events until {@link #end}; {@code round} closes each round. */
-    public void run(Runnable round) throws InterruptedException {
+    /** Runs events until {@link #end}; {@code endOfRound} runs at the end of each round. */
+    public void run(Runnable endOfRound) throws InterruptedException {
         List<Runnable> batch = new ArrayList<>();
-        double last = Double.NEGATIVE_INFINITY;
+        double roundStart = Double.NEGATIVE_INFINITY;
         while (!ended) {
             Runnable first = await();
-            if (behind || lateForTimers()) {
+            if (catchUpPending || timersDelayed()) {
                 TimeUnit.NANOSECONDS.sleep((long) (catchUpMs * NS_PER_MS));
-                behind = false;
+                catchUpPending = false;
             }
-            // Events that come close together share a round, as they do in the settings' smallest step of time.
-            double rest = last + roundMs - now();
-            if (rest > 0) {
-                TimeUnit.NANOSECONDS.sleep((long) (rest * NS_PER_MS));
+            // Events that arrive close together share a round, as they do within the quantum of the settings.
+            double waitMs = roundStart + roundMs - now();
+            if (waitMs > 0) {
+                TimeUnit.NANOSECONDS.sleep((long) (waitMs * NS_PER_MS));
             }
-            last = now();
-            traceDelay("the first timer of a round", timers.isEmpty() ? last : timers.peek().at);
+            roundStart = now();
+            traceDelay("the first timer of a round", timers.isEmpty() ? roundStart : timers.peek().at);
             if (first != null) {
                 batch.add(first);
             }
             inbox.drainTo(batch);
-            batch.forEach(Loop::guarded);
+            batch.forEach(Loop::runGuarded);
             batch.clear();
-            for (Timer t = timers.peek(); t != null && t.at <= last; t = timers.peek()) {
+            for (Timer timer = timers.peek(); timer != null && timer.at <= roundStart; timer = timers.peek()) {
                 timers.poll();
-                Runnable task = t.task;
-                t.task = null;
-                guarded(task);
+                Runnable task = timer.task;
+                timer.task = null;
+                runGuarded(task);
             }
-            guarded(round);
-            traceDelay("the end of a round", last);
+            runGuarded(endOfRound);
+            traceDelay("the end of a round", roundStart);
         }
     }
 
-    private void traceDelay(String of, double since) {
-        if (LOG.isLoggable(Level.FINE) && heldUpSince(since)) {
-            LOG.fine(of + " came " + Math.round(now() - since) + " ms late");
+    private void traceDelay(String step, double since) {
+        if (LOG.isLoggable(Level.FINE) && delayedSince(since)) {
+            LOG.fine(step + " came " + Math.round(now() - since) + " ms late");
         }
     }
 
-    private boolean lateForTimers() {
+    private boolean timersDelayed() {
         Timer next = timers.peek();
-        return next != null && heldUpSince(next.at);
+        return next != null && delayedSince(next.at);
     }
 
     private Runnable await() throws InterruptedException {
@@ -150,12 +150,12 @@
         if (next == null) {
             return inbox.take();
         }
-        double wait = next.at - now();
-        return wait <= 0 ? inbox.poll() : inbox.poll((long) (wait * NS_PER_MS) + 1, TimeUnit.NANOSECONDS);
+        double waitMs = next.at - now();
+        return waitMs <= 0 ? inbox.poll() : inbox.poll((long) (waitMs * NS_PER_MS) + 1, TimeUnit.NANOSECONDS);
     }
 
-    /** A fault in one event must not take the others down with it. */
-    private static void guarded(Runnable task) {
+    /** Runs a task; its exception must not end the loop or prevent other tasks. */
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/src/main/java/firstair/relay/RateLimitedLogger.java
+++ b/src/main/java/firstair/relay/RateLimitedLogger.java
@@ -5,51 +5,54 @@
 import java.util.logging.Logger;
 
 /**
- * Lines of one kind in the log, which others may bring about as often as they like: the first one is written, and from
- * then on one a minute at most, which tells how many were left out before it. Each is one line of bounded length,
- * whatever others have put into it.
+ * Logs lines of one kind that remote parties can trigger at any rate: the first one, and then at most one a minute,
+ * with the number of lines suppressed before it. Each entry is a single line of bounded length, whatever remote input
+ * it contains. Thread-safe.
  */
 public final class RateLimitedLogger {
-    private static final int MOST_CHARS = 300; // a sentence and what it quotes
+    private static final int MAX_CHARS = 300; // a sentence and a quotation
 
     private final Logger log;
     private final Level level;
     private final DoubleSupplier clock;
-    private double notBefore = Double.NEGATIVE_INFINITY;
-    private long leftOut;
+    private double nextLineAt = Double.NEGATIVE_INFINITY;
+    private long suppressed;
 
-    /** Lines of one kind; whoever writes them keeps this. */
+    /** Creates a logger for one kind of line; its callers share the instance. */
     public RateLimitedLogger(Logger log, Level level) {
         this(log, level, () -> System.nanoTime() / 1e6);
     }
 
-    /** @param clock milliseconds that only advance */
+    /** @param clock a monotonic clock in milliseconds */
     public RateLimitedLogger(Logger log, Level level, DoubleSupplier clock) {
         this.log = log;
         this.level = level;
         this.clock = clock;
     }
 
-    /** Writes a line unless one of its kind was written within a minute; tells whether it was. */
+    /** Logs a line unless one was logged within the last minute; returns whether it was logged. */
     public boolean log(String text) {
         return log(text, null);
     }
 
-    /** The same with a trace. */
-    public boolean log(String text, Throwable why) {
-        long before;
+    /** As {@link #log(String)}, with a stack trace. */
+    public boolean log(String text, Throwable cause) {
+        long suppressedBefore;
         synchronized (this) {
             double now = clock.getAsDouble();
-            if (now < notBefore) {
-                leftOut++;
+            if (now < nextLineAt) {
+                suppressed++;
                 return false;
             }
-            notBefore = now + Limits.SAME_LINE_MS;
-            before = leftOut;
-            leftOut = 0;
+            nextLineAt = now + Limits.LOG_INTERVAL_MS;
+            suppressedBefore = suppressed;
+            suppressed = 0;
         }
-        String line = text.substring(0, Math.min(text.length(), MOST_CHARS)).replaceAll("\\s+", " ");
-        log.log(level, before == 0 ? line : line + " (" + before + " such lines before it were left out)", why);
+        String line = text.substring(0, Math.min(text.length(), MAX_CHARS)).replaceAll("\\s+", " ");
+        log.log(
+                level,
+                suppressedBefore == 0 ? line : line + " (" + suppressedBefore + " similar lines suppressed)",
+                cause);
         return true;
     }
 }
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -42,86 +42,92 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One relay: hands events to the decisions, carries out what they ask for, and keeps what it owes. Everything
- * but {@link RequestHandler} runs on the loop's thread.
+ * One relay: passes events to the controller, carries out its actions, and stores what must survive a restart.
+ * Everything runs on the loop's thread, except the methods of {@link RequestHandler} and those documented otherwise.
  */
 public final class Relay implements Controller.Actions, RequestHandler, FleetPeers.Listener {
     private static final Logger LOG = Logger.getLogger(Relay.class.getName());
     private static final RateLimitedLogger FAULTS = new RateLimitedLogger(LOG, Level.SEVERE);
     private static final int ACCEPTED = 202;
     private static final int REFUSED = 503;
-    private static final int UNKNOWN = 404;
+    private static final int UNKNOWN_DESTINATION = 404;
     private static final int GIVEN_UP = 504;
     private static final int FAILED = 500;
 
-    /** What the list tells of an endpoint: its destination, and the most messages of a call. */
-    private record Place(int destination, int bundleMax) {}
+    /** An endpoint on the list: its destination, and the maximum number of messages per call. */
+    private record ListedEndpoint(int destination, int maxBatch) {}
 
-    private record Send(long id, String endpoint, double timeoutMs, boolean last) {}
+    /** A call that the controller has requested for a message. */
+    private record RequestedSend(long id, String endpoint, double timeoutMs, boolean last) {}
 
     private final Config config;
-    private volatile Limits limits; // of them a running relay takes over what the schema says
+    private volatile Limits limits; // some of them can change at a reload
     private final Loop loop;
     private final BootClock clock = BootClock.SYSTEM;
     private final Wire wire;
-    private final HeldMessages held;
+    private final HeldMessages messages;
     private final Endpoints endpoints;
     private final EndpointListWatch watch;
     private final Notices notices;
     private final ClientFilter clients;
-    private final Controller control;
+    private final Controller controller;
     private final FleetPeers peers;
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Place> places = new HashMap<>(); // endpoints by their ids
-    private final Map<Integer, Double> destinations = new HashMap<>(); // when each last had an endpoint
-    private final List<Send> sends = new ArrayList<>(); // asked for in this round
+    private final Map<String, Integer> classNumbers = new HashMap<>(); // by class name
+    private final Map<String, ListedEndpoint> listedEndpoints = new HashMap<>(); // by id
+    private final Map<Integer, Double> lastListedAt = new HashMap<>(); // when each destination last had an endpoint
+    private final List<RequestedSend> requestedSends = new ArrayList<>(); // in this round
     private final RateLimitedLogger overdueLog = new RateLimitedLogger(LOG, Level.SEVERE);
-    private final Object reloading = new Object();
+    private final Object reloadLock = new Object();
     private final ConfigReloader reloader;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private Runnable lookForChanges = () -> {};
-    private boolean looking; // for a new place of the platform, though it is not time for a sweep
-    private boolean postponed; // the last round's calls, since it was held up
-    private boolean listen;
-    private boolean unlisted; // just started, and what discovery pushes has not come yet
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private Runnable configCheck = () -> {};
+    private boolean configCheckScheduled; // for a new address of the platform, sooner than the next sweep
+    private boolean postponed; // the calls of the last round, because it was delayed
+    private boolean watchRequested;
+    private boolean awaitingList; // just started, and discovery has not pushed its list yet
     private Connection<?> listener;
-    private Loop.Timer opening; // until clients may come
-    private Loop.Timer listenAgain; // where the system had no socket for the listener
-    private Values own; // in force
+    private Loop.Timer openTimer; // until clients may connect
+    private Loop.Timer listenRetry; // if the system had no socket for the listener
+    private Values localSettings; // in effect
     private IOException failure;
-    private String takenUp;
+    private String resumed; // counts of what was resumed at the start, for the log
     private volatile boolean ready;
-    private boolean closing; // draining: nothing new is taken, what is held goes on
-    private boolean resting; // at the end of that: no further calls, the rest stays stored
-    private boolean late; // it is time to go, whatever is out
-    private boolean parting; // clients' connections are being ended
-    private boolean parted; // all that they brought has been taken
-    private volatile boolean over; // no round follows
-
-    /** Makes what decides; a test puts a broken one in its place. */
-    interface Decisions {
+    private boolean clientsDraining; // no new connections or messages; held messages are still sent
+    private boolean callsStopped; // near the end of the drain: no further calls, the rest stays stored
+    private boolean drainTimedOut; // the process must end, whatever is in progress
+    private boolean closingClients; // clients' connections are being closed
+    private boolean clientsClosed; // everything that they had sent has been handled
+    private volatile boolean ended; // no further round
+
+    /** Creates the controller; tests inject a faulty one. */
+    interface ControllerFactory {
         Controller of(Controller.Settings settings, long seed, Controller.Actions actions);
     }
 
-    /** Reads what the last process left and prepares everything but the clients' address. */
+    /**
+     * Opens the folder for persistent state and prepares everything except the address for clients.
+     *
+     * @throws IOException     if the folder or an address of the fleet cannot be used
+     * @throws ConfigException if the fleet's settings are invalid
+     */
     public Relay(Config config) throws IOException {
         this(config, Control::new);
     }
 
-    Relay(Config config, Decisions decisions) throws IOException {
+    Relay(Config config, ControllerFactory controllers) throws IOException {
         this.config = config;
-        own = config.own();
-        limits = config.limits().tuned(own);
+        localSettings = config.own();
+        limits = config.limits().tuned(localSettings);
         loop = new Loop(limits.roundMs(), limits.heldUpMs(), limits.catchUpMs());
         reloader = new ConfigReloader(() -> limits.reloadMs(), limits.sweepMs());
-        List<MessageClass> all = config.settings().classes();
-        for (int i = 0; i < all.size(); i++) {
-            classes.put(all.get(i).name(), i);
+        List<MessageClass> classes = config.settings().classes();
+        for (int i = 0; i < classes.size(); i++) {
+            classNumbers.put(classes.get(i).name(), i);
         }
         Store store = Store.open(config.state(), limits.diskBytes(), clock);
-        held = new HeldMessages(store);
+        messages = new HeldMessages(store);
         wire = new Wire(limits);
-        endpoints = new Endpoints(wire, limits, loop, new Calls());
+        endpoints = new Endpoints(wire, limits, loop, new CallListener());
         notices = new Notices(
                 wire, limits, loop, config.discovery(), new Random(config.seed()), store::over, this::platformLost);
         EndpointList known = config.known();
@@ -133,62 +139,67 @@
                 config.kinds(),
                 config.zones(),
                 known == null ? -1 : known.version(),
-                this::news);
+                this::listUpdated);
         clients = new ClientFilter(limits, this);
-        control = decisions.of(config.settings(), config.seed(), this);
+        controller = controllers.of(config.settings(), config.seed(), this);
         boolean fleet = config.settings().limits().peers()
-                || !own.text("fleet.name", "").isEmpty();
-        peers = fleet ? FleetDriver.of(config, own, loop, this) : FleetPeers.NONE;
+                || !localSettings.text("fleet.name", "").isEmpty();
+        peers = fleet ? FleetDriver.of(config, localSettings, loop, this) : FleetPeers.NONE;
     }
 
-    /** Serves until {@link #stop}. */
+    /**
+     * Serves until {@link #stop}, on the calling thread.
+     *
+     * @throws IOException if the address for clients cannot be used, or closing the relay fails
+     */
     public void run() throws IOException, InterruptedException {
         try {
             start();
             if (failure == null) {
                 loop.run(this::round);
             }
-            over = true;
-            held.confirm(() -> false); // those that the last rounds left
-            clients.refuse(); // what was read behind the last round has been taken by nobody
+            ended = true;
+            messages.answerAccepted(() -> false); // clients that the last rounds left unanswered
+            clients.refuse(); // requests that were read after the last round were not handled
             watch.close();
             peers.close();
             wire.close();
-            held.close();
+            messages.close();
             if (failure != null) {
                 throw failure;
             }
-            LOG.info("ended, " + held.size() + " messages kept for the next start");
+            LOG.info("ended, " + messages.size() + " messages kept for the next start");
         } finally {
-            ended.countDown(); // also where the start failed: a signal's thread must not wait for ever
+            terminated.countDown(); // also after a failed start: the signal handler's thread must not wait forever
         }
     }
 
     private void start() throws IOException {
         if (config.known() != null) {
-            news(ListUpdate.STORED, config.known());
+            listUpdated(ListUpdate.STORED, config.known());
         }
         peers.start();
         if (!config.settings().askForList()) {
-            // Nobody asks for a list that is pushed, and here it comes by a watch alone. What it holds counts from our
-            // first moment on: before it has come we call nobody, unless it takes too long.
-            listen = true;
-            unlisted = true;
-            loop.after(limits.listWaitMs(), () -> unlisted = false);
+            // The controller doesn't request a list that is pushed, and only a watch delivers it. The list applies from
+            // the start on, so no calls are made before it has arrived, unless it takes too long.
+            watchRequested = true;
+            awaitingList = true;
+            loop.after(limits.listWaitMs(), () -> awaitingList = false);
         }
-        resume();
+        resumePending();
         round();
         loop.after(limits.sweepMs(), this::sweep);
-        takenUp = held.size() + " messages and " + notices.owed() + " notices taken up again";
-        if (!unlisted) {
+        resumed = messages.size() + " messages and " + notices.owed() + " notices taken up again";
+        if (!awaitingList) {
             open();
         } else {
-            opening = loop.after(limits.openMs(), this::open);
+            openTimer = loop.after(limits.openMs(), this::open);
         }
     }
 
+    /** Starts to listen for clients. */
     private void open() {
-        opening = null;
+        openTimer = null;
         try {
             listener = wire.listen(config.listen(), clients, clients::stays);
         } catch (IOException e) {
@@ -197,134 +208,152 @@
                 loop.end();
             } else {
                 FAULTS.log("cannot listen, trying again: " + e.getMessage());
-                listenAgain = loop.after(limits.sweepMs(), this::open);
+                listenRetry = loop.after(limits.sweepMs(), this::open);
             }
             return;
         }
         ready = true;
         InetSocketAddress bound = (InetSocketAddress) listener.getLocalAddress();
-        String at = HostPort.of(new InetSocketAddress(bound.getAddress().getHostAddress(), bound.getPort()));
-        LOG.info("relay " + config.name() + " ready at " + at + ", " + takenUp);
+        String address = HostPort.of(new InetSocketAddress(bound.getAddress().getHostAddress(), bound.getPort()));
+        LOG.info("relay " + config.name() + " ready at " + address + ", " + resumed);
     }
 
-    /** Where clients reach it, once it is ready. */
+    /** The address for clients, once the relay is ready. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    /** Ends the relay in order: for a signal's thread, which waits here until that is done. */
+    /** Drains and ends the relay. Called by a signal handler's thread, and blocks it until the relay has ended. */
     public void stop() {
         loop.post(this::drain);
         try {
-            ended.await();
+            terminated.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Reads the configuration again and follows discovery to where it is now: for a signal's thread. What was taken
-     * on is not touched. A file that cannot be used may be one that is being written: it is read again for a little.
-     * One that stays so changes nothing; what else a usable one changes waits for the next start.
+     * Reads the configuration again and switches to the current address of discovery. Called by a signal handler's
+     * thread, which it blocks. Held messages are not affected. An invalid file may still be in the middle of being
+     * written, so reading is retried for a limited time; a file that stays invalid changes nothing. Other changes of a
+     * valid one take effect at the next start.
+     *
+     * @param readConfig   reads the configuration
+     * @param readSettings reads the local settings
      */
-    public void reload(Supplier<Config> read, Supplier<Values> ours) {
-        synchronized (reloading) { // the last of several signals must win
-            reloader.until(read, next -> loop.post(() -> moved(next)), "configuration");
-            reloader.until(
-                    ours, next -> loop.post(() -> tuned(next)), "settings"); // behind it: discovery has moved by now
+    public void reload(Supplier<Config> readConfig, Supplier<Values> readSettings) {
+        synchronized (reloadLock) { // the last of several signals must win
+            reloader.reload(readConfig, next -> loop.post(() -> applyConfig(next)), "configuration");
+            reloader.reload(
+                    readSettings,
+                    next -> loop.post(() -> applyLocalSettings(next)),
+                    "settings"); // second, so that invalid settings don't delay the switch to discovery
         }
     }
 
-    /** Takes over what a running relay can of settings of ours, and tells what waits for the next start. */
-    private void tuned(Values next) {
-        if (next.isEmpty() && own.isEmpty()) {
+    /** Applies the local settings that can change while the relay runs, and logs all changes. */
+    private void applyLocalSettings(Values next) {
+        if (next.isEmpty() && localSettings.isEmpty()) {
             return;
         }
-        TunableSettings.changes(own, next).forEach(LOG::info);
-        Limits all = config.limits().tuned(next);
-        notices.tune(all.notices());
-        limits = limits.reloaded(all);
-        own = next;
+        TunableSettings.changes(localSettings, next).forEach(LOG::info);
+        Limits nextLimits = config.limits().tuned(next);
+        notices.tune(nextLimits.notices());
+        limits = limits.withReloadable(nextLimits);
+        localSettings = next;
     }
 
-    private void moved(Config next) {
+    /** Switches to the address of discovery in a configuration that was read again. */
+    private void applyConfig(Config next) {
         if (!next.limits().equals(config.limits())
                 || !next.settings().equals(config.settings())
                 || !next.listen().equals(config.listen())) {
             LOG.warning("configuration read again: limits, settings and listen change with the next start only");
         }
         LOG.info("configuration read again, discovery at " + HostPort.of(next.discovery()));
-        loop.post(() ->
-                watch.setAddress(next.discovery())); // by itself: a fault in one must not leave both at the old place
+        // Posted separately, so that an exception in one switch doesn't keep both at the old address.
+        loop.post(() -> watch.setAddress(next.discovery()));
         notices.move(next.discovery());
     }
 
     // ---- start and end ----
 
-    /** What the last process had not ended: what is owed by now, and what goes on with its history. */
-    private void resume() {
+    /** Resumes what was pending when the last process ended: notices, and messages with their attempts so far. */
+    private void resumePending() {
         double now = loop.now();
-        RateLimitedLogger unknown = new RateLimitedLogger(LOG, Level.WARNING); // a line for all of them
+        RateLimitedLogger unknownClassLog = new RateLimitedLogger(LOG, Level.WARNING); // one line for all classes
         double graceUntil = now + limits.notices().returnMs();
         long bootNow = clock.nowMs();
-        for (Store.Open o : held.left()) {
-            StoredMessage t = o.taken();
-            if (o.owed() != null) {
-                notices.add(t.id(), t.requestId(), o.owed(), graceUntil);
+        for (Store.Open pending : messages.pendingAtStart()) {
+            StoredMessage message = pending.taken();
+            if (pending.owed() != null) {
+                notices.add(message.id(), message.requestId(), pending.owed(), graceUntil);
                 continue;
             }
-            Integer type = classes.get(t.className());
-            Held h = held.resume(t, now + (t.deadlineAt() - bootNow), graceUntil);
-            if (type == null) {
-                unknown.log("class " + t.className() + " is no longer known, its messages are given up");
-                giveUp(t.id());
+            Integer classNumber = classNumbers.get(message.className());
+            Held held = messages.resume(message, now + (message.deadlineAt() - bootNow), graceUntil);
+            if (classNumber == null) {
+                unknownClassLog.log("class " + message.className() + " is no longer known, its messages are given up");
+                giveUp(message.id());
                 continue;
             }
-            List<Controller.EarlierAttempt> tried = o.tries().stream()
-                    .map(x -> new Controller.EarlierAttempt(x.endpoint(), now + (x.sentAt() - bootNow), x.maybeRan()))
+            List<Controller.EarlierAttempt> earlierAttempts = pending.tries().stream()
+                    .map(attempt -> new Controller.EarlierAttempt(
+                            attempt.endpoint(), now + (attempt.sentAt() - bootNow), attempt.maybeRan()))
                     .toList();
-            control.accepted(
+            controller.accepted(
                     now,
                     new Controller.Message(
-                            t.id(), type, t.destination(), t.key(), h.deadlineAt, 0, t.again(), t.fromDead(), tried));
-            bind(t);
+                            message.id(),
+                            classNumber,
+                            message.destination(),
+                            message.key(),
+                            held.deadlineAt,
+                            0,
+                            message.again(),
+                            message.fromDead(),
+                            earlierAttempts));
+            applyRestrictions(message);
         }
     }
 
-    /** What binds a held message beyond its class. */
-    private void bind(StoredMessage t) {
-        if (t.tenant() != null || t.booking() != null) {
-            FleetPeers.Admission a = peers.terms(t.tenant(), t.className(), t.destination(), t.booking());
-            control.restrict(loop.now(), t.id(), a.zones(), a.lane());
+    /** Applies the restrictions of a held message beyond its class. */
+    private void applyRestrictions(StoredMessage message) {
+        if (message.tenant() != null || message.booking() != null) {
+            FleetPeers.Admission terms =
+                    peers.terms(message.tenant(), message.className(), message.destination(), message.booking());
+            controller.restrict(loop.now(), message.id(), terms.zones(), terms.lane());
         }
     }
 
     private void drain() {
-        LOG.info("draining, " + held.size() + " messages held");
+        LOG.info("draining, " + messages.size() + " messages held");
         peers.leave();
         loop.after(limits.drainAcceptMs(), this::stopListening);
-        // What is held would wait for the next process, seconds from now: it is sent for as long as it can be answered.
-        loop.after(limits.drainCallsMs(), () -> resting = true);
+        // Held messages would wait seconds for the next process, so they are sent while calls can still be answered.
+        loop.after(limits.drainCallsMs(), () -> callsStopped = true);
         loop.after(limits.drainMs(), () -> {
-            resting = true;
-            late = true;
-            loop.after(limits.answerMs(), loop::end); // whatever becomes of the clients
+            callsStopped = true;
+            drainTimedOut = true;
+            loop.after(limits.answerMs(), loop::end); // even if clients' connections are still open
         });
     }
 
     /**
-     * Takes no further connection, and only then ends those that clients have: they come again at once, and whom the
-     * system takes by then for a listener that nobody serves any more is reset without an answer. New connections are
-     * refused a little before the listener closes, so that none is completed between our last accept and the close.
+     * Stops accepting connections, and closes clients' connections only afterwards: clients reconnect at once, and
+     * connections that the system completes for a listener that is no longer served would be reset without an answer.
+     * New connections are refused shortly before the listener is closed, so that none is completed between the last
+     * accept and the close.
      */
     private void stopListening() {
         ready = false;
-        for (Loop.Timer early : Arrays.asList(opening, listenAgain)) { // told to end before clients could come
-            if (early != null) {
-                early.cancel();
+        for (Loop.Timer timer : Arrays.asList(openTimer, listenRetry)) { // stopped before clients could connect
+            if (timer != null) {
+                timer.cancel();
             }
         }
-        opening = null;
+        openTimer = null;
         if (listener == null) {
             drainClients();
         } else {
@@ -337,73 +366,75 @@
     }
 
     private void drainClients() {
-        closing = true;
+        clientsDraining = true;
         clients.drain();
     }
 
     /**
-     * Ends the loop, but first the clients' connections: a request that comes in between, or that has been read and
-     * waits behind what this round does, would find nobody. What they still bring is taken as before.
+     * Closes the clients' connections, and ends the loop after that: otherwise a request that arrives in between, or
+     * that has been read and waits for the end of this round, would not be handled. What clients still send is handled
+     * as before.
      */
-    private void part() {
-        if (!parting) {
-            parting = true;
-            clients.end(() -> loop.post(() -> parted = true));
-        } else if (parted && !clients.busy()) { // who has been answered has seen it, too
+    private void closeClients() {
+        if (!closingClients) {
+            closingClients = true;
+            clients.end(() -> loop.post(() -> clientsClosed = true));
+        } else if (clientsClosed && !clients.busy()) { // all answers have been sent, too
             loop.end();
         }
     }
 
     /**
-     * Where nobody signals that the configuration has changed: a short task that looks whether it has, run with each
-     * sweep, and more often while a notice waits for a platform that cannot be reached. To be told before {@link #run}.
+     * Sets a task that checks whether the configuration has changed, for systems that send no signal when it does. It
+     * must not block. It runs with each sweep, and more often while a notice waits for a platform that cannot be
+     * reached. Must be called before {@link #run}.
      */
     public void lookForChanges(Runnable task) {
-        lookForChanges = task;
+        configCheck = task;
     }
 
-    /** The platform may have moved, which is told by a change of the configuration, and notices have little time. */
+    /** The platform may have a new address, which a changed configuration contains, and notices have little time. */
     private void platformLost() {
-        if (looking || !notices.pressing()) {
+        if (configCheckScheduled || !notices.pressing()) {
             return;
         }
-        looking = true;
-        lookForChanges.run();
+        configCheckScheduled = true;
+        configCheck.run();
         loop.after(limits.lookMs(), () -> {
-            looking = false;
+            configCheckScheduled = false;
             platformLost();
         });
     }
 
     private void sweep() {
-        loop.after(limits.sweepMs(), this::sweep); // first, so that a fault in one sweep is not the end of all
-        lookForChanges.run();
+        loop.after(limits.sweepMs(), this::sweep); // first, so that an exception in one sweep doesn't prevent the next
+        configCheck.run();
         clients.sweep();
         endpoints.sweep();
         notices.sweep();
-        endOverdue();
+        giveUpOverdue();
     }
 
     /**
-     * Decisions and peers end every message before its time. Should a fault of ours lose one between them, its
-     * client waits for an end that nobody would tell: it is given up, which promises nothing about its effect.
+     * The controller and the endpoints end every message before its deadline. Should a bug lose one, its client would
+     * never get a final answer: the message is given up, which promises nothing about its effect.
      */
-    private void endOverdue() {
+    private void giveUpOverdue() {
         double before = loop.now() - limits.overdueMs();
-        if (resting) {
-            return; // the next start's
+        if (callsStopped) {
+            return; // left to the next start
         }
-        List<Held> overdue = held.all().stream()
-                .filter(h -> h.deadlineAt < before && h.graceUntil < before)
+        List<Held> overdue = messages.all().stream()
+                .filter(held -> held.deadlineAt < before && held.graceUntil < before)
                 .toList();
         if (overdue.isEmpty()) {
             return;
         }
         overdueLog.log(overdue.size() + " messages without an end " + Math.round(limits.overdueMs())
-                + " ms after their time, the first is " + overdue.get(0).taken.requestId() + "; given up");
-        for (Held h : overdue) {
-            control.withdrawn(loop.now(), h.taken.id());
-            giveUp(h.taken.id());
+                + " ms after their time, the first is " + overdue.get(0).message.requestId() + "; given up");
+        for (Held held : overdue) {
+            controller.withdrawn(loop.now(), held.message.id());
+            giveUp(held.message.id());
         }
     }
 
@@ -421,7 +452,7 @@
 
     @Override
     public Map<String, Integer> classes() {
-        return classes;
+        return classNumbers;
     }
 
     @Override
@@ -430,290 +461,300 @@
     }
 
     @Override
-    public void handIn(Submission h) {
-        if (over) {
-            h.answer(REFUSED, 0);
+    public void handIn(Submission submission) {
+        if (ended) {
+            submission.answer(REFUSED, 0);
             return;
         }
         loop.post(() -> {
             try {
-                take(h);
+                accept(submission);
             } catch (RuntimeException e) {
-                FAULTS.log("fault while taking a message", e);
-                untaken(h);
+                FAULTS.log("fault while accepting a message", e);
+                undoAccept(submission);
             }
         });
     }
 
-    /** Nothing has been sent for it yet: its client is refused, and nobody keeps a part of it. */
-    private void untaken(Submission h) {
-        Held known = held.of(h.requestId());
-        if (known != null && known.client == h) {
-            held.untake(known.taken.id());
-            control.withdrawn(loop.now(), known.taken.id());
+    /** Refuses a submission whose acceptance failed, and removes what is left of it: nothing has been sent yet. */
+    private void undoAccept(Submission submission) {
+        Held known = messages.byRequestId(submission.requestId());
+        if (known != null && known.client == submission) {
+            messages.undoAccept(known.message.id());
+            controller.withdrawn(loop.now(), known.message.id());
         }
-        h.answer(REFUSED, 0);
+        submission.answer(REFUSED, 0);
     }
 
-    private void take(Submission h) {
-        if (h.gone()) {
-            h.answer(REFUSED, 0); // its client may hand it in elsewhere; one that has only ended its sending hears it
+    private void accept(Submission submission) {
+        if (submission.gone()) {
+            // Its client may submit it elsewhere; a client that has only closed its sending side gets the answer.
+            submission.answer(REFUSED, 0);
             return;
         }
-        Held known = held.of(h.requestId());
+        Held known = messages.byRequestId(submission.requestId());
         if (known != null) {
             if (known.client == null) {
-                h.answer(ACCEPTED, 0); // the client did not hear it
+                submission.answer(ACCEPTED, 0); // a repeat: the client did not get the first answer
             } else {
-                loop.post(() -> take(h)); // not stored yet: its fate is known after this round
+                loop.post(() -> accept(submission)); // not stored yet: its answer is known after this round
             }
             return;
         }
-        if (!destinations.containsKey(h.destination())) {
-            // Who lists no such destination cannot deliver to it either: another relay, or a later moment, may.
-            h.answer(watch.current() ? UNKNOWN : REFUSED, 0);
+        if (!lastListedAt.containsKey(submission.destination())) {
+            // A destination that is not on the list cannot be reached: another relay, or a later list, may have it.
+            submission.answer(watch.current() ? UNKNOWN_DESTINATION : REFUSED, 0);
             return;
         }
-        if (!held.fits(h.body().length)) {
-            h.answer(REFUSED, 0);
+        if (!messages.fits(submission.body().length)) {
+            submission.answer(REFUSED, 0);
             return;
         }
         double now = loop.now();
-        MessageClass c = config.settings().classes().get(h.messageClass());
-        FleetPeers.Admission may = peers.admit(h.tenant(), c.name(), h.destination(), h.booking());
-        if (may.status() != 0) {
-            h.answer(may.status(), may.afterMs(), may.reason());
+        MessageClass messageClass = config.settings().classes().get(submission.messageClass());
+        FleetPeers.Admission admission =
+                peers.admit(submission.tenant(), messageClass.name(), submission.destination(), submission.booking());
+        if (admission.status() != 0) {
+            submission.answer(admission.status(), admission.afterMs(), admission.reason());
             return;
         }
-        StoredMessage t = new StoredMessage(
-                held.nextId(),
-                h.requestId(),
-                c.name(),
-                h.destination(),
-                h.key(),
-                clock.nowMs() + Math.round(h.deadlineAt() - now),
-                h.again(),
-                h.fromDead(),
-                h.body(),
-                peers.talk() ? h.tenant() : null,
-                peers.talk() ? h.booking() : null);
-        held.take(t, h);
-        control.accepted(
+        StoredMessage message = new StoredMessage(
+                messages.nextId(),
+                submission.requestId(),
+                messageClass.name(),
+                submission.destination(),
+                submission.key(),
+                clock.nowMs() + Math.round(submission.deadlineAt() - now),
+                submission.again(),
+                submission.fromDead(),
+                submission.body(),
+                peers.talk() ? submission.tenant() : null,
+                peers.talk() ? submission.booking() : null);
+        messages.accept(message, submission);
+        controller.accepted(
                 now,
                 new Controller.Message(
-                        t.id(),
-                        h.messageClass(),
-                        t.destination(),
-                        t.key(),
-                        h.deadlineAt(),
+                        message.id(),
+                        submission.messageClass(),
+                        message.destination(),
+                        message.key(),
+                        submission.deadlineAt(),
                         0,
-                        h.again(),
-                        h.fromDead(),
+                        submission.again(),
+                        submission.fromDead(),
                         List.of()));
-        if (may.binds()) {
-            control.restrict(now, t.id(), may.zones(), may.lane());
+        if (admission.restricts()) {
+            controller.restrict(now, message.id(), admission.zones(), admission.lane());
         }
-        peers.taken(t.destination());
+        peers.taken(message.destination());
     }
 
-    private void trace(Held h, String what) {
+    private void trace(Held held, String event) {
         if (LOG.isLoggable(Level.FINE)) {
-            LOG.fine("message " + h.taken.requestId() + ": " + what + ", " + Math.round(h.deadlineAt - loop.now())
-                    + " ms left");
+            LOG.fine("message " + held.message.requestId() + ": " + event + ", "
+                    + Math.round(held.deadlineAt - loop.now()) + " ms left");
         }
     }
 
-    private void ended(Outcome o) {
-        Held h = held.get(o.id());
-        if (h != null) {
-            trace(h, "attempt " + o.attempt() + " at " + o.endpoint() + " ended with " + o.result());
+    private void attemptEnded(Outcome outcome) {
+        Held held = messages.get(outcome.id());
+        if (held != null) {
+            trace(
+                    held,
+                    "attempt " + outcome.attempt() + " at " + outcome.endpoint() + " ended with " + outcome.result());
         }
-        if (h != null && o.result().counts()) {
-            peers.ended(h.taken.destination(), o);
+        if (held != null && outcome.result().counts()) {
+            peers.ended(held.message.destination(), outcome);
         }
-        if (o.result().counts()) {
-            held.ended(o, clock.nowMs());
+        if (outcome.result().counts()) {
+            messages.attemptEnded(outcome, clock.nowMs());
         }
-        control.ended(loop.now(), o);
+        controller.ended(loop.now(), outcome);
     }
 
-    /** What calls tell, which the decisions and the store have to hear. */
-    private final class Calls implements Endpoints.Listener {
+    /** Passes the events of calls to the controller, the store and the fleet. */
+    private final class CallListener implements Endpoints.Listener {
         @Override
-        public void ended(Outcome o) {
-            Relay.this.ended(o);
+        public void ended(Outcome outcome) {
+            attemptEnded(outcome);
         }
 
         @Override
         public void onRetryAfter(double at, String endpoint, long id, int attempt, double waitMs) {
-            control.waitReceived(at, endpoint, id, attempt, waitMs);
+            controller.waitReceived(at, endpoint, id, attempt, waitMs);
         }
 
         @Override
         public boolean sharesRetryAfter(String endpoint, String other) {
-            Place place = places.get(endpoint);
-            Place otherPlace = places.get(other);
+            ListedEndpoint listed = listedEndpoints.get(endpoint);
+            ListedEndpoint otherListed = listedEndpoints.get(other);
             return endpoint.equals(other)
-                    || place != null && otherPlace != null && place.destination() == otherPlace.destination();
+                    || listed != null && otherListed != null && listed.destination() == otherListed.destination();
         }
 
         @Override
         public void onNotWritten(long id, int attempt) {
-            held.unwritten(id, attempt);
+            messages.callNotWritten(id, attempt);
         }
     }
 
-    private void news(ListUpdate news, EndpointList listed) {
-        if (listed == null) {
-            unlisted = false; // what discovery has cannot be had for now
-            control.list(loop.now(), news, List.of());
+    private void listUpdated(ListUpdate update, EndpointList list) {
+        if (list == null) {
+            awaitingList = false; // discovery's list is not available for now
+            controller.list(loop.now(), update, List.of());
             return;
         }
-        unlisted &= news == ListUpdate.STORED;
+        awaitingList &= update == ListUpdate.STORED;
         double now = loop.now();
-        Set<String> gone = new HashSet<>(news == ListUpdate.CHANGES ? Set.of() : places.keySet());
-        places.values().forEach(p -> destinations.put(p.destination(), now));
-        endpoints.updateAddresses(listed.addresses());
+        Set<String> removed = new HashSet<>(update == ListUpdate.CHANGES ? Set.of() : listedEndpoints.keySet());
+        listedEndpoints.values().forEach(listed -> lastListedAt.put(listed.destination(), now));
+        endpoints.updateAddresses(list.addresses());
         List<Controller.Kind> kinds = config.settings().kinds();
-        for (Controller.Entry e : listed.entries()) {
-            if (e.listing() == Controller.Listing.LEFT) {
-                gone.add(e.endpoint());
+        for (Controller.Entry entry : list.entries()) {
+            if (entry.listing() == Controller.Listing.LEFT) {
+                removed.add(entry.endpoint());
                 continue;
             }
-            gone.remove(e.endpoint());
-            destinations.put(e.destination(), now);
-            places.put(
-                    e.endpoint(),
-                    new Place(
-                            e.destination(),
+            removed.remove(entry.endpoint());
+            lastListedAt.put(entry.destination(), now);
+            listedEndpoints.put(
+                    entry.endpoint(),
+                    new ListedEndpoint(
+                            entry.destination(),
                             kinds.isEmpty()
                                     ? 1
-                                    : kinds.get(Math.min(e.kind(), kinds.size() - 1))
+                                    : kinds.get(Math.min(entry.kind(), kinds.size() - 1))
                                             .maxBatch()));
         }
-        // Endpoints and their addresses are ever new: nothing is kept of those that have left.
-        endpoints.removeEndpoints(gone);
-        places.keySet().removeAll(gone);
-        destinations.values().removeIf(at -> now - at > limits.emptyMs());
-        control.list(now, news, listed.entries());
-        peers.listed(destinations.keySet(), places.keySet());
+        // Endpoints and addresses change all the time: nothing is kept of those that have left the list.
+        endpoints.removeEndpoints(removed);
+        listedEndpoints.keySet().removeAll(removed);
+        lastListedAt.values().removeIf(at -> now - at > limits.emptyMs());
+        controller.list(now, update, list.entries());
+        peers.listed(lastListedAt.keySet(), listedEndpoints.keySet());
     }
 
     // ---- the round ----
 
+    /** Ends a round of events: decides, stores, and then sends notices, answers and calls. */
     private void round() {
-        double begunAt = loop.now();
+        double startedAt = loop.now();
         peers.refresh();
-        if (resting) {
-            endpoints.withhold(); // the next process finds them untried
+        if (callsStopped) {
+            endpoints.withhold(); // the next process finds them without an attempt
         } else {
-            endpoints.recheckConnected((id, attempt) -> control.mayGo(loop.now(), id, attempt));
+            endpoints.recheckConnected((id, attempt) -> controller.mayGo(loop.now(), id, attempt));
         }
-        if (!resting && !unlisted) {
-            control.decide(loop.now());
+        if (!callsStopped && !awaitingList) {
+            controller.decide(loop.now());
         }
-        held.note();
-        callDecided();
-        // What is noted may have run, and what is not surely has not: a call that has no connection yet is not.
+        messages.recordAccepted();
+        startCalls();
+        // A recorded call may have run, and one that is not recorded certainly has not: calls that have no connection
+        // yet are not recorded.
         long bootNow = clock.nowMs();
-        endpoints.forEachReady((endpoint, i) -> {
-            if (held.get(i.id()) != null) {
-                held.called(i.id(), i.attempt(), endpoint, bootNow);
+        endpoints.forEachReady((endpoint, item) -> {
+            if (messages.get(item.id()) != null) {
+                messages.recordCall(item.id(), item.attempt(), endpoint, bootNow);
             }
         });
-        boolean written = held.flush() || unwritten();
-        notices.flush(); // stored by now; they have the least time of all that a round does
-        if (!held.confirm(heldUpFromNow())) {
-            loop.post(() -> {}); // the other clients are told in the next round
-        }
-        write(written, begunAt);
-        if (opening != null && !unlisted) {
-            opening.cancel();
+        boolean stored = messages.flush() || refuseUnstored();
+        notices.flush(); // stored by now; they have the shortest time limit of all that a round sends
+        if (!messages.answerAccepted(delayedFromNow())) {
+            loop.post(() -> {}); // the other clients are answered in the next round
+        }
+        writeCalls(stored, startedAt);
+        if (openTimer != null && !awaitingList) {
+            openTimer.cancel();
             open();
         }
-        boolean nothingLeft = resting || held.isEmpty() && notices.owed() == 0;
-        if (late || closing && nothingLeft && endpoints.callsInProgress() == 0 && !clients.busy()) {
-            part();
+        boolean nothingPending = callsStopped || messages.isEmpty() && notices.owed() == 0;
+        if (drainTimedOut || clientsDraining && nothingPending && endpoints.callsInProgress() == 0 && !clients.busy()) {
+            closeClients();
         }
-        if (listen) {
-            listen = false;
+        if (watchRequested) {
+            watchRequested = false;
             watch.listen();
         }
     }
 
-    /** Begins the calls that the decisions of this round have asked for; none is written yet. */
-    private void callDecided() {
-        CallBatches batches = new CallBatches(this::mostItems, limits.maxBody(), this::call);
-        for (Send s : sends) {
-            Held h = held.get(s.id());
-            if (h == null) {
-                continue; // a fault has ended it meanwhile
+    /** Starts the calls that the controller has requested in this round; none is written yet. */
+    private void startCalls() {
+        CallBatches batches = new CallBatches(this::maxItems, limits.maxBody(), this::call);
+        for (RequestedSend send : requestedSends) {
+            Held held = messages.get(send.id());
+            if (held == null) {
+                continue; // it was ended meanwhile because of an exception
             }
-            int attempt = held.tries(s.id());
-            batches.add(s.endpoint(), item(s, h, attempt));
-            peers.called(h.taken.destination(), attempt > 0);
+            int attempt = messages.recordedAttempts(send.id());
+            batches.add(send.endpoint(), item(send, held, attempt));
+            peers.called(held.message.destination(), attempt > 0);
         }
-        sends.clear();
+        requestedSends.clear();
         batches.flush();
     }
 
-    private static Item item(Send s, Held h, int attempt) {
+    private static Item item(RequestedSend send, Held held, int attempt) {
         return new Item(
-                s.id(),
+                send.id(),
                 attempt,
-                h.taken.requestId(),
-                h.taken.key(),
-                h.taken.body(),
-                s.timeoutMs(),
-                h.deadlineAt,
-                s.last());
+                held.message.requestId(),
+                held.message.key(),
+                held.message.body(),
+                send.timeoutMs(),
+                held.deadlineAt,
+                send.last());
     }
 
     /**
-     * Writes the calls that this round has decided, unless they are old by now: where the store or the system has held
-     * the round up, peers may have told a wait or a drain meanwhile. That is read first, and the calls are asked about
-     * in the next round. Where every round is held up they go all the same, but for those that a wait may bind which
-     * has been read by then.
+     * Writes the calls of this round, unless the decisions are outdated: if the store or the system has delayed the
+     * round, endpoints may have sent a Retry-After, or discovery a drain, meanwhile. That is read first, and the calls
+     * are checked again in the next round. If every round is delayed, calls are written all the same, except those to
+     * which a Retry-After may apply that has been read by then.
      */
-    private void write(boolean written, double begunAt) {
-        postponed = !postponed && loop.heldUpSince(begunAt);
+    private void writeCalls(boolean stored, double startedAt) {
+        postponed = !postponed && loop.delayedSince(startedAt);
         if (postponed) {
             endpoints.postpone();
             loop.catchUp();
         } else {
-            boolean all = endpoints.write(id -> written && held.get(id) != null, heldUpFromNow());
-            if (!all) {
-                loop.catchUp(); // what is left is as old as what follows a round that was held up
+            boolean allWritten = endpoints.write(id -> stored && messages.get(id) != null, delayedFromNow());
+            if (!allWritten) {
+                loop.catchUp(); // the remaining calls are as outdated as those of a delayed round
             }
         }
     }
 
-    /** Whether what begins now is held up, each time that it is asked. */
-    private BooleanSupplier heldUpFromNow() {
-        double begunAt = loop.now();
-        return () -> loop.heldUpSince(begunAt);
+    /** Returns a check for whether what starts now is delayed. */
+    private BooleanSupplier delayedFromNow() {
+        double startedAt = loop.now();
+        return () -> loop.delayedSince(startedAt);
     }
 
     /**
-     * The store does not take what this round brought: what came in it is refused, then it is tried again. Where a part
-     * of a write may have stayed in the file, the next process might send it, and a refusal would promise too much.
-     * Calls that it could not note are not made: after a restart nobody would know of them.
+     * Handles a failed write of the store: refuses the messages of this round, and tries again without them. If a part
+     * of the write may have stayed in the file, the next process might send a message, and a refusal would promise too
+     * much, so the answer is an error. Calls that could not be recorded are not made: after a restart nothing would be
+     * known of them.
      */
-    private boolean unwritten() {
-        for (Held h : held.fresh()) {
-            control.withdrawn(loop.now(), h.taken.id());
-            held.over(h.taken.id());
-            h.client.answer(held.certain() ? REFUSED : FAILED, 0);
+    private boolean refuseUnstored() {
+        for (Held held : messages.acceptedInRound()) {
+            controller.withdrawn(loop.now(), held.message.id());
+            messages.complete(held.message.id());
+            held.client.answer(messages.failedFlushDiscarded() ? REFUSED : FAILED, 0);
         }
-        return held.flush();
+        return messages.flush();
     }
 
-    private int mostItems(String endpoint) {
-        Place place = places.get(endpoint);
-        return place == null ? 1 : place.bundleMax();
+    private int maxItems(String endpoint) {
+        ListedEndpoint listed = listedEndpoints.get(endpoint);
+        return listed == null ? 1 : listed.maxBatch();
     }
 
-    /** A fault under one call must not take the calls behind it along, nor leave its own messages without an end. */
+    /**
+     * Starts a call. An exception must neither prevent the calls after it nor leave the call's own messages without a
+     * final answer.
+     */
     private void call(String endpoint, List<Item> batch) {
         try {
             endpoints.call(endpoint, batch);
@@ -722,11 +763,11 @@
         }
     }
 
-    // ---- what the decisions ask for ----
+    // ---- actions of the controller ----
 
     @Override
     public void send(long id, String endpoint, double timeoutMs, boolean last) {
-        sends.add(new Send(id, endpoint, timeoutMs, last));
+        requestedSends.add(new RequestedSend(id, endpoint, timeoutMs, last));
     }
 
     @Override
@@ -736,29 +777,29 @@
 
     @Override
     public void refuse(long id, double afterMs) {
-        end(id, REFUSED, new OwedNotice(true, afterMs));
+        endMessage(id, REFUSED, new OwedNotice(true, afterMs));
     }
 
     @Override
     public void giveUp(long id) {
-        end(id, GIVEN_UP, new OwedNotice(false, 0));
+        endMessage(id, GIVEN_UP, new OwedNotice(false, 0));
     }
 
-    /** A message that its client has not been told of yet is answered there, any other one by a notice. */
-    private void end(long id, int status, OwedNotice notice) {
-        Held h = held.release(id);
-        if (h == null) {
+    /** Sends a final answer: to the client if it still waits for its answer, otherwise by a notice. */
+    private void endMessage(long id, int status, OwedNotice notice) {
+        Held held = messages.remove(id);
+        if (held == null) {
             return;
         }
-        trace(h, "over with " + status);
-        held.confirm(h); // it is stored by now, so it is taken before it is over
-        if (h.client != null) {
-            h.client.answer(status, notice.afterMs());
-            h.client = null;
+        trace(held, "over with " + status);
+        messages.answerAccepted(held); // a stored message is reported as accepted before its final answer
+        if (held.client != null) {
+            held.client.answer(status, notice.afterMs());
+            held.client = null;
         } else {
-            held.owed(id, notice);
-            double dueAt = Math.max(h.deadlineAt + limits.notices().dueMs(), h.graceUntil);
-            notices.add(id, h.taken.requestId(), notice, dueAt);
+            messages.noticePending(id, notice);
+            double dueAt = Math.max(held.deadlineAt + limits.notices().dueMs(), held.graceUntil);
+            notices.add(id, held.message.requestId(), notice, dueAt);
         }
     }
 
@@ -769,12 +810,12 @@
 
     @Override
     public void wake(double inMs) {
-        loop.after(inMs, () -> control.timer(loop.now()));
+        loop.after(inMs, () -> controller.timer(loop.now()));
     }
 
     @Override
     public void watchList() {
-        listen = true;
+        watchRequested = true;
     }
 
     @Override
@@ -782,21 +823,21 @@
         LOG.info(text);
     }
 
-    // ---- what the fleet tells ----
+    // ---- events of the fleet ----
 
     @Override
     public void share(int destination, Controller.Share share) {
-        control.share(loop.now(), destination, share);
+        controller.share(loop.now(), destination, share);
     }
 
     @Override
     public void warned(String endpoint, double waitUntil, double avoidUntil) {
-        control.peerWarning(loop.now(), endpoint, waitUntil, avoidUntil);
+        controller.peerWarning(loop.now(), endpoint, waitUntil, avoidUntil);
     }
 
     @Override
     public void confine() {
-        held.all().forEach(h -> bind(h.taken));
+        messages.all().forEach(held -> applyRestrictions(held.message));
     }
 
     @Override
@@ -805,7 +846,7 @@
     }
 
     @Override
-    public void ask(BookingRequest ask) {
-        loop.post(() -> peers.handleBooking(ask));
+    public void ask(BookingRequest request) {
+        loop.post(() -> peers.handleBooking(request));
     }
 }
--- a/src/main/java/firstair/relay/TunableSettings.java
+++ b/src/main/java/firstair/relay/TunableSettings.java
@@ -14,35 +14,43 @@
 import java.util.Map;
 
 /**
- * The settings that are ours and not the platform's: a file in TOML that {@code FIRSTAIR_SETTINGS} names, a variable
- * for each value ({@code FIRSTAIR_PLATFORM_ANSWER}), and flags before both. Where none is given, nothing of this is
- * loaded and the limits stand as the deployment has them.
+ * The local settings of an installation, as opposed to the platform's: from a TOML file that {@code FIRSTAIR_SETTINGS}
+ * names, from environment variables for single values ({@code FIRSTAIR_PLATFORM_ANSWER}), and from flags. Flags
+ * override variables, and variables override the file. Without any of them the limits are those of the deployment,
+ * and no code for settings is loaded.
  */
 public final class TunableSettings {
-    /** The variable that names the file. */
+    /** Environment variable that names the file. */
     public static final String FILE = "FIRSTAIR_SETTINGS";
-    /** How the variables begin that set a value each. */
-    public static final String PREFIX = "FIRSTAIR_";
-    /** How a flag stands among the variables: this and the path. */
+    /** Prefix of the environment variables that set single values. */
+    public static final String VARIABLE_PREFIX = "FIRSTAIR_";
+    /** Prefix of the keys by which flags are passed along with the variables; the path of the item follows. */
     public static final String FLAG = "--";
 
-    private static final double S = 1000;
-    private static final double MIN = 60 * S;
+    private static final double SECOND_MS = 1000;
+    private static final double MINUTE_MS = 60 * SECOND_MS;
     private static final double KIB = 1024;
 
     private TunableSettings() {}
 
-    /** What can be set. */
+    /** Describes all items, with their units, defaults and bounds. */
     public static Schema schema() {
         return new Schema()
                 .table("clients", "Connections of clients")
-                .item("idle", Kind.DURATION, "2s", 100, 10 * MIN, false, "a connection without a request is closed")
+                .item(
+                        "idle",
+                        Kind.DURATION,
+                        "2s",
+                        100,
+                        10 * MINUTE_MS,
+                        false,
+                        "a connection without a request is closed")
                 .item(
                         "request",
                         Kind.DURATION,
                         "2s",
                         100,
-                        MIN,
+                        MINUTE_MS,
                         false,
                         "a whole request must have come, from connecting or from its first byte")
                 .item(
@@ -50,7 +58,7 @@
                         Kind.DURATION,
                         "200ms",
                         0,
-                        MIN,
+                        MINUTE_MS,
                         false,
                         "a client that has just connected is waited for, whatever else wants its place")
                 .item(
@@ -58,7 +66,7 @@
                         Kind.DURATION,
                         "500ms",
                         50,
-                        MIN,
+                        MINUTE_MS,
                         false,
                         "in a crowd, a client that has sent nothing is turned away")
                 .item(
@@ -66,7 +74,7 @@
                         Kind.DURATION,
                         "500ms",
                         0,
-                        MIN,
+                        MINUTE_MS,
                         false,
                         "a refused client may go on sending before its connection is cut")
                 .item("linger_bytes", Kind.SIZE, "256KiB", 0, 1 << 30, false, "it may send so much before that")
@@ -76,24 +84,24 @@
                         Kind.DURATION,
                         "50ms",
                         1,
-                        10 * S,
+                        10 * SECOND_MS,
                         false,
                         "the other side may take so long to end a call that was given up")
-                .item("answer", Kind.DURATION, "200ms", 10, MIN, false, "an answer that has begun must be whole")
+                .item("answer", Kind.DURATION, "200ms", 10, MINUTE_MS, false, "an answer that has begun must be whole")
                 .item(
                         "rest",
                         Kind.DURATION,
                         "20ms",
                         0,
-                        10 * S,
+                        10 * SECOND_MS,
                         false,
                         "a connection that carried an answer is left alone before the next call")
                 .item(
                         "empty",
                         Kind.DURATION,
                         "30s",
-                        1 * S,
-                        60 * MIN,
+                        1 * SECOND_MS,
+                        60 * MINUTE_MS,
                         false,
                         "a destination without endpoints is still taken for one")
                 .table("list", "The list of endpoints")
@@ -102,10 +110,17 @@
                         Kind.DURATION,
                         "3s",
                         100,
-                        MIN,
+                        MINUTE_MS,
                         false,
                         "discovery must have begun an answer; after a third of it another call goes beside it")
-                .item("silence", Kind.DURATION, "2.25s", 100, 10 * MIN, false, "a watch that says nothing is dead")
+                .item(
+                        "silence",
+                        Kind.DURATION,
+                        "2.25s",
+                        100,
+                        10 * MINUTE_MS,
+                        false,
+                        "a watch that says nothing is dead")
                 .item(
                         "line",
                         Kind.SIZE,
@@ -115,22 +130,22 @@
                         false,
                         "one object that discovery sends at most; unless it is set, no more than a 32nd of the heap")
                 .table("platform", "Notices to the platform")
-                .item("answer", Kind.DURATION, "1s", 50, MIN, true, "a post without an answer is given up")
+                .item("answer", Kind.DURATION, "1s", 50, MINUTE_MS, true, "a post without an answer is given up")
                 .item(
                         "least",
                         Kind.DURATION,
                         "60ms",
                         1,
-                        10 * S,
+                        10 * SECOND_MS,
                         true,
                         "least time until what an unanswered post carries goes a second time as well")
-                .item("most", Kind.DURATION, "250ms", 1, 10 * S, true, "longest such time")
+                .item("most", Kind.DURATION, "250ms", 1, 10 * SECOND_MS, true, "longest such time")
                 .item(
                         "pause",
                         Kind.DURATION,
                         "25ms",
                         1,
-                        10 * S,
+                        10 * SECOND_MS,
                         true,
                         "first pause after the place has failed; it doubles")
                 .item(
@@ -138,10 +153,10 @@
                         Kind.DURATION,
                         "75ms",
                         1,
-                        10 * S,
+                        10 * SECOND_MS,
                         true,
                         "longest such pause while any notice can still be in time")
-                .item("most_pause", Kind.DURATION, "1s", 1, 10 * MIN, true, "longest such pause otherwise")
+                .item("most_pause", Kind.DURATION, "1s", 1, 10 * MINUTE_MS, true, "longest such pause otherwise")
                 .item("posts", Kind.COUNT, "8", 2, 256, true, "posts that may be out")
                 .table("messages", "Messages that are held")
                 .item(
@@ -149,7 +164,7 @@
                         Kind.DURATION,
                         "150ms",
                         60,
-                        MIN,
+                        MINUTE_MS,
                         true,
                         "after its time, a message without an end is given up as lost by a fault of ours")
                 .table("start", "Starts and new configurations")
@@ -158,7 +173,7 @@
                         Kind.DURATION,
                         "300ms",
                         0,
-                        MIN,
+                        MINUTE_MS,
                         false,
                         "clients wait at most for the list that is pushed to a start")
                 .item(
@@ -166,13 +181,13 @@
                         Kind.DURATION,
                         "1s",
                         0,
-                        MIN,
+                        MINUTE_MS,
                         true,
                         "a file that cannot be used is read again after a SIGHUP")
                 .table("drain", "The end after SIGTERM")
-                .item("accept", Kind.DURATION, "450ms", 0, 10 * MIN, false, "connections are still accepted")
-                .item("calls", Kind.DURATION, "2.3s", 0, 60 * MIN, false, "calls are made for what is held")
-                .item("end", Kind.DURATION, "3s", 0, 60 * MIN, false, "the process ends at the latest")
+                .item("accept", Kind.DURATION, "450ms", 0, 10 * MINUTE_MS, false, "connections are still accepted")
+                .item("calls", Kind.DURATION, "2.3s", 0, 60 * MINUTE_MS, false, "calls are made for what is held")
+                .item("end", Kind.DURATION, "3s", 0, 60 * MINUTE_MS, false, "the process ends at the latest")
                 .table("fleet", "What relays tell each other; off unless the platform allows it too (`limits.peers`)")
                 .item("name", Kind.TEXT, "", 0, 64, false, "name of the fleet, the same at all relays; empty is off")
                 .item(
@@ -200,16 +215,16 @@
                         false,
                         "all relays as name=host:port, ours too, in the same order everywhere")
                 .item("voters", Kind.NAMES, "", 0, 5, false, "3 or 5 of them, who decide by majority")
-                .item("hello", Kind.DURATION, "500ms", 20, MIN, false, "pause between hellos")
+                .item("hello", Kind.DURATION, "500ms", 20, MINUTE_MS, false, "pause between hellos")
                 .item(
                         "quiet",
                         Kind.DURATION,
                         "3s",
                         100,
-                        10 * MIN,
+                        10 * MINUTE_MS,
                         false,
                         "a relay that has heard no majority of the voters for so long uses its cut part only")
-                .item("delay", Kind.DURATION, "1s", 1, MIN, false, "longest time that a note is under way")
+                .item("delay", Kind.DURATION, "1s", 1, MINUTE_MS, false, "longest time that a note is under way")
                 .item("drift", Kind.SHARE, "1%", 0, 0.1, false, "clocks run faster or slower by so much at most")
                 .item(
                         "cut",
@@ -223,8 +238,8 @@
                         "contract_term",
                         Kind.DURATION,
                         "10s",
-                        1 * S,
-                        60 * MIN,
+                        1 * SECOND_MS,
+                        60 * MINUTE_MS,
                         false,
                         "a relay that could not confirm its contracts for so long keeps to the strictest it knows")
                 .item(
@@ -260,7 +275,14 @@
                         0.9,
                         false,
                         "part of a destination's limit that ordinary traffic leaves to bookings")
-                .item("skew", Kind.DURATION, "1s", 0, MIN, false, "wall clocks of relays are off by so much at most")
+                .item(
+                        "skew",
+                        Kind.DURATION,
+                        "1s",
+                        0,
+                        MINUTE_MS,
+                        false,
+                        "wall clocks of relays are off by so much at most")
                 .item(
                         "first",
                         Kind.FLAG,
@@ -271,48 +293,53 @@
                         "true at the very first start of the voters only: their ledger begins empty");
     }
 
-    /** Whether an environment sets any of it. */
-    public static boolean given(Map<String, String> env) {
-        return env.keySet().stream().anyMatch(k -> k.startsWith(PREFIX) || k.startsWith(FLAG));
+    /** Whether an environment sets any item or names a file. */
+    public static boolean anySet(Map<String, String> env) {
+        return env.keySet().stream().anyMatch(name -> name.startsWith(VARIABLE_PREFIX) || name.startsWith(FLAG));
     }
 
-    /** Reads all sources; every fault of all of them ends in one exception. */
+    /**
+     * Reads all sources.
+     *
+     * @throws ConfigException if the file cannot be read, or with the errors of all sources, a line each
+     */
     public static Values read(Map<String, String> env) {
-        if (!given(env)) {
+        if (!anySet(env)) {
             return Values.NONE;
         }
         Schema schema = schema();
         List<Read> sources = List.of(file(env.get(FILE), schema), variables(env, schema), flags(env, schema));
-        List<String> faults = sources.stream()
-                .flatMap(r -> r.faults().stream())
+        List<String> errors = sources.stream()
+                .flatMap(source -> source.faults().stream())
                 .map(Object::toString)
                 .toList();
-        if (!faults.isEmpty()) {
-            throw new ConfigException(faults);
+        if (!errors.isEmpty()) {
+            throw new ConfigException(errors);
         }
         Values all = Values.NONE;
-        for (Read r : sources) {
-            all = all.under(r.values());
+        for (Read source : sources) {
+            all = all.under(source.values());
         }
         return all;
     }
 
-    /** What changes with other values, a line each: from what to what, and whether a running relay takes it over. */
+    /** Describes the changed items, a line each, and says which of them take effect at the next start only. */
     static List<String> changes(Values before, Values after) {
         return schema().items().stream()
-                .filter(i -> !same(in(before, i), in(after, i)))
-                .map(i -> "settings: "
-                        + i.path() + " is " + i.write(in(after, i)) + ", was " + i.write(in(before, i))
-                        + (i.atReload() ? "" : "; waits for the next start"))
+                .filter(item -> !isEqual(valueOf(before, item), valueOf(after, item)))
+                .map(item -> "settings: "
+                        + item.path() + " is " + item.write(valueOf(after, item)) + ", was "
+                        + item.write(valueOf(before, item))
+                        + (item.atReload() ? "" : "; waits for the next start"))
                 .toList();
     }
 
-    private static Values.Value in(Values values, Item i) {
-        Values.Value set = values.value(i.path());
-        return set == null ? i.usually() : set;
+    private static Values.Value valueOf(Values values, Item item) {
+        Values.Value value = values.value(item.path());
+        return value == null ? item.usually() : value;
     }
 
-    private static boolean same(Values.Value a, Values.Value b) {
+    private static boolean isEqual(Values.Value a, Values.Value b) {
         return a.value() == b.value() && a.text().equals(b.text());
     }
 
@@ -329,13 +356,13 @@
 
     private static Read variables(Map<String, String> env, Schema schema) {
         Map<String, String> paths = new LinkedHashMap<>();
-        for (Item i : schema.items()) {
-            paths.put(Read.variable(PREFIX, i.path()), i.path());
+        for (Item item : schema.items()) {
+            paths.put(Read.variable(VARIABLE_PREFIX, item.path()), item.path());
         }
         Map<String, String> texts = new LinkedHashMap<>();
         Map<String, String> origins = new LinkedHashMap<>();
         env.forEach((name, text) -> {
-            if (name.startsWith(PREFIX) && !name.equals(FILE)) {
+            if (name.startsWith(VARIABLE_PREFIX) && !name.equals(FILE)) {
                 String path = paths.getOrDefault(name, name);
                 texts.put(path, text);
                 origins.put(path, "variable " + name);
--- a/src/test/java/firstair/relay/AfterTheEndTest.java
+++ b/src/test/java/firstair/relay/AfterTheEndTest.java
@@ -12,42 +12,45 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a process that was told to end has answered outlives it on the way. */
+/** An answer that the relay sent just before it exited must still reach its client. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class AfterTheEndTest {
     @TempDir
     private Path folder;
 
-    private static void send(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Its request ends behind the signal, more follows, and it reads only once the process is gone. */
+    /**
+     * The client completes its request after SIGTERM, sends further bytes, and reads only after the process has exited.
+     * If the relay closed its socket over unread bytes, the connection would be reset and the answer lost.
+     */
     @Test
-    void anAnswerIsReadAfterTheProcessHasEnded() throws Exception {
+    void anAnswerCanBeReadAfterTheProcessHasExited() throws Exception {
         String list = Platform.list(3, true, "a 7 127.0.0.1:1");
         try (Platform platform = new Platform(list);
-                Socket s = new Socket()) {
+                Socket client = new Socket()) {
             Node node = new Node(folder, platform.hostPort(), list);
             try {
                 node.start();
-                s.connect(node.address());
-                send(s, node.handInText("m", "safe", 9000, "dest=7", null, 1));
+                client.connect(node.address());
+                send(client, node.handInText("m", "safe", 9000, "dest=7", null, 1));
                 node.terminate();
                 node.line("draining");
-                boolean open = true;
-                while (open) {
+                boolean accepting = true;
+                while (accepting) {
                     try (Socket other = new Socket()) {
                         other.connect(node.address());
                     } catch (IOException e) {
-                        open = false; // nothing new is taken from now on
+                        accepting = false; // no new connections from now on
                     }
                 }
-                send(s, "x");
-                send(s, "and more");
+                send(client, "x");
+                send(client, "and more");
                 assertThat(node.ended(3700)).isTrue();
-                s.setSoTimeout(1000);
-                assertThat(new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII))
+                client.setSoTimeout(1000);
+                assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII))
                         .startsWith("HTTP/1.1 202 ")
                         .contains("Connection: close")
                         .containsOnlyOnce("HTTP/1.1");
--- a/src/test/java/firstair/relay/LineHandlerTest.java
+++ b/src/test/java/firstair/relay/AsyncLogHandlerTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class LineHandlerTest {
-    private static final Formatter PLAIN = new Formatter() {
+class AsyncLogHandlerTest {
+    private static final Formatter MESSAGE_ONLY = new Formatter() {
         @Override
         public String format(LogRecord record) {
             return record.getMessage() + "\n";
@@ -24,10 +24,10 @@
     };
 
     @Test
-    void whoLogsNeverWaitsAndWhatWasLostIsToldLater() {
-        CountDownLatch read = new CountDownLatch(1);
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
-        LineHandler handler = new LineHandler(
+    void loggingNeverBlocksAndDroppedLinesAreReported() {
+        CountDownLatch readable = new CountDownLatch(1);
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
+        AsyncLogHandler handler = new AsyncLogHandler(
                 new OutputStream() {
                     @Override
                     public void write(int b) throws IOException {
@@ -37,34 +37,34 @@
                     @Override
                     public void write(byte[] b, int offset, int length) throws IOException {
                         try {
-                            read.await();
+                            readable.await();
                         } catch (InterruptedException e) {
                             throw new IOException(e);
                         }
-                        synchronized (got) {
-                            got.write(b, offset, length);
+                        synchronized (written) {
+                            written.write(b, offset, length);
                         }
                     }
                 },
-                PLAIN,
+                MESSAGE_ONLY,
                 1000);
         for (int i = 0; i < 10_000; i++) {
             handler.publish(new LogRecord(Level.INFO, "line " + i));
         }
-        handler.drain(1); // nobody reads: this must not wait for it
-        read.countDown();
-        Await.until("the rest", () -> {
-            synchronized (got) {
-                return got.toString(StandardCharsets.UTF_8).contains("lost");
+        handler.drain(1); // the output is blocked, and this must not wait for it
+        readable.countDown();
+        Await.until("the report of dropped lines", () -> {
+            synchronized (written) {
+                return written.toString(StandardCharsets.UTF_8).contains("lost");
             }
         });
         handler.drain(10_000);
-        String[] lines = got.toString(StandardCharsets.UTF_8).split("\n");
+        String[] lines = written.toString(StandardCharsets.UTF_8).split("\n");
         assertThat(lines[0]).isEqualTo("line 0");
-        long told = 0;
-        for (String l : lines) {
-            told += l.contains(" lines of the log were lost") ? Long.parseLong(l.split(" ")[0]) : 1;
+        long counted = 0;
+        for (String line : lines) {
+            counted += line.contains(" lines of the log were lost") ? Long.parseLong(line.split(" ")[0]) : 1;
         }
-        assertThat(told).isEqualTo(10_000);
+        assertThat(counted).isEqualTo(10_000);
     }
 }
--- a/src/test/java/firstair/relay/CallBatchesTest.java
+++ b/src/test/java/firstair/relay/CallBatchesTest.java
@@ -12,7 +12,7 @@
 
     private final List<String> calls = new ArrayList<>();
     private final CallBatches batches = new CallBatches(
-            e -> e.equals("many") ? 3 : 1,
+            endpoint -> endpoint.equals("many") ? 3 : 1,
             MAX_BODY,
             (endpoint, items) ->
                     calls.add(endpoint + items.stream().map(Item::id).toList()));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aCallCarriesAsManyMessagesAsItsEndpointTakes() {
+    void aCallCarriesNoMoreMessagesThanItsEndpointAccepts() {
         for (int id = 1; id <= 4; id++) {
             add("many", id, 1);
             add("one", id, 1);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aCallIsNoLargerThanABodyButForASingleMessage() {
+    void onlyACallWithASingleMessageExceedsTheBodyLimit() {
         add("many", 1, MAX_BODY / 2);
         add("many", 2, MAX_BODY / 2);
         add("many", 3, 2 * MAX_BODY);
--- a/src/test/java/firstair/relay/ConfigTest.java
+++ b/src/test/java/firstair/relay/ConfigTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Deployments differ in all that they tell: each field is read, and what is not told imposes nothing. */
+/** Deployments specify different fields: each one is read, and a missing one imposes no limit. */
 class ConfigTest {
     private static final String CLASS = "{'name':'a'}";
 
@@ -37,8 +37,8 @@
     }
 
     @Test
-    void everyFieldOfASiteIsRead() {
-        Config c = config(
+    void everyFieldIsRead() {
+        Config config = config(
                 ",'limits':{'cores':0.5,'memory_mb':96,'sockets':300,'disk_mb':2}",
                 """
                 {'groupSize':7,'slotNo':3,'az':1,'azs':['ward','lab, old','annexe'],'discovery':'ask','quantum':8.0,
@@ -55,78 +55,78 @@
                 'probes':false,'peers':false,'multiplex':8,'cpuUsPerS':250000,'cpuUsPerRequest':0.0},
                 'safety':{'answerSlack':20.0,'askEvery':9000.0,'drainGrace':400.0,'fallMultiple':3.0,
                 'overloadFor':2500.0,'startCapacity':0.2,'warmAfter':8000.0,'settleAfterDoubt':30.0}}""");
-        Settings s = c.settings();
-        assertThat(s.group()).isEqualTo(7);
-        assertThat(s.index()).isEqualTo(3);
-        assertThat(s.zone()).isEqualTo(1);
-        assertThat(s.askForList()).isTrue();
-        assertThat(s.weight()).isEqualTo(Weight.ESTIMATED);
-        assertThat(s.limitsTold()).isTrue();
-        assertThat(s.late()).isEqualTo(LateCurve.HALVING);
-        assertThat(s.classes())
+        Settings settings = config.settings();
+        assertThat(settings.group()).isEqualTo(7);
+        assertThat(settings.index()).isEqualTo(3);
+        assertThat(settings.zone()).isEqualTo(1);
+        assertThat(settings.askForList()).isTrue();
+        assertThat(settings.weight()).isEqualTo(Weight.ESTIMATED);
+        assertThat(settings.limitsTold()).isTrue();
+        assertThat(settings.late()).isEqualTo(LateCurve.HALVING);
+        assertThat(settings.classes())
                 .containsExactly(
                         new MessageClass("alert", Effect.SAFE, Scope.ALL, false, false, 600, 1.5, 3000, 3000, 4, 0.1),
                         new MessageClass("result", Effect.KEYED, Scope.ZONE, false, false, 1500, 0, 6000, 1000, 1, 0.6),
                         new MessageClass("bill", Effect.UNSAFE, Scope.ALL, true, false, 10, 0, 20, 0, 1, 0));
-        assertThat(s.kinds()).containsExactly(new Kind(false, 8), new Kind(true, 1));
-        assertThat(s.limits())
+        assertThat(settings.kinds()).containsExactly(new Kind(false, 8), new Kind(true, 1));
+        assertThat(settings.limits())
                 .isEqualTo(new firstair.control.Controller.Limits(
                         5, 31, 4, true, false, false, true, 1500, true, 8, 1200, 6000));
-        assertThat(s.rules()).isEqualTo(new Rules(20, 9000, 400, 0.2, 8000, 3, 2500, 30));
-        assertThat(c.kinds()).containsExactly("practice", "insurer");
-        assertThat(c.zones().number("lab, old")).isEqualTo(1); // as the list names it, and our own number
-        assertThat(c.zones().number("annexe")).isEqualTo(2);
-        assertThat(c.limits().sockets()).isEqualTo(300);
-        assertThat(c.limits().diskBytes()).isEqualTo(2_000_000);
-        assertThat(c.limits().roundMs()).isEqualTo(8);
-        assertThat(c.limits().connectMs()).isEqualTo(1200);
-        assertThat(c.limits().idleMs()).isEqualTo(5800);
+        assertThat(settings.rules()).isEqualTo(new Rules(20, 9000, 400, 0.2, 8000, 3, 2500, 30));
+        assertThat(config.kinds()).containsExactly("practice", "insurer");
+        assertThat(config.zones().number("lab, old")).isEqualTo(1); // by the name on the list
+        assertThat(config.zones().number("annexe")).isEqualTo(2);
+        assertThat(config.limits().sockets()).isEqualTo(300);
+        assertThat(config.limits().diskBytes()).isEqualTo(2_000_000);
+        assertThat(config.limits().roundMs()).isEqualTo(8);
+        assertThat(config.limits().connectMs()).isEqualTo(1200);
+        assertThat(config.limits().idleMs()).isEqualTo(5800);
     }
 
     @Test
-    void whatIsNotToldImposesNothing() {
-        Settings s = read("{'classes':[" + CLASS + "],'loadReport':{'how':'none','names':[]},'accounts':[],"
+    void missingFieldsImposeNoLimit() {
+        Settings settings = read("{'classes':[" + CLASS + "],'loadReport':{'how':'none','names':[]},'accounts':[],"
                 + "'limits':{'maxOpen':null,'maxAttempts':null},'safety':null,'shapes':[],'azs':null}");
-        assertThat(s.group()).isEqualTo(1);
-        assertThat(s.askForList()).isFalse();
-        assertThat(s.weight()).isEqualTo(Weight.NONE);
-        assertThat(s.limitsTold()).isFalse();
-        assertThat(s.classes().get(0).effect()).isEqualTo(Effect.SAFE);
-        assertThat(s.limits().slots()).isZero();
-        assertThat(s.limits().maxOpen()).isZero();
-        assertThat(s.limits().maxAttempts()).isZero();
-        assertThat(s.limits().retryAfter()).isFalse();
-        assertThat(s.rules()).isEqualTo(new Rules(0, 0, 0, 0, 0, 0, 0, 0));
+        assertThat(settings.group()).isEqualTo(1);
+        assertThat(settings.askForList()).isFalse();
+        assertThat(settings.weight()).isEqualTo(Weight.NONE);
+        assertThat(settings.limitsTold()).isFalse();
+        assertThat(settings.classes().get(0).effect()).isEqualTo(Effect.SAFE);
+        assertThat(settings.limits().slots()).isZero();
+        assertThat(settings.limits().maxOpen()).isZero();
+        assertThat(settings.limits().maxAttempts()).isZero();
+        assertThat(settings.limits().retryAfter()).isFalse();
+        assertThat(settings.rules()).isEqualTo(new Rules(0, 0, 0, 0, 0, 0, 0, 0));
     }
 
-    /** To JSON 20, 20.0 and 2e1 are one number; which of them a deployment's tools write is up to them. */
+    /** 20, 20.0 and 2e1 are the same number in JSON, and a deployment's tools may write any of them. */
     @ParameterizedTest
     @ValueSource(strings = {"20", "20.0", "2e1", "'20'"})
-    void aWholeNumberMayBeWrittenInAnyForm(String twenty) {
-        Config c = config(
+    void anIntegerMayBeWrittenInAnyForm(String twenty) {
+        Config config = config(
                 ",'limits':{'sockets':" + twenty + ",'disk_mb':" + twenty + "}",
                 "{'groupSize':" + twenty
                         + ",'classes':[" + CLASS + "],'limits':{'maxOpen':" + twenty + "},'familyInfo':{'maxCalls':"
                         + twenty
                         + ",'bundleMax':[" + twenty + ",1]},'quantum':" + twenty + "}");
-        assertThat(c.settings().group()).isEqualTo(20);
-        assertThat(c.settings().limits().maxOpen()).isEqualTo(20);
-        assertThat(c.settings().limits().slots()).isEqualTo(20);
-        assertThat(c.settings().kinds()).containsExactly(new Kind(false, 20), new Kind(false, 1));
-        assertThat(c.limits().sockets()).isEqualTo(20);
-        assertThat(c.limits().diskBytes()).isEqualTo(20_000_000);
-        assertThat(c.limits().roundMs()).isEqualTo(20);
+        assertThat(config.settings().group()).isEqualTo(20);
+        assertThat(config.settings().limits().maxOpen()).isEqualTo(20);
+        assertThat(config.settings().limits().slots()).isEqualTo(20);
+        assertThat(config.settings().kinds()).containsExactly(new Kind(false, 20), new Kind(false, 1));
+        assertThat(config.limits().sockets()).isEqualTo(20);
+        assertThat(config.limits().diskBytes()).isEqualTo(20_000_000);
+        assertThat(config.limits().roundMs()).isEqualTo(20);
     }
 
-    /** Cut to 32 bits it would be a limit of one, or of fewer than none. */
+    /** Truncated to 32 bits, the value would become a limit of 1. */
     @Test
-    void aCountBeyondAllCountingStaysLarge() {
-        Settings s = read("{'classes':[" + CLASS + "],'limits':{'maxAttempts':4294967297,'maxOpen':4294967297},"
+    void aCountAboveTheIntRangeIsClamped() {
+        Settings settings = read("{'classes':[" + CLASS + "],'limits':{'maxAttempts':4294967297,'maxOpen':4294967297},"
                 + "'familyInfo':{'bundleMax':[4294967297],'maxCalls':4294967297}}");
-        assertThat(s.limits().maxAttempts()).isEqualTo(Integer.MAX_VALUE);
-        assertThat(s.limits().maxOpen()).isEqualTo(Integer.MAX_VALUE);
-        assertThat(s.limits().slots()).isEqualTo(Integer.MAX_VALUE);
-        assertThat(s.kinds()).containsExactly(new Kind(false, Integer.MAX_VALUE));
+        assertThat(settings.limits().maxAttempts()).isEqualTo(Integer.MAX_VALUE);
+        assertThat(settings.limits().maxOpen()).isEqualTo(Integer.MAX_VALUE);
+        assertThat(settings.limits().slots()).isEqualTo(Integer.MAX_VALUE);
+        assertThat(settings.kinds()).containsExactly(new Kind(false, Integer.MAX_VALUE));
     }
 
     @ParameterizedTest
@@ -148,7 +148,7 @@
                 "classes.1.importance | 'importance':-1",
                 "classes.1.lateValue | 'lateValue':Infinity",
             })
-    void aClassThatNobodyCanServeIsRefusedByItsField(String field, String type) {
+    void anInvalidClassIsRejectedByItsField(String field, String type) {
         assertThatThrownBy(() -> withClass("{" + (type.contains("'name'") ? "" : "'name':'b',") + type + "}"))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageStartingWith("config: field settings." + field + ": ")
@@ -168,17 +168,17 @@
         "limits.retryAfter,maybe",
         "loadReport.how,sometimes"
     })
-    void aFigureThatNothingCanHaveIsRefusedByItsField(String field, String value) {
+    void anInvalidValueIsRejectedByItsField(String field, String value) {
         String[] path = field.split("\\.");
         String text = "'" + value + "'";
-        String told =
+        String fields =
                 path.length == 1 ? "'" + field + "':" + text : "'" + path[0] + "':{'" + path[1] + "':" + text + "}";
-        assertThatThrownBy(() -> read("{'classes':[" + CLASS + "]," + told + "}"))
+        assertThatThrownBy(() -> read("{'classes':[" + CLASS + "]," + fields + "}"))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageStartingWith("config: field settings." + field + ": ");
     }
 
-    /** A relay that does not start serves nobody: what can be served is, however little sense it makes. */
+    /** A relay that does not start delivers nothing, so even unreasonable settings are accepted if usable. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -197,7 +197,7 @@
                 "'familyInfo':{'late':'steps'}",
                 "'accounts':'','azs':'','shapes':''"
             })
-    void whatCanBeServedIsServed(String rest) {
+    void usableSettingsAreAccepted(String rest) {
         assertThat(read("{'classes':[" + CLASS + "]," + rest + "}").classes()).hasSize(1);
     }
 
@@ -210,12 +210,12 @@
                 "'aim':500,'deadline':100",
                 "'importance':0"
             })
-    void aClassThatCanBeServedIsServed(String type) {
+    void aUsableClassIsAccepted(String type) {
         assertThat(withClass("{'name':'b'," + type + "}").classes()).hasSize(2);
     }
 
     @Test
-    void aListThatCannotBeReadIsOneShortLine() {
+    void anInvalidListIsReportedInOneShortLine() {
         assertThatThrownBy(() -> config(
                         ",'known':{'version':1,'servers':{'x':'" + "y".repeat(50_000) + "'}}",
                         "{'classes':[" + CLASS + "]}"))
--- a/src/test/java/firstair/relay/EndTest.java
+++ b/src/test/java/firstair/relay/EndTest.java
@@ -22,39 +22,39 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The last moments of a relay that was told to end: who has sent a whole request hears of it, and it is kept. */
+/** The last rounds of a drain: each request that arrives complete is answered, and its message is stored. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class EndTest {
-    private static final Map<String, String> SHORT =
+    private static final Map<String, String> SHORT_DRAIN =
             Map.of("drain.accept", "100ms", "drain.calls", "200ms", "drain.end", "400ms");
 
     @TempDir
     private Path folder;
 
-    private final Semaphore reached = new Semaphore(0);
+    private final Semaphore blocked = new Semaphore(0);
     private final Semaphore released = new Semaphore(0);
 
-    /** Decides as usual, but takes long over a message to one destination. */
-    private Controller slow(Controller.Settings s, long seed, Controller.Actions actions) {
-        Controller real = new Control(s, seed, actions);
+    /** A controller that blocks on messages to destination 8 until the test releases it. */
+    private Controller blockingController(Controller.Settings settings, long seed, Controller.Actions actions) {
+        Controller real = new Control(settings, seed, actions);
         return (Controller) Proxy.newProxyInstance(
                 Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (self, method, args) -> {
                     if (method.getName().equals("accepted") && ((Controller.Message) args[1]).destination() == 8) {
-                        reached.release();
+                        blocked.release();
                         released.acquire();
                     }
                     return method.invoke(real, args);
                 });
     }
 
-    private static String answer(Socket s) throws IOException {
-        s.setSoTimeout(10_000);
-        InputStream in = s.getInputStream();
+    private static String answer(Socket client) throws IOException {
+        client.setSoTimeout(10_000);
+        InputStream in = client.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
             if (b < 0) {
-                break; // ended without an answer
+                break; // closed without an answer
             }
             head.append((char) b);
         }
@@ -62,11 +62,11 @@
     }
 
     /**
-     * Its time to end comes while one round takes long. The next round is the one that ends it, and behind that a
-     * request is read that nobody would look at.
+     * The time for the drain ends during a long round. The next round would end the loop, and a request that is read
+     * after it would not be handled.
      */
     @Test
-    void aRequestThatIsReadBehindTheLastRoundIsTakenAndKept() throws Exception {
+    void aRequestThatIsReadAfterTheLastRoundIsAcceptedAndStored() throws Exception {
         String list = Platform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1");
         try (Platform platform = new Platform(list);
                 Socket first = new Socket();
@@ -80,11 +80,11 @@
                                     "ROUTER_STATE",
                                     node.state().toString()))
                             .with(Read.texts(
-                                            SHORT,
+                                            SHORT_DRAIN,
                                             Map.of("drain.accept", "test", "drain.calls", "test", "drain.end", "test"),
                                             TunableSettings.schema())
                                     .values()),
-                    this::slow);
+                    this::blockingController);
             Thread serving = new Thread(() -> {
                 try {
                     relay.run();
@@ -94,32 +94,33 @@
             });
             serving.start();
             Await.until("ready", relay::ready);
-            Socket[] all = {first, second, third};
-            for (int i = 0; i < all.length; i++) { // each has begun a request, so that none is idle
-                all[i].connect(relay.address());
-                all[i].getOutputStream()
+            Socket[] clients = {first, second, third};
+            for (int i = 0; i < clients.length; i++) { // each starts a request, so that none is idle
+                clients[i].connect(relay.address());
+                clients[i]
+                        .getOutputStream()
                         .write(node.handInText("m" + i, "safe", 9000, i < 2 ? "dest=8" : "dest=7", null, 1)
                                 .getBytes(StandardCharsets.US_ASCII));
             }
-            long told = System.nanoTime();
+            long stoppedAt = System.nanoTime();
             Thread stopping = new Thread(relay::stop);
             stopping.start();
-            Await.until("nothing new", () -> !relay.ready());
+            Await.until("no new connections", () -> !relay.ready());
             first.getOutputStream().write('x');
-            reached.acquire();
+            blocked.acquire();
             second.getOutputStream().write('x');
-            Await.until("its time is over", () -> System.nanoTime() - told > 800_000_000L);
+            Await.until("the end of the drain", () -> System.nanoTime() - stoppedAt > 800_000_000L);
             released.release();
-            reached.acquire();
+            blocked.acquire();
             third.getOutputStream().write('x');
             released.release();
-            for (Socket s : all) {
-                assertThat(answer(s)).contains(" 202 ");
+            for (Socket client : clients) {
+                assertThat(answer(client)).contains(" 202 ");
             }
             stopping.join();
             serving.join();
             assertThat(Store.open(node.state(), 1_000_000, BootClock.SYSTEM).open().stream()
-                            .map(o -> o.taken().requestId()))
+                            .map(open -> open.taken().requestId()))
                     .containsExactly("m0", "m1", "m2");
         } finally {
             released.release(2);
--- a/src/test/java/firstair/relay/FaultsTest.java
+++ b/src/test/java/firstair/relay/FaultsTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is promised holds although something below the relay's parts, or one of them, fails as it never should. */
+/** The relay keeps its guarantees if a connection, or one of its own parts, fails in an unexpected way. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FaultsTest {
     private static final String LIST = Platform.list(3, true, "a 7 127.0.0.1:1");
@@ -57,24 +57,24 @@
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T t = queue.poll(10, TimeUnit.SECONDS);
-        assertThat(t).isNotNull();
-        return t;
+        T element = queue.poll(10, TimeUnit.SECONDS);
+        assertThat(element).isNotNull();
+        return element;
     }
 
     @ParameterizedTest
     @EnumSource(FaultyDialer.Fault.class)
-    void noticesGoOnAndMove(FaultyDialer.Fault fault) throws Exception {
+    void noticesAreRetriedAndFollowANewAddress(FaultyDialer.Fault fault) throws Exception {
         BlockingQueue<Long> confirmed = new LinkedBlockingQueue<>();
         try (StandIn platform = new StandIn(r -> r.answer(204));
                 StandIn later = new StandIn(r -> r.answer(204))) {
-            Notices[] made = new Notices[1];
+            Notices[] notices = new Notices[1];
             loop = LoopThread.start(() -> {
-                if (made[0] != null) {
-                    made[0].flush();
+                if (notices[0] != null) {
+                    notices[0].flush();
                 }
             });
-            made[0] = new Notices(
+            notices[0] = new Notices(
                     new FaultyDialer(wire, fault, 2),
                     limits,
                     loop,
@@ -82,10 +82,10 @@
                     new Random(1),
                     confirmed::add,
                     () -> {});
-            loop.post(() -> made[0].add(1, "r1", new OwedNotice(false, 0), loop.now() + 300));
+            loop.post(() -> notices[0].add(1, "r1", new OwedNotice(false, 0), loop.now() + 300));
             assertThat(next(confirmed)).isEqualTo(1);
-            loop.post(() -> made[0].move(later.address()));
-            loop.post(() -> made[0].add(2, "r2", new OwedNotice(false, 0), loop.now() + 300));
+            loop.post(() -> notices[0].move(later.address()));
+            loop.post(() -> notices[0].add(2, "r2", new OwedNotice(false, 0), loop.now() + 300));
             assertThat(next(confirmed)).isEqualTo(2);
             assertThat(later.accepted()).isPositive();
         }
@@ -95,11 +95,11 @@
     @EnumSource(
             value = FaultyDialer.Fault.class,
             names = {"FAILS_AT_ONCE", "NEVER_CALLS_BACK"})
-    void aWatchThatFailsBelowIsNewsAndIsAskedAgain(FaultyDialer.Fault fault) throws Exception {
-        BlockingQueue<ListUpdate> news = new LinkedBlockingQueue<>();
+    void aWatchWhoseDialerFailsIsReportedAndCanBeRetried(FaultyDialer.Fault fault) throws Exception {
+        BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
         try (Platform platform = new Platform(LIST)) {
-            EndpointListWatch w = new EndpointListWatch(
+            EndpointListWatch watch = new EndpointListWatch(
                     new FaultyDialer(wire, fault, 1),
                     limits,
                     loop,
@@ -107,22 +107,22 @@
                     List.of("one"),
                     new Zones(List.of("z")),
                     1,
-                    (n, listed) -> news.add(n));
-            loop.post(w::listen);
-            boolean waited = fault == FaultyDialer.Fault.NEVER_CALLS_BACK;
-            assertThat(next(news)).isEqualTo(waited ? ListUpdate.OVERDUE : ListUpdate.FAILED);
-            loop.post(w::listen);
-            assertThat(next(news)).isEqualTo(ListUpdate.COMPLETE);
+                    (update, list) -> updates.add(update));
+            loop.post(watch::listen);
+            boolean timesOut = fault == FaultyDialer.Fault.NEVER_CALLS_BACK;
+            assertThat(next(updates)).isEqualTo(timesOut ? ListUpdate.OVERDUE : ListUpdate.FAILED);
+            loop.post(watch::listen);
+            assertThat(next(updates)).isEqualTo(ListUpdate.COMPLETE);
         }
     }
 
     @Test
-    void aWatchThatThrowsBelowIsNewsOnceItsTimeIsUpAndMovesOn() throws Exception {
-        BlockingQueue<ListUpdate> news = new LinkedBlockingQueue<>();
+    void aWatchWhoseDialerThrowsFollowsANewAddress() throws Exception {
+        BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
         try (Platform platform = new Platform(LIST);
                 Platform later = new Platform(LIST)) {
-            EndpointListWatch w = new EndpointListWatch(
+            EndpointListWatch watch = new EndpointListWatch(
                     new FaultyDialer(wire, FaultyDialer.Fault.THROWS, 1),
                     limits,
                     loop,
@@ -130,33 +130,34 @@
                     List.of("one"),
                     new Zones(List.of("z")),
                     1,
-                    (n, listed) -> news.add(n));
-            loop.post(w::listen);
-            loop.post(() -> w.setAddress(later.address()));
-            assertThat(next(news)).isEqualTo(ListUpdate.COMPLETE);
+                    (update, list) -> updates.add(update));
+            loop.post(watch::listen);
+            loop.post(() -> watch.setAddress(later.address()));
+            assertThat(next(updates)).isEqualTo(ListUpdate.COMPLETE);
             assertThat(later.watched()).isTrue();
         }
     }
 
     @ParameterizedTest
     @EnumSource(FaultyDialer.Fault.class)
-    void aCallThatFailsBelowEndsAndNeverRan(FaultyDialer.Fault fault) throws Exception {
+    void aCallWhoseDialerFailsEndsAsNotRun(FaultyDialer.Fault fault) throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
-        Endpoints e = new Endpoints(new FaultyDialer(wire, fault, 1), limits, loop, outcomes::add);
-        e.updateAddresses(Map.of("a", wireAddress()));
-        loop.post(() -> e.call("a", List.of(new Item(1, 0, "r1", null, new byte[0], 200, loop.now() + 5000, false))));
+        Endpoints endpoints = new Endpoints(new FaultyDialer(wire, fault, 1), limits, loop, outcomes::add);
+        endpoints.updateAddresses(Map.of("a", unusedAddress()));
+        loop.post(() ->
+                endpoints.call("a", List.of(new Item(1, 0, "r1", null, new byte[0], 200, loop.now() + 5000, false))));
         assertThat(next(outcomes).result()).isEqualTo(Result.CONNECT_FAILED);
-        loop.post(() -> assertThat(e.callsInProgress()).isZero());
+        loop.post(() -> assertThat(endpoints.callsInProgress()).isZero());
     }
 
-    private static java.net.InetSocketAddress wireAddress() {
+    private static java.net.InetSocketAddress unusedAddress() {
         return new java.net.InetSocketAddress("127.0.0.1", 1);
     }
 
-    /** Decides as usual, but forgets every message and throws at one destination. */
-    private static Controller forgetful(Controller.Settings s, long seed, Controller.Actions actions) {
-        Controller real = new Control(s, seed, actions);
+    /** A controller that loses every message, and throws at messages to destination 8. */
+    private static Controller faultyController(Controller.Settings settings, long seed, Controller.Actions actions) {
+        Controller real = new Control(settings, seed, actions);
         return (Controller) java.lang.reflect.Proxy.newProxyInstance(
                 Controller.class.getClassLoader(), new Class<?>[] {Controller.class}, (self, method, args) -> {
                     if (method.getName().equals("accepted")) {
@@ -180,7 +181,7 @@
                             node.write().toString(),
                             "ROUTER_STATE",
                             node.state().toString())),
-                    FaultsTest::forgetful);
+                    FaultsTest::faultyController);
             Thread serving = new Thread(() -> {
                 try {
                     relay.run();
--- a/src/test/java/firstair/relay/HeldMessagesTest.java
+++ b/src/test/java/firstair/relay/HeldMessagesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Killed at any step of a call: what is noted may have run, and what is not surely has not. */
+/** After a kill at any step of a call, a recorded attempt may have run, and an attempt without a record has not. */
 class HeldMessagesTest {
     @TempDir
     private Path folder;
@@ -27,22 +27,22 @@
     @TempDir
     private Path copies;
 
-    private HeldMessages kept;
+    private HeldMessages messages;
     private Store store;
 
     @BeforeEach
     void start() throws IOException {
         store = Store.open(folder, 1_000_000, BootClock.SYSTEM);
-        kept = new HeldMessages(store);
+        messages = new HeldMessages(store);
         store.taken(new StoredMessage(1, "r1", "unsafe", 7, null, 99_000, false, false, new byte[3], null, null));
     }
 
-    /** The tries that a process finds which is started after a kill now. */
-    private List<StoredAttempt> found() throws IOException {
+    /** The attempts that the next process would read if this one were killed now. */
+    private List<StoredAttempt> readAfterKill() throws IOException {
         Path copy = Files.createTempDirectory(copies, "state");
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f : files.toList()) {
-                Files.copy(f, copy.resolve(f.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+            for (Path file : files.toList()) {
+                Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
         }
         return Store.open(copy, 1_000_000, BootClock.SYSTEM)
@@ -52,50 +52,52 @@
                 .tries();
     }
 
-    private void ends(int attempt, Result how) {
-        kept.ended(new Outcome(1, attempt, "e", how, 5, false, 0, Load.NONE), 50);
+    private void end(int attempt, Result result) {
+        messages.attemptEnded(new Outcome(1, attempt, "e", result, 5, false, 0, Load.NONE), 50);
     }
 
     @Test
     void atEachStepOfACallThatIsWritten() throws IOException {
-        kept.flush();
-        assertThat(found()).as("it dials").isEmpty();
-        kept.called(1, kept.tries(1), "e", 40);
-        kept.flush();
-        assertThat(found()).as("about to be written").containsExactly(new StoredAttempt("e", 40, true));
-        ends(0, Result.FULL);
-        kept.flush();
-        assertThat(found()).as("refused").containsExactly(new StoredAttempt("e", 40, false));
-        assertThat(kept.tries(1)).isEqualTo(1);
+        messages.flush();
+        assertThat(readAfterKill()).as("connecting").isEmpty();
+        messages.recordCall(1, messages.recordedAttempts(1), "e", 40);
+        messages.flush();
+        assertThat(readAfterKill()).as("about to be written").containsExactly(new StoredAttempt("e", 40, true));
+        end(0, Result.FULL);
+        messages.flush();
+        assertThat(readAfterKill()).as("refused").containsExactly(new StoredAttempt("e", 40, false));
+        assertThat(messages.recordedAttempts(1)).isEqualTo(1);
     }
 
     @Test
-    void aCallThatNeverGotAConnectionCountsOnceItHasEnded() throws IOException {
-        ends(0, Result.CONNECT_FAILED);
-        kept.flush();
-        assertThat(found()).containsExactly(new StoredAttempt("e", 50, false));
-        assertThat(kept.tries(1)).as("number of the next").isEqualTo(1);
+    void aCallWithoutAConnectionIsRecordedWhenItEnds() throws IOException {
+        end(0, Result.CONNECT_FAILED);
+        messages.flush();
+        assertThat(readAfterKill()).containsExactly(new StoredAttempt("e", 50, false));
+        assertThat(messages.recordedAttempts(1))
+                .as("number of the next attempt")
+                .isEqualTo(1);
     }
 
     @Test
-    void aCallWhoseConnectionWasDeadHasNotRunUntilItIsWrittenOnAnother() throws IOException {
-        kept.called(1, 0, "e", 40);
-        kept.unwritten(1, 0);
-        kept.flush();
-        assertThat(found()).as("it dials").containsExactly(new StoredAttempt("e", 40, false));
-        kept.called(1, 0, "e", 45);
-        kept.flush();
-        assertThat(found()).as("about to be written").containsExactly(new StoredAttempt("e", 40, true));
-        ends(0, Result.RESET);
-        assertThat(kept.tries(1)).isEqualTo(1);
+    void aCallOnAStaleConnectionHasNotRunUntilItIsWrittenOnAnother() throws IOException {
+        messages.recordCall(1, 0, "e", 40);
+        messages.callNotWritten(1, 0);
+        messages.flush();
+        assertThat(readAfterKill()).as("connecting").containsExactly(new StoredAttempt("e", 40, false));
+        messages.recordCall(1, 0, "e", 45);
+        messages.flush();
+        assertThat(readAfterKill()).as("about to be written").containsExactly(new StoredAttempt("e", 40, true));
+        end(0, Result.RESET);
+        assertThat(messages.recordedAttempts(1)).isEqualTo(1);
     }
 
     @Test
-    void whatIsToldOfAMessageThatIsOverIsPassedOver() throws IOException {
-        kept.over(1);
-        ends(0, Result.CONNECT_FAILED);
-        kept.unwritten(1, 0);
-        kept.flush();
-        assertThat(kept.tries(1)).isEqualTo(-1);
+    void eventsOfACompletedMessageAreIgnored() throws IOException {
+        messages.complete(1);
+        end(0, Result.CONNECT_FAILED);
+        messages.callNotWritten(1, 0);
+        messages.flush();
+        assertThat(messages.recordedAttempts(1)).isEqualTo(-1);
     }
 }
--- a/src/test/java/firstair/relay/LimitsTest.java
+++ b/src/test/java/firstair/relay/LimitsTest.java
@@ -12,75 +12,79 @@
     private static final long HEAP = 80_000_000;
 
     @Test
-    void connectionsOfBothSidesAndOtherFilesStayWithinTheDescriptors() {
+    void connectionsAndOtherFilesStayWithinTheDescriptors() {
         for (int sockets : new int[] {96, 128, 1024, 4096}) {
-            Limits l = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000);
-            assertThat(l.maxLinks()).as("with %s", sockets).isGreaterThan(30); // or every call opens one
-            assertThat(l.maxClients() + l.maxLinks()).isLessThanOrEqualTo(sockets - 20);
+            Limits limits = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000);
+            // With fewer connections, every call would have to open one.
+            assertThat(limits.maxLinks()).as("with %s", sockets).isGreaterThan(30);
+            assertThat(limits.maxClients() + limits.maxLinks()).isLessThanOrEqualTo(sockets - 20);
         }
     }
 
     /**
-     * A relay of a fleet has connections from and to the other relays as well, by {@link PeerTransport}. Found by
-     * reading:
-     * they were outside the descriptors that are shared out.
+     * In a fleet, {@link PeerTransport} also has connections from and to the other relays. They were not counted
+     * against the descriptors at first.
      */
     @Test
-    void connectionsOfOtherRelaysStayWithinTheDescriptorsToo() {
-        for (int[] shape : new int[][] {{128, 5}, {1024, 32}, {4096, 100}}) {
-            int sockets = shape[0];
-            int members = shape[1];
-            Values own = Read.texts(
+    void connectionsOfOtherRelaysStayWithinTheDescriptors() {
+        for (int[] fleet : new int[][] {{128, 5}, {1024, 32}, {4096, 100}}) {
+            int sockets = fleet[0];
+            int members = fleet[1];
+            Values localSettings = Read.texts(
                             Map.of("fleet.name", "f", "fleet.peers", "r=127.0.0.1:7000" + ",r".repeat(members - 1)),
                             Map.of("fleet.name", "test", "fleet.peers", "test"),
                             TunableSettings.schema())
                     .values();
-            Limits l = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000).tuned(own);
+            Limits limits = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000).tuned(localSettings);
             int peers = PeerTransport.Bounds.of(members).connections() + members;
-            assertThat(l.maxClients() + l.maxLinks() + peers)
+            assertThat(limits.maxClients() + limits.maxLinks() + peers)
                     .as("%s members, %s descriptors", members, sockets)
                     .isLessThanOrEqualTo(sockets - 20);
-            assertThat(l.maxClients()).isPositive();
+            assertThat(limits.maxClients()).isPositive();
         }
     }
 
     @Test
-    void asManyMayWaitToBeAcceptedAsMayBeOpen() {
+    void theBacklogHoldsAsManyConnectionsAsMayBeOpen() {
         for (int sockets : new int[] {96, 1024, 4096}) {
-            Limits l = Limits.of(sockets, 3, 1_000_000_000, 5, 1000, 10_000);
-            assertThat(l.backlog()).as("with %s", sockets).isGreaterThanOrEqualTo(Math.max(512, l.maxClients()));
+            Limits limits = Limits.of(sockets, 3, 1_000_000_000, 5, 1000, 10_000);
+            assertThat(limits.backlog())
+                    .as("with %s", sockets)
+                    .isGreaterThanOrEqualTo(Math.max(512, limits.maxClients()));
         }
     }
 
     @Test
-    void connectionsAreClosedBeforeTheEndpointWouldHoweverShortThatIs() {
+    void idleConnectionsAreClosedBeforeTheEndpointClosesThem() {
         for (double idle : new double[] {100, 300, 10_000}) {
-            Limits l = Limits.of(0, 0, HEAP, 0, 0, idle);
-            assertThat(l.idleMs() + l.sweepMs()).as("idle for %s", idle).isLessThanOrEqualTo(Math.max(idle, 200));
-            assertThat(l.idleMs()).isPositive();
+            Limits limits = Limits.of(0, 0, HEAP, 0, 0, idle);
+            assertThat(limits.idleMs() + limits.sweepMs())
+                    .as("idle for %s", idle)
+                    .isLessThanOrEqualTo(Math.max(idle, 200));
+            assertThat(limits.idleMs()).isPositive();
         }
     }
 
     @Test
-    void whatIsNotToldHasAUsualFigure() {
-        Limits l = Limits.of(0, 0, HEAP, 0, 0, 0);
-        assertThat(l.sockets()).isPositive();
-        assertThat(l.diskBytes()).isPositive();
-        assertThat(l.connectMs()).isPositive();
-        assertThat(l.idleMs()).isPositive();
-        assertThat(l.roundMs()).isZero();
+    void unspecifiedValuesHaveDefaults() {
+        Limits limits = Limits.of(0, 0, HEAP, 0, 0, 0);
+        assertThat(limits.sockets()).isPositive();
+        assertThat(limits.diskBytes()).isPositive();
+        assertThat(limits.connectMs()).isPositive();
+        assertThat(limits.idleMs()).isPositive();
+        assertThat(limits.roundMs()).isZero();
     }
 
     @Test
-    void anEndTakesLessThanTheTimeUntilTheKill() {
-        Limits l = Limits.of(0, 0, HEAP, 0, 0, 0);
-        assertThat(l.drainAcceptMs()).isGreaterThan(400);
-        assertThat(l.drainMs()).isLessThan(3700 - 500);
+    void aDrainEndsBeforeTheKill() {
+        Limits limits = Limits.of(0, 0, HEAP, 0, 0, 0);
+        assertThat(limits.drainAcceptMs()).isGreaterThan(400);
+        assertThat(limits.drainMs()).isLessThan(3700 - 500);
     }
 
-    /** Read, an object of the list takes some fifteen times its length, and clients may take half of the heap. */
+    /** A parsed object of the list takes some fifteen times its length, and clients may use half of the heap. */
     @Test
-    void anObjectOfTheListLeavesRoomInTheHeap() {
+    void anObjectOfTheListFitsIntoTheHeap() {
         for (long heap : new long[] {24_000_000, HEAP, 1_000_000_000}) {
             assertThat(Limits.of(0, 0, heap, 0, 0, 0).listLine() * 16L)
                     .as("with %s", heap)
--- a/src/test/java/firstair/relay/RateLimitedLoggerTest.java
+++ b/src/test/java/firstair/relay/RateLimitedLoggerTest.java
@@ -11,7 +11,7 @@
 class RateLimitedLoggerTest {
     private final LogLines lines = new LogLines(RateLimitedLoggerTest.class);
     private double now = 1000;
-    private final RateLimitedLogger seldom =
+    private final RateLimitedLogger logger =
             new RateLimitedLogger(Logger.getLogger(RateLimitedLoggerTest.class.getName()), Level.WARNING, () -> now);
 
     @AfterEach
@@ -20,18 +20,18 @@
     }
 
     @Test
-    void aKindOfLineComesOnceAMinuteAndTellsWhatWasLeftOut() {
+    void aKindOfLineIsLoggedOnceAMinuteWithTheNumberOfSuppressedLines() {
         for (int ms = 0; ms < 120_000; ms += 10) {
             now = 1000 + ms;
-            assertThat(seldom.log("bad answer " + ms)).isEqualTo(ms % 60_000 == 0);
+            assertThat(logger.log("bad answer " + ms)).isEqualTo(ms % 60_000 == 0);
         }
         assertThat(lines.beginning(""))
-                .containsExactly("bad answer 0", "bad answer 60000 (5999 such lines before it were left out)");
+                .containsExactly("bad answer 0", "bad answer 60000 (5999 similar lines suppressed)");
     }
 
     @Test
-    void whateverOthersSayItIsOneLineOfBoundedLength() {
-        seldom.log("list lost: not\na list\r\n" + "x".repeat(100_000));
+    void remoteInputIsLoggedAsOneLineOfBoundedLength() {
+        logger.log("list lost: not\na list\r\n" + "x".repeat(100_000));
         assertThat(lines.beginning(""))
                 .singleElement()
                 .asString()
@@ -39,9 +39,9 @@
                 .hasSizeLessThan(400);
     }
 
-    /** Others can bring a fault about with each event of theirs. */
+    /** Remote parties may be able to cause an exception with each event. */
     @Test
-    void aLoopThatFailsInEachEventDoesNotFillTheLog() throws Exception {
+    void anExceptionInEveryEventDoesNotFillTheLog() throws Exception {
         try (LogLines faults = new LogLines(Loop.class)) {
             Loop loop = new Loop(0, Double.POSITIVE_INFINITY, 0);
             for (int i = 0; i < 50; i++) {
--- a/src/test/java/firstair/relay/TunableSettingsTest.java
+++ b/src/test/java/firstair/relay/TunableSettingsTest.java
@@ -9,7 +9,7 @@
 
 class TunableSettingsTest {
     @Test
-    void changesOfTextsAreToldAndOfTheFleetWaitForTheNextStart() {
+    void changedTextsAreReportedAndFleetSettingsWaitForTheNextStart() {
         Values before = TunableSettings.read(Map.of(
                 "FIRSTAIR_FLEET_NAME", "f", "FIRSTAIR_FLEET_PEERS", "a=x:1,b=x:2", "FIRSTAIR_PLATFORM_POSTS", "9"));
         Values after = TunableSettings.read(Map.of(
