--- a/src/main/java/firstair/kit/package-info.java
+++ b/src/main/java/firstair/kit/package-info.java
@@ -1,2 +1,2 @@
-/** The kit for tests and rehearsals. It uses the relay as others do, over sockets; the relay knows nothing of it. */
+/** Tools for tests and simulations. They use the relay over sockets only, and the relay does not depend on them. */
 package firstair.kit;
--- a/src/main/java/firstair/kit/run/LoopbackPorts.java
+++ b/src/main/java/firstair/kit/run/LoopbackPorts.java
@@ -12,48 +12,49 @@
 import java.util.List;
 
 /**
- * Ports on loopback for processes that are started later: nobody else gets one of them in between. They lie outside the
- * system's ephemeral range, so that no connection and no bind to any free port takes them, and each of our processes
- * has a block of ports to itself, which it claims by a datagram socket at another loopback address.
+ * Reserves loopback ports for processes that are started later, so that no other process takes them in the meantime.
+ * The ports are outside the system's ephemeral range, which outgoing connections and binds to port 0 use. Each process
+ * that uses this class has its own block of ports, which it reserves by binding a datagram socket to the first port of
+ * the block on another loopback address.
  */
 public final class LoopbackPorts {
     private static final LoopbackPorts SHARED = new LoopbackPorts();
-    private static final Path EPHEMERAL = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
-    private static final String EPHEMERAL_BY_DEFAULT = "32768 60999";
-    private static final String CLAIMS = "127.0.0.2";
-    private static final int LOWEST = 10_000;
-    private static final int HIGHEST = 65_535;
-    private static final int BLOCK = 256;
+    private static final Path EPHEMERAL_FILE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
+    private static final String DEFAULT_EPHEMERAL = "32768 60999";
+    private static final String RESERVATION_HOST = "127.0.0.2";
+    private static final int MIN_PORT = 10_000;
+    private static final int MAX_PORT = 65_535;
+    private static final int BLOCK_SIZE = 256;
 
-    private DatagramSocket claim; // at the block's first port, until this process ends
-    private int used;
+    private DatagramSocket reservation; // bound to the block's first port until this process exits
+    private int nextOffset;
 
     LoopbackPorts() {}
 
-    /** The ports of this process. */
+    /** The instance that all of this process shares. */
     public static LoopbackPorts shared() {
         return SHARED;
     }
 
     /**
-     * The next address of this process whose port is free for UDP and TCP. An address comes again once all others of
-     * the block have been handed out, unless it is in use.
+     * Returns the next address of the block whose port is free for UDP and TCP. An address is returned again only after
+     * all others of the block.
      *
      * @throws IOException if no port is free
      */
     public synchronized InetSocketAddress next() throws IOException {
-        if (claim == null) {
-            claim = claimed();
+        if (reservation == null) {
+            reservation = reserveBlock();
         }
-        for (int tries = 0; tries < BLOCK; tries++) {
-            int port = claim.getLocalPort() + used;
-            used = (used + 1) % BLOCK;
+        for (int tries = 0; tries < BLOCK_SIZE; tries++) {
+            int port = reservation.getLocalPort() + nextOffset;
+            nextOffset = (nextOffset + 1) % BLOCK_SIZE;
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             if (isFree(address)) {
                 return address;
             }
         }
-        throw new IOException("no free port in the block at " + claim.getLocalPort());
+        throw new IOException("no free port in the block at " + reservation.getLocalPort());
     }
 
     private static boolean isFree(InetSocketAddress address) {
@@ -67,36 +68,37 @@
         }
     }
 
-    private static DatagramSocket claimed() throws IOException {
-        for (int first : blocks()) {
+    private static DatagramSocket reserveBlock() throws IOException {
+        for (int first : firstPortsOfBlocks()) {
             try {
-                return new DatagramSocket(new InetSocketAddress(CLAIMS, first));
+                return new DatagramSocket(new InetSocketAddress(RESERVATION_HOST, first));
             } catch (IOException e) {
-                // another process has it
+                // reserved by another process
             }
         }
         throw new IOException("no block of ports is left");
     }
 
     /** The first ports of all blocks outside the ephemeral range. */
-    private static List<Integer> blocks() throws IOException {
-        String[] ephemeral = ephemeral().trim().split("\\s+");
+    private static List<Integer> firstPortsOfBlocks() throws IOException {
+        String[] ephemeral = ephemeralRange().trim().split("\\s+");
         int first = Integer.parseInt(ephemeral[0]);
         int last = Integer.parseInt(ephemeral[1]);
         List<Integer> blocks = new ArrayList<>();
-        for (int port = LOWEST; port + BLOCK - 1 <= HIGHEST; port += BLOCK) {
-            if (port + BLOCK <= first || port > last) {
+        for (int port = MIN_PORT; port + BLOCK_SIZE - 1 <= MAX_PORT; port += BLOCK_SIZE) {
+            if (port + BLOCK_SIZE <= first || port > last) {
                 blocks.add(port);
             }
         }
         return blocks;
     }
 
-    private static String ephemeral() throws IOException {
-        if (!Files.exists(EPHEMERAL)) {
-            return EPHEMERAL_BY_DEFAULT;
+    private static String ephemeralRange() throws IOException {
+        if (!Files.exists(EPHEMERAL_FILE)) {
+            return DEFAULT_EPHEMERAL;
         }
-        try (BufferedReader in = Files.newBufferedReader(EPHEMERAL)) { // such a file ends behind the first read
+        // One buffered read: the kernel answers a second read of this file with end of file.
+        try (BufferedReader in = Files.newBufferedReader(EPHEMERAL_FILE)) {
             return in.readLine();
         }
     }
--- a/src/main/java/firstair/kit/run/Node.java
+++ b/src/main/java/firstair/kit/run/Node.java
@@ -31,15 +31,15 @@
 import org.glassfish.grizzly.Grizzly;
 import org.tomlj.Toml;
 
-/** The program as a process of its own, and a client of it. */
+/** Runs a relay as a separate process, and sends it requests as a client. */
 public final class Node {
-    private static final int WAIT_S = 20;
-    /** What the manifest of the jar says, which counts only for {@code java -jar}. */
+    private static final int TIMEOUT_S = 20;
+    /** Also in the manifest of the jar, which is read for {@code java -jar} only. */
     private static final String OPENED_PACKAGE = "--add-opens=java.base/sun.nio.ch=ALL-UNNAMED";
 
     private final Path folder;
     private String discovery;
-    private String known;
+    private String initialList;
     private final List<String> log = new ArrayList<>();
     private String config;
     private int memoryMb = 192;
@@ -53,45 +53,51 @@
     private String zone = "z";
     private String fleet;
     private int niceness;
-    private boolean ignoring;
-    private boolean signalled;
-    private UnaryOperator<String> adjustment = UnaryOperator.identity();
+    private boolean sighupIgnored;
+    private boolean withoutScript;
+    private UnaryOperator<String> configEdit = UnaryOperator.identity();
     private final Map<String, String> environment = new HashMap<>();
     private Path settings;
-    private volatile boolean unread;
+    private volatile boolean logUnread;
     private Path logCopy;
     private Process process;
     private Thread reader;
     private InetSocketAddress address;
 
-    /** Its files go to the folder; {@code known} is the list it starts with. */
-    public Node(Path folder, String discovery, String known) {
+    /**
+     * Prepares a relay without starting it.
+     *
+     * @param folder      for its configuration, settings and state
+     * @param discovery   address of discovery and the platform, host:port
+     * @param initialList list of endpoints in its configuration, a JSON object
+     */
+    public Node(Path folder, String discovery, String initialList) {
         this.folder = folder;
         this.discovery = discovery;
-        this.known = known;
+        this.initialList = initialList;
     }
 
-    /** Memory that it may hold, MB. */
+    /** Sets its memory limit, in MB. */
     public void memoryMb(int mb) {
         memoryMb = mb;
     }
 
-    /** Room for the lasting folder. */
+    /** Sets the limit of its state folder, in MB. */
     public void diskMb(int mb) {
         diskMb = mb;
     }
 
-    /** Descriptors that it may hold. */
-    public void sockets(int most) {
-        sockets = most;
+    /** Sets its limit of file descriptors. */
+    public void sockets(int limit) {
+        sockets = limit;
     }
 
-    /** From now on nobody reads its log. */
-    public void leaveLogUnread() {
-        unread = true;
+    /** Stops reading its log, so that the pipe to this process fills up. */
+    public void stopReadingLog() {
+        logUnread = true;
     }
 
-    /** From its next start on it logs each request, call and notice; all lines go to a file as well. */
+    /** From its next start on it logs each request, call and notice; all lines are appended to a file as well. */
     public void trace(Path copy) throws IOException {
         Path levels = folder.resolve("logging.properties");
         Files.writeString(levels, "firstair.level = FINE\n");
@@ -99,42 +105,42 @@
         logCopy = copy;
     }
 
-    /** A file with settings of ours. */
+    /** Sets the file with the settings of firstair itself, see docs/configuration.md. */
     public void settings(Path file) {
         settings = file;
     }
 
-    /** How much less than others it gets of the cores, from 0 to 19. */
-    public void niceness(int by) {
-        niceness = by;
+    /** Sets its niceness, from 0 to 19. */
+    public void niceness(int value) {
+        niceness = value;
     }
 
-    /** Started from now on with SIGHUP ignored, as by {@code nohup}. */
-    public void ignoreHangUps() {
-        ignoring = true;
+    /** From its next start on SIGHUP is ignored, as under {@code nohup}. */
+    public void ignoreSighup() {
+        sighupIgnored = true;
     }
 
-    /** Started from now on without the deployment's script, so that SIGHUP reaches it as a signal. */
+    /** From its next start on it runs without the deployment's script, so that it receives SIGHUP. */
     public void takeSignals() {
-        signalled = true;
+        withoutScript = true;
     }
 
-    /** Changes the configuration that would be written, from the next writing on. */
-    public void adjust(UnaryOperator<String> change) {
-        adjustment = change;
+    /** Edits the text of its configuration from the next {@link #write} on. */
+    public void adjust(UnaryOperator<String> edit) {
+        configEdit = edit;
     }
 
-    /** A variable of its environment from its next start on. */
+    /** Sets a variable of its environment from its next start on. */
     public void environment(String variable, String value) {
         environment.put(variable, value);
     }
 
-    /** Its number as a process. */
+    /** Its process id. */
     public long pid() {
         return process.pid();
     }
 
-    /** Sends it a signal by name. */
+    /** Sends it a signal, named as for {@code kill}: HUP, STOP. */
     public void signal(String signal) throws Exception {
         new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid()))
                 .inheritIO()
@@ -142,58 +148,59 @@
                 .waitFor();
     }
 
-    /** Where it listens. */
+    /** The address on which it listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Where a relay listens that runs in this process. */
-    public void address(InetSocketAddress at) {
-        address = at;
+    /** Sets the address of a relay that runs in this process, for use as a client alone. */
+    public void address(InetSocketAddress listening) {
+        address = listening;
     }
 
-    /** Where it is to listen. */
-    public void listen(String at) {
-        listen = at;
+    /** Sets the address on which it will listen, host:port. */
+    public void listen(String hostPort) {
+        listen = hostPort;
     }
 
-    /** Its name, the number of relays that share the destinations, and its own number among them. */
-    public void group(String self, int relays, int number) {
-        name = self;
+    /** Sets its name, the number of relays that share the destinations, and its index among them, from 0. */
+    public void group(String relayName, int relays, int index) {
+        name = relayName;
         group = relays;
-        slot = number;
+        slot = index;
     }
 
-    /** All zones, and the one that it is in. */
-    public void zones(List<String> all, String own) {
-        zones = List.copyOf(all);
-        zone = own;
+    /** Sets all zones, and the one that it is in. */
+    public void zones(List<String> allZones, String ownZone) {
+        zones = List.copyOf(allZones);
+        zone = ownZone;
     }
 
     /**
-     * Lets it talk to other relays from its next start on: the platform allows it, and the settings of ours are this
-     * text, with the table {@code fleet}. It is written to a file of its own in place of {@link #settings(Path)}.
+     * Lets it exchange messages with other relays from its next start on: its configuration allows it, and this text,
+     * which has the table {@code fleet}, is its settings file in place of {@link #settings(Path)}.
      */
     public void fleet(String toml) {
         fleet = toml;
         settings = folder.resolve("settings.toml");
     }
 
-    /** The list that it starts with from now on. */
+    /** Sets the list of endpoints in its configuration, a JSON object. */
     public void known(String list) {
-        known = list;
+        initialList = list;
     }
 
-    /** A configuration of one's own. */
+    /** Replaces its whole configuration by a text; null goes back to the generated one. */
     public void config(String text) {
         config = text;
     }
 
-    private String settings() {
+    private String settingsJson() {
         return "{\"groupSize\":" + group + ",\"slotNo\":" + slot + ",\"az\":" + zones.indexOf(zone) + ",\"azs\":[\""
                 + String.join("\",\"", zones) + "\"],\"discovery\":\"ask\",\"quantum\":1.0,"
                 + "\"weightKind\":\"none\",\"shapes\":[\"one\",\"many\"],\"classes\":["
-                + type("safe", "retryable") + "," + type("keyed", "dedup") + "," + type("unsafe", "fragile") + "],"
+                + messageClass("safe", "retryable") + "," + messageClass("keyed", "dedup") + ","
+                + messageClass("unsafe", "fragile") + "],"
                 + "\"familyInfo\":{\"bundleMax\":[1,20],\"kindApart\":[false,false],\"late\":\"linear\","
                 + "\"maxCalls\":8},"
                 + "\"limits\":{" + (fleet == null ? "" : "\"peers\":true,") + "\"cancelling\":true,"
@@ -203,23 +210,23 @@
                 + "\"overloadFor\":2000.0,\"startCapacity\":0.25,\"warmAfter\":10000.0}}";
     }
 
-    private static String type(String name, String effect) {
-        return "{\"name\":\"" + name + "\",\"semantics\":\"" + effect + "\",\"aim\":2000.0,\"deadline\":30000.0,"
+    private static String messageClass(String name, String semantics) {
+        return "{\"name\":\"" + name + "\",\"semantics\":\"" + semantics + "\",\"aim\":2000.0,\"deadline\":30000.0,"
                 + "\"group\":\"all\",\"repeatWindow\":30000.0,\"importance\":1.0,\"lateValue\":0.5,"
                 + "\"streaming\":false}";
     }
 
-    private static String place(Class<?> of) throws URISyntaxException {
-        return Path.of(of.getProtectionDomain().getCodeSource().getLocation().toURI())
+    private static String classPathEntry(Class<?> type) throws URISyntaxException {
+        return Path.of(type.getProtectionDomain().getCodeSource().getLocation().toURI())
                 .toString();
     }
 
-    /** Where discovery is from the next writing of the configuration on. */
-    public void discovery(String at) {
-        discovery = at;
+    /** Sets the address of discovery and the platform from the next {@link #write} on, host:port. */
+    public void discovery(String hostPort) {
+        discovery = hostPort;
     }
 
-    /** Writes its configuration again and sends it SIGHUP. */
+    /** Writes its configuration and sends it SIGHUP. */
     public void hangUp() throws Exception {
         write();
         signalHangUp();
@@ -230,7 +237,7 @@
         signal("HUP");
     }
 
-    /** Writes its configuration, and its settings of ours if they are given as a text. */
+    /** Writes its configuration atomically, and its settings file if that is given as a text; returns its path. */
     public Path write() throws IOException {
         if (fleet != null) {
             Files.writeString(settings, fleet);
@@ -242,36 +249,37 @@
                 : "{\"name\":\"" + name + "\",\"listen\":\"" + listen
                         + "\",\"discovery\":\"" + discovery + "\",\"seed\":\"8c1f30d27a5be964\","
                         + "\"limits\":{\"cores\":1.0,\"memory_mb\":" + memoryMb
-                        + ",\"sockets\":" + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + known
-                        + ",\"settings\":" + settings()
+                        + ",\"sockets\":" + sockets + ",\"disk_mb\":" + diskMb + "},\"known\":" + initialList
+                        + ",\"settings\":" + settingsJson()
                         + "}";
-        Files.writeString(draft, adjustment.apply(text));
+        Files.writeString(draft, configEdit.apply(text));
         return Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Starts the process. */
+    /** Starts the process without waiting until it is ready. */
     public void launch() throws Exception {
         if (!Files.exists(state())) {
             Files.createDirectories(state());
         }
         Path file = write();
-        List<String> classPath = new ArrayList<>(List.of(place(Main.class), place(Grizzly.class), place(Gson.class)));
-        if (fleet != null) { // what a fleet needs beside them is loaded only then
+        List<String> classPath = new ArrayList<>(
+                List.of(classPathEntry(Main.class), classPathEntry(Grizzly.class), classPathEntry(Gson.class)));
+        if (fleet != null) { // a fleet needs further libraries
             classPath.add(System.getProperty("java.class.path"));
-        } else if (settings != null) { // without them a relay needs no reader of them
-            classPath.add(place(Toml.class));
-            classPath.add(place(Class.forName("org.antlr.v4.runtime.CharStream")));
+        } else if (settings != null) { // the TOML parser is needed for a settings file only
+            classPath.add(classPathEntry(Toml.class));
+            classPath.add(classPathEntry(Class.forName("org.antlr.v4.runtime.CharStream")));
         }
         List<String> command = new ArrayList<>(List.of(
                 "sh",
                 "-c",
-                (ignoring ? "trap '' HUP; " : "") + "exec \"$@\"",
+                (sighupIgnored ? "trap '' HUP; " : "") + "exec \"$@\"",
                 "sh",
                 "nice",
                 "-n",
                 String.valueOf(niceness)));
         command.addAll(
-                signalled
+                withoutScript
                         ? List.of("java", "-XX:+UseSerialGC", "-Xmx64m", "-XX:TieredStopAtLevel=1")
                         : List.of("sh", Path.of("deploy", "run.sh").toString()));
         command.addAll(List.of(
@@ -280,49 +288,49 @@
                 String.join(System.getProperty("path.separator"), classPath),
                 "firstair.Main",
                 "serve"));
-        ProcessBuilder b = new ProcessBuilder(command);
-        b.environment().putAll(environment);
-        b.environment()
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().putAll(environment);
+        builder.environment()
                 .merge(
                         "PATH",
                         Path.of(System.getProperty("java.home"), "bin").toString(),
                         (path, java) -> java + System.getProperty("path.separator") + path);
-        b.environment().put("ROUTER_CONFIG", file.toString());
-        b.environment().put("ROUTER_STATE", state().toString());
+        builder.environment().put("ROUTER_CONFIG", file.toString());
+        builder.environment().put("ROUTER_STATE", state().toString());
         if (settings != null) {
-            b.environment().put("FIRSTAIR_SETTINGS", settings.toString());
+            builder.environment().put("FIRSTAIR_SETTINGS", settings.toString());
         }
-        b.redirectErrorStream(true);
+        builder.redirectErrorStream(true);
         synchronized (log) {
             log.clear();
         }
-        process = b.start();
+        process = builder.start();
         InputStream out = process.getInputStream();
-        reader = new Thread(() -> read(out), "log");
+        reader = new Thread(() -> readLog(out), "log");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read(InputStream from) {
+    private void readLog(InputStream from) {
         try (BufferedReader in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8));
                 Writer copy = logCopy == null
                         ? Writer.nullWriter()
                         : Files.newBufferedWriter(logCopy, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
-            for (String l = in.readLine(); l != null; l = in.readLine()) {
-                copy.write(l + "\n");
+            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                copy.write(line + "\n");
                 copy.flush();
                 synchronized (log) {
-                    while (unread) {
+                    while (logUnread) {
                         log.wait();
                     }
-                    log.add(l);
+                    log.add(line);
                     log.notifyAll();
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            // the process is gone
+            // the process has exited
         }
     }
 
@@ -330,89 +338,97 @@
     public void start() throws Exception {
         launch();
         String ready = line("ready at ");
-        String at = ready.replaceAll(".*ready at ([^, ]+).*", "$1");
-        int colon = at.lastIndexOf(':');
-        address = new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
+        String hostPort = ready.replaceAll(".*ready at ([^, ]+).*", "$1");
+        int colon = hostPort.lastIndexOf(':');
+        address = new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
 
-    /** Waits for a line of the log of this start. */
-    public String line(String with) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
+    /**
+     * Waits for a line with a text in the log of this start, and returns it.
+     *
+     * @throws AssertionError if none comes within 20 s
+     */
+    public String line(String text) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         synchronized (log) {
             while (true) {
-                for (String l : log) {
-                    if (l.contains(with)) {
-                        return l;
+                for (String line : log) {
+                    if (line.contains(text)) {
+                        return line;
                     }
                 }
-                long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-                if (left <= 0) {
-                    throw new AssertionError("no line with '" + with + "' in " + log);
+                long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+                if (remainingMs <= 0) {
+                    throw new AssertionError("no line with '" + text + "' in " + log);
                 }
-                log.wait(left);
+                log.wait(remainingMs);
             }
         }
     }
 
-    /** What this start has logged so far. */
+    /** The lines of the log since this start, so far. */
     public List<String> lines() {
         synchronized (log) {
             return List.copyOf(log);
         }
     }
 
-    /** The log of a start that has ended. */
+    /** The complete log since this start, once the process has exited. */
     public List<String> log() throws InterruptedException {
-        reader.join(TimeUnit.SECONDS.toMillis(WAIT_S));
+        reader.join(TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         synchronized (log) {
             return List.copyOf(log);
         }
     }
 
-    /** Exit status, once it has ended. */
+    /**
+     * Waits until the process exits, and returns its status.
+     *
+     * @throws AssertionError if it still runs after 20 s
+     */
     public int status() throws InterruptedException {
-        if (!process.waitFor(WAIT_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("still running");
         }
         return process.exitValue();
     }
 
-    /** Whether it ends within a time. */
+    /** Waits up to a time, in milliseconds, for the process to exit; false if it still runs. */
     public boolean ended(long ms) throws InterruptedException {
         return process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** Tells it to end. */
+    /** Sends it SIGTERM. */
     public void terminate() {
-        process.toHandle().destroy(); // a process's own destroy would close its log as well
+        process.toHandle().destroy(); // Process.destroy would close the pipe of its log as well
     }
 
-    /** Kills it outright. */
+    /** Sends it SIGKILL, if it was started, and waits until it has exited. */
     public void kill() throws InterruptedException {
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
     }
 
-    /** The most memory that it held so far, in KiB; 0 where the system does not tell. */
+    /** Its highest resident memory so far, in KiB; 0 where there is no {@code /proc}. */
     public long mostMemoryKb() throws IOException {
-        return status("VmHWM:");
+        return statusField("VmHWM:");
     }
 
-    private long status(String field) throws IOException {
+    private long statusField(String field) throws IOException {
         Path status = Path.of("/proc", String.valueOf(process.pid()), "status");
         if (!Files.exists(status)) {
             return 0;
         }
         try (Stream<String> lines = Files.lines(status)) {
-            return lines.filter(l -> l.startsWith(field))
+            return lines.filter(line -> line.startsWith(field))
                     .findFirst()
-                    .map(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .map(line -> Long.parseLong(line.replaceAll("\\D", "")))
                     .orElse(0L);
         }
     }
 
-    /** What of its heap is in use once it has been collected whole, in KiB. */
+    /** Heap in use after a full garbage collection, in KiB. */
     public long liveHeapKb() throws Exception {
         Process jcmd = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
@@ -420,116 +436,120 @@
                         "GC.class_histogram")
                 .redirectErrorStream(true)
                 .start();
-        String all = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        String[] total =
-                all.substring(Math.max(0, all.lastIndexOf("Total"))).trim().split("\\s+");
+        String histogram = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String[] total = histogram
+                .substring(Math.max(0, histogram.lastIndexOf("Total")))
+                .trim()
+                .split("\\s+");
         if (total.length != 3) {
-            throw new AssertionError("no histogram: " + all);
+            throw new AssertionError("no histogram: " + histogram);
         }
         return Long.parseLong(total[2]) / 1024;
     }
 
-    /** Open descriptors, or 0 where the system does not tell. */
+    /** Its open file descriptors, or 0 where there is no {@code /proc}. */
     public int descriptors() throws IOException {
-        Path all = Path.of("/proc", String.valueOf(process.pid()), "fd");
-        if (!Files.exists(all)) {
+        Path descriptors = Path.of("/proc", String.valueOf(process.pid()), "fd");
+        if (!Files.exists(descriptors)) {
             return 0;
         }
-        try (Stream<Path> each = Files.list(all)) {
-            return (int) each.count();
+        try (Stream<Path> entries = Files.list(descriptors)) {
+            return (int) entries.count();
         }
     }
 
-    /** Memory that it holds now, in KiB; 0 where the system does not tell. */
+    /** Its resident memory now, in KiB; 0 where there is no {@code /proc}. */
     public long memoryKb() throws IOException {
-        return status("VmRSS:");
+        return statusField("VmRSS:");
     }
 
-    /** The folder that lasts. */
+    /** Its state folder, which outlives the process. */
     public Path state() {
         return folder.resolve("state");
     }
 
-    /** Its one file. */
+    /** The only file in its state folder. */
     public Path file() throws IOException {
-        try (Stream<Path> all = Files.list(state())) {
-            return all.findFirst().orElseThrow();
+        try (Stream<Path> files = Files.list(state())) {
+            return files.findFirst().orElseThrow();
         }
     }
 
-    /** Hands in a message on a new connection and returns the head of the answer. */
+    /** Hands in a message on a new connection and returns the head of the response; {@code key} may be null. */
     public String handIn(String id, String type, long timeoutMs, String addressing, String key, byte[] body)
             throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(
+        ByteArrayOutputStream request = new ByteArrayOutputStream();
+        request.writeBytes(
                 handInText(id, type, timeoutMs, addressing, key, body.length).getBytes(StandardCharsets.ISO_8859_1));
-        all.writeBytes(body);
-        return exchange(all.toByteArray(), false);
+        request.writeBytes(body);
+        return exchange(request.toByteArray(), false);
     }
 
-    /** The head of such a request. */
+    /** The head of a request that hands in a message with a body of {@code length} bytes; {@code key} may be null. */
     public String handInText(String id, String type, long timeoutMs, String addressing, String key, int length) {
         return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: " + id + "\r\nRequest-Class: " + type
                 + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\nX-Addressing: " + addressing + "\r\n"
                 + (key == null ? "" : "Idempotency-Key: " + key + "\r\n") + "Content-Length: " + length + "\r\n\r\n";
     }
 
-    /** Asks for a path. */
+    /** Sends a GET request and returns the head of the response. */
     public String get(String path) throws IOException {
         return raw("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
 
-    /** Writes a text and returns the head of the answer. */
+    /** Writes a text on a new connection and returns the head of the response. */
     public String raw(String text) throws IOException {
         return exchange(text.getBytes(StandardCharsets.ISO_8859_1), false);
     }
 
-    /** Writes a text and returns all that comes until the relay closes. */
+    /** Writes a text on a new connection and returns all that is read until the relay closes it. */
     public String rawAll(String text) throws IOException {
         return exchange(text.getBytes(StandardCharsets.ISO_8859_1), true);
     }
 
-    private String exchange(byte[] bytes, boolean all) throws IOException {
-        try (Socket s = new Socket()) {
-            s.connect(address);
-            return exchange(s, bytes, all);
+    private String exchange(byte[] bytes, boolean untilClosed) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(address);
+            return exchange(socket, bytes, untilClosed);
         }
     }
 
-    private static String exchange(Socket s, byte[] bytes, boolean all) throws IOException {
-        s.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_S));
-        s.getOutputStream().write(bytes);
-        StringBuilder answer = new StringBuilder();
-        for (int b = s.getInputStream().read(); b >= 0; b = s.getInputStream().read()) {
-            answer.append((char) b);
-            if (!all
-                    && answer.length() > 4
-                    && answer.substring(answer.length() - 4).equals("\r\n\r\n")) {
+    private static String exchange(Socket socket, byte[] bytes, boolean untilClosed) throws IOException {
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
+        socket.getOutputStream().write(bytes);
+        StringBuilder response = new StringBuilder();
+        for (int next = socket.getInputStream().read();
+                next >= 0;
+                next = socket.getInputStream().read()) {
+            response.append((char) next);
+            if (!untilClosed
+                    && response.length() > 4
+                    && response.substring(response.length() - 4).equals("\r\n\r\n")) {
                 break;
             }
         }
-        return answer.toString();
+        return response.toString();
     }
 
-    /** Hands in so many messages at the same moment, each on a connection of its own that is already open. */
-    public List<String> together(int clients, int bytes) throws InterruptedException, ExecutionException {
+    /** Hands in messages at the same time, each on its own connection that was opened before; returns all heads. */
+    public List<String> handInAtOnce(int clients, int bytes) throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(clients);
-        CountDownLatch open = new CountDownLatch(clients);
-        List<Future<String>> answers = new ArrayList<>();
+        CountDownLatch connected = new CountDownLatch(clients);
+        List<Future<String>> responses = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
             String head = handInText("c" + i, "safe", 20_000, "dest=7", null, bytes);
-            answers.add(pool.submit(() -> {
-                try (Socket s = new Socket()) {
-                    s.connect(address);
-                    open.countDown();
-                    open.await();
-                    return exchange(s, (head + "x".repeat(bytes)).getBytes(StandardCharsets.ISO_8859_1), false);
+            responses.add(pool.submit(() -> {
+                try (Socket socket = new Socket()) {
+                    socket.connect(address);
+                    connected.countDown();
+                    connected.await();
+                    return exchange(socket, (head + "x".repeat(bytes)).getBytes(StandardCharsets.ISO_8859_1), false);
                 }
             }));
         }
         List<String> all = new ArrayList<>();
-        for (Future<String> f : answers) {
-            all.add(f.get());
+        for (Future<String> response : responses) {
+            all.add(response.get());
         }
         pool.shutdown();
         return all;
--- a/src/main/java/firstair/kit/run/package-info.java
+++ b/src/main/java/firstair/kit/run/package-info.java
@@ -1,2 +1,2 @@
-/** Relays as processes of their own, started, signalled and watched from the outside. */
+/** Runs relays as separate processes: starts and signals them, and reads their logs. */
 package firstair.kit.run;
--- a/src/test/java/firstair/kit/run/LoopbackPortsTest.java
+++ b/src/test/java/firstair/kit/run/LoopbackPortsTest.java
@@ -9,26 +9,26 @@
 import org.junit.jupiter.api.Test;
 
 class LoopbackPortsTest {
-    private static final int BLOCK = 256;
+    private static final int BLOCK_SIZE = 256;
 
     @Test
-    void twoProcessesGetNoPortTwice() throws Exception {
+    void twoInstancesNeverReturnTheSamePort() throws Exception {
         LoopbackPorts one = new LoopbackPorts();
         LoopbackPorts other = new LoopbackPorts();
-        Set<InetSocketAddress> all = new HashSet<>();
-        for (int i = 0; i < BLOCK; i++) {
-            assertThat(all.add(one.next())).isTrue();
-            assertThat(all.add(other.next())).isTrue();
+        Set<InetSocketAddress> returned = new HashSet<>();
+        for (int i = 0; i < BLOCK_SIZE; i++) {
+            assertThat(returned.add(one.next())).isTrue();
+            assertThat(returned.add(other.next())).isTrue();
         }
     }
 
     @Test
-    void aPortInUseIsPassedOver() throws Exception {
+    void aPortInUseIsSkipped() throws Exception {
         LoopbackPorts ports = new LoopbackPorts();
         InetSocketAddress first = ports.next();
-        try (ServerSocket used = new ServerSocket(first.getPort(), 1, first.getAddress())) {
-            for (int i = 0; i < 2 * BLOCK; i++) {
-                assertThat(ports.next().getPort()).isNotEqualTo(used.getLocalPort());
+        try (ServerSocket occupied = new ServerSocket(first.getPort(), 1, first.getAddress())) {
+            for (int i = 0; i < 2 * BLOCK_SIZE; i++) {
+                assertThat(ports.next().getPort()).isNotEqualTo(occupied.getLocalPort());
             }
         }
     }
--- a/src/test/java/firstair/kit/run/NodeTest.java
+++ b/src/test/java/firstair/kit/run/NodeTest.java
@@ -16,12 +16,12 @@
     private Path folder;
 
     @Test
-    void aProcessStartsWithAFleetAndIsToldTheWaysOfOthers() throws Exception {
-        Map<String, InetSocketAddress> places = FaultyLinks.places(List.of("a", "b", "c"));
+    void aProcessStartsWithAFleetBehindFaultyLinks() throws Exception {
+        Map<String, InetSocketAddress> addresses = FaultyLinks.places(List.of("a", "b", "c"));
         Node node = new Node(folder, "127.0.0.1:1", Platform.list(1, true, "s1 7 127.0.0.1:1"));
         node.group("b", 3, 1);
         node.zones(List.of("east", "west"), "west");
-        try (FaultyLinks links = new FaultyLinks(1, places)) {
+        try (FaultyLinks links = new FaultyLinks(1, addresses)) {
             node.fleet("[fleet]\nname = 'f'\npeers = '" + links.peers("b") + "'\nvoters = ['a', 'b', 'c']\n");
             node.start();
             assertThat(node.address().getPort()).isPositive();
--- a/src/test/java/firstair/relay/RelayProcessTest.java
+++ b/src/test/java/firstair/relay/RelayProcessTest.java
@@ -38,25 +38,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts the program and speaks to it over sockets, as clients, endpoints and the platform do. */
+/** Runs the relay as a process and talks to it over sockets, as clients, endpoints and the platform do. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RelayProcessTest {
-    private static final String DEST = "dest=7";
+    private static final String DESTINATION = "dest=7";
 
     @TempDir
     private Path folder;
 
     private final BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
-    private volatile StandIn.Handler behaviour = r -> r.answer(200);
-    private StandIn partner;
+    private volatile StandIn.Handler endpointHandler = request -> request.answer(200);
+    private StandIn endpoint;
     private Platform platform;
     private Node node;
 
     @BeforeEach
     void start() throws Exception {
-        partner = new StandIn(r -> {
-            calls.add(r);
-            behaviour.handle(r);
+        endpoint = new StandIn(request -> {
+            calls.add(request);
+            endpointHandler.handle(request);
         });
         platform = new Platform(list(1));
         node = new Node(folder, platform.hostPort(), list(1));
@@ -65,289 +65,294 @@
     @AfterEach
     void stop() throws Exception {
         node.kill();
-        partner.close();
+        endpoint.close();
         platform.close();
     }
 
     private String list(long version) {
-        return Platform.list(version, true, "s1 7 " + partner.hostPort());
+        return Platform.list(version, true, "s1 7 " + endpoint.hostPort());
     }
 
-    private StandIn.Request call() throws InterruptedException {
-        StandIn.Request r = calls.poll(20, TimeUnit.SECONDS);
-        assertThat(r).as("a call").isNotNull();
-        return r;
+    private StandIn.Request nextCall() throws InterruptedException {
+        StandIn.Request call = calls.poll(20, TimeUnit.SECONDS);
+        assertThat(call).as("a call").isNotNull();
+        return call;
     }
 
-    private String notice() throws InterruptedException {
-        String n = platform.notices.poll(20, TimeUnit.SECONDS);
-        assertThat(n).as("a notice").isNotNull();
-        return n;
+    private String nextNotice() throws InterruptedException {
+        String notice = platform.notices.poll(20, TimeUnit.SECONDS);
+        assertThat(notice).as("a notice").isNotNull();
+        return notice;
     }
 
-    /** What a restart finds; the line comes before the relay is ready. */
-    private String restarted() throws Exception {
+    /** Kills and restarts the relay; returns the log line with the numbers of messages and notices that it has read. */
+    private String killAndRestart() throws Exception {
         node.kill();
         node.start();
         return node.line("ready");
     }
 
     @Test
-    void aMessageIsTakenAndDeliveredAsItCame() throws Exception {
+    void anAcceptedMessageIsDeliveredUnchanged() throws Exception {
         node.start();
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
-        byte[] odd = {0, 13, 10, -1, 'x'};
-        assertThat(node.handIn("m1", "keyed", 5000, DEST, "key-1", odd)).startsWith("HTTP/1.1 202");
-        StandIn.Request r = call();
-        assertThat(r.target()).isEqualTo("/receive");
-        assertThat(r.header("request-id")).isEqualTo("m1");
-        assertThat(r.header("idempotency-key")).isEqualTo("key-1");
-        assertThat(Long.parseLong(r.header("request-timeout-ms"))).isBetween(1L, 5000L);
-        assertThat(r.body()).isEqualTo(odd);
+        byte[] binary = {0, 13, 10, -1, 'x'};
+        assertThat(node.handIn("m1", "keyed", 5000, DESTINATION, "key-1", binary))
+                .startsWith("HTTP/1.1 202");
+        StandIn.Request call = nextCall();
+        assertThat(call.target()).isEqualTo("/receive");
+        assertThat(call.header("request-id")).isEqualTo("m1");
+        assertThat(call.header("idempotency-key")).isEqualTo("key-1");
+        assertThat(Long.parseLong(call.header("request-timeout-ms"))).isBetween(1L, 5000L);
+        assertThat(call.body()).isEqualTo(binary);
     }
 
     @Test
-    void itServesByAMigratedConfiguration() throws Exception {
-        Path out = folder.resolve("migrated.json");
+    void aMigratedConfigurationWorks() throws Exception {
+        Path migrated = folder.resolve("migrated.json");
         assertThat(Cli.run(
                         "config",
                         "migrate",
                         node.write().toString(),
                         "--out",
-                        out.toString(),
+                        migrated.toString(),
                         "--reports",
                         "none",
                         "--weights",
                         "nominal"))
                 .isZero();
-        node.config(Files.readString(out));
+        node.config(Files.readString(migrated));
         node.start();
-        node.handIn("m1", "keyed", 5000, DEST, "key-1", new byte[1]);
-        assertThat(call().header("idempotency-key")).isEqualTo("key-1");
-        behaviour = r -> r.answer(503);
-        node.handIn("m2", "unsafe", 1500, DEST, null, new byte[1]);
-        assertThat(notice()).contains("m2", "handed_back");
+        node.handIn("m1", "keyed", 5000, DESTINATION, "key-1", new byte[1]);
+        assertThat(nextCall().header("idempotency-key")).isEqualTo("key-1");
+        endpointHandler = request -> request.answer(503);
+        node.handIn("m2", "unsafe", 1500, DESTINATION, null, new byte[1]);
+        assertThat(nextNotice()).contains("m2", "handed_back");
     }
 
     @Test
-    void aRefusalByTheEndpointIsRetriedAfterItsWait() throws Exception {
-        behaviour = r -> {
+    void aCallRefusedWithRetryAfterIsRepeatedAfterThatTime() throws Exception {
+        endpointHandler = request -> {
             if (calls.size() == 1) {
-                r.answer(429, "Retry-After: 0.4");
+                request.answer(429, "Retry-After: 0.4");
             } else {
-                r.answer(200);
+                request.answer(200);
             }
         };
         node.start();
-        node.handIn("m1", "unsafe", 9000, DEST, null, new byte[1]);
-        long sent = System.nanoTime();
+        node.handIn("m1", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        long sentNs = System.nanoTime();
         Await.until("a second call", () -> calls.size() >= 2);
-        assertThat(System.nanoTime() - sent).isGreaterThan(350_000_000L);
-        assertThat(calls.stream().map(r -> r.header("request-id"))).containsExactly("m1", "m1");
+        assertThat(System.nanoTime() - sentNs).isGreaterThan(350_000_000L);
+        assertThat(calls.stream().map(call -> call.header("request-id"))).containsExactly("m1", "m1");
     }
 
     @Test
-    void whatCannotBeDeliveredInTimeAndNeverRanIsHandedBack() throws Exception {
-        behaviour = r -> r.answer(503);
+    void aMessageThatNeverRanIsHandedBackAtItsDeadline() throws Exception {
+        endpointHandler = request -> request.answer(503);
         node.start();
-        assertThat(node.handIn("m1", "unsafe", 1500, DEST, null, new byte[1])).startsWith("HTTP/1.1 202");
-        assertThat(notice()).contains("\"message\":\"m1\"").contains("handed_back");
+        assertThat(node.handIn("m1", "unsafe", 1500, DESTINATION, null, new byte[1]))
+                .startsWith("HTTP/1.1 202");
+        assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("handed_back");
     }
 
     @Test
-    void aMessageThatCannotLandInTimeIsRefusedAtTheDoor() throws Exception {
+    void aMessageWhoseDeadlineCannotBeMetIsRejected() throws Exception {
         node.start();
-        assertThat(node.handIn("m1", "safe", 1, DEST, null, new byte[1])).startsWith("HTTP/1.1 503");
-        assertThat(node.handIn("m2", "safe", 5000, DEST, null, new byte[1])).startsWith("HTTP/1.1 202");
-        assertThat(call().header("request-id")).isEqualTo("m2");
+        assertThat(node.handIn("m1", "safe", 1, DESTINATION, null, new byte[1])).startsWith("HTTP/1.1 503");
+        assertThat(node.handIn("m2", "safe", 5000, DESTINATION, null, new byte[1]))
+                .startsWith("HTTP/1.1 202");
+        assertThat(nextCall().header("request-id")).isEqualTo("m2");
     }
 
     @Test
     void afterAResetASafeMessageIsRepeatedAndAnUnsafeOneGivenUp() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        behaviour = r -> {
+        endpointHandler = request -> {
             if (count.incrementAndGet() == 1) {
-                r.reset();
+                request.reset();
             } else {
-                r.answer(200);
+                request.answer(200);
             }
         };
         node.start();
-        node.handIn("m1", "safe", 9000, DEST, null, new byte[1]);
-        assertThat(call().header("request-id")).isEqualTo("m1");
-        behaviour = StandIn.Request::reset;
-        assertThat(call().header("request-id")).isEqualTo("m1");
-        node.handIn("m2", "unsafe", 9000, DEST, null, new byte[1]);
-        assertThat(notice()).contains("\"message\":\"m2\"").contains("given_up");
+        node.handIn("m1", "safe", 9000, DESTINATION, null, new byte[1]);
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
+        endpointHandler = StandIn.Request::reset;
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
+        node.handIn("m2", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        assertThat(nextNotice()).contains("\"message\":\"m2\"").contains("given_up");
         assertThat(calls.stream()
-                        .filter(r -> r.header("request-id").equals("m2"))
+                        .filter(call -> call.header("request-id").equals("m2"))
                         .count())
                 .isEqualTo(1);
     }
 
     @Test
-    void aSilentCallIsTimedOutAndTheMessageEndsInItsTime() throws Exception {
-        behaviour = r -> {};
+    void anUnansweredCallTimesOutAndItsMessageEndsInTime() throws Exception {
+        endpointHandler = request -> {};
         node.start();
-        long from = System.nanoTime();
-        node.handIn("m1", "unsafe", 1200, DEST, null, new byte[1]);
-        assertThat(notice()).contains("\"message\":\"m1\"").contains("given_up");
-        assertThat((System.nanoTime() - from) / 1e6).isLessThan(1500);
+        long startNs = System.nanoTime();
+        node.handIn("m1", "unsafe", 1200, DESTINATION, null, new byte[1]);
+        assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("given_up");
+        assertThat((System.nanoTime() - startNs) / 1e6).isLessThan(1500);
     }
 
     @Test
-    void aNoticeIsRepeatedOverARestartUntilItIsConfirmed() throws Exception {
-        behaviour = StandIn.Request::reset;
+    void aNoticeIsRepeatedAcrossARestartUntilItIsConfirmed() throws Exception {
+        endpointHandler = StandIn.Request::reset;
         platform.noticeStatus(503);
         node.start();
-        node.handIn("m1", "unsafe", 9000, DEST, null, new byte[1]);
-        assertThat(notice()).contains("given_up");
-        assertThat(restarted()).contains("0 messages and 1 notices");
+        node.handIn("m1", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        assertThat(nextNotice()).contains("given_up");
+        assertThat(killAndRestart()).contains("0 messages and 1 notices");
         platform.noticeStatus(204);
-        assertThat(notice()).contains("\"message\":\"m1\"").contains("given_up");
-        for (String id : List.of("m2", "m3")) { // each goes out once the post before has been confirmed
-            node.handIn(id, "unsafe", 9000, DEST, null, new byte[1]);
-            while (!notice().contains(id)) {
-                // repeats of the first
+        assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("given_up");
+        for (String id : List.of("m2", "m3")) { // each is sent once the request before it has been confirmed
+            node.handIn(id, "unsafe", 9000, DESTINATION, null, new byte[1]);
+            while (!nextNotice().contains(id)) {
+                // a repeat of the first one
             }
         }
-        node.handIn("m4", "safe", 9000, DEST, null, new byte[1]); // answered once all before it is stored
+        // Answered once everything before it is stored.
+        node.handIn("m4", "safe", 9000, DESTINATION, null, new byte[1]);
         platform.notices.clear();
-        restarted();
-        node.handIn("m5", "unsafe", 9000, DEST, null, new byte[1]);
-        String n;
+        killAndRestart();
+        node.handIn("m5", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        String notice;
         do {
-            n = notice();
-            assertThat(n).doesNotContain("m1").doesNotContain("m2");
-        } while (!n.contains("m5"));
+            notice = nextNotice();
+            assertThat(notice).doesNotContain("m1").doesNotContain("m2");
+        } while (!notice.contains("m5"));
     }
 
     @Test
-    void anUnsafeMessageWhoseCallWasOutAtAKillIsNeverSentAgain() throws Exception {
-        behaviour = r -> {};
+    void anUnsafeMessageWithACallInProgressAtAKillIsNeverSentAgain() throws Exception {
+        endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DEST, null, new byte[1]);
-        call();
-        assertThat(restarted()).contains("0 messages and 1 notices");
-        assertThat(notice()).contains("\"message\":\"m1\"").contains("given_up");
-        behaviour = r -> r.answer(200);
-        node.handIn("m2", "safe", 20_000, DEST, null, new byte[1]);
-        assertThat(call().header("request-id")).isEqualTo("m2");
+        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        nextCall();
+        assertThat(killAndRestart()).contains("0 messages and 1 notices");
+        assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("given_up");
+        endpointHandler = request -> request.answer(200);
+        node.handIn("m2", "safe", 20_000, DESTINATION, null, new byte[1]);
+        assertThat(nextCall().header("request-id")).isEqualTo("m2");
     }
 
     @Test
-    void aKeyedMessageWhoseCallWasOutAtAKillIsSentAgainWithItsKey() throws Exception {
-        behaviour = r -> {};
+    void aKeyedMessageWithACallInProgressAtAKillIsSentAgainWithItsKey() throws Exception {
+        endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "keyed", 20_000, DEST, "key-1", "text".getBytes(StandardCharsets.US_ASCII));
-        call();
-        behaviour = r -> r.answer(200);
-        assertThat(restarted()).contains("1 messages");
-        StandIn.Request again = call();
-        assertThat(again.header("request-id")).isEqualTo("m1");
-        assertThat(again.header("idempotency-key")).isEqualTo("key-1");
-        assertThat(again.body()).asString(StandardCharsets.US_ASCII).isEqualTo("text");
+        node.handIn("m1", "keyed", 20_000, DESTINATION, "key-1", "text".getBytes(StandardCharsets.US_ASCII));
+        nextCall();
+        endpointHandler = request -> request.answer(200);
+        assertThat(killAndRestart()).contains("1 messages");
+        StandIn.Request repeated = nextCall();
+        assertThat(repeated.header("request-id")).isEqualTo("m1");
+        assertThat(repeated.header("idempotency-key")).isEqualTo("key-1");
+        assertThat(repeated.body()).asString(StandardCharsets.US_ASCII).isEqualTo("text");
     }
 
     @Test
     void aMessageThatWasNeverSentIsSentAfterAKill() throws Exception {
-        platform.down(true); // so that nothing is told of the destination whose only endpoint drains
-        node.known(Platform.list(1, true, "s1 8 " + partner.hostPort() + " draining"));
+        platform.down(true); // so that the relay learns no other endpoint than the draining one
+        node.known(Platform.list(1, true, "s1 8 " + endpoint.hostPort() + " draining"));
         node.start();
         assertThat(node.handIn("m1", "unsafe", 20_000, "dest=8", null, new byte[1]))
                 .contains(" 202 ");
         node.kill();
-        node.known(Platform.list(2, true, "s1 8 " + partner.hostPort()));
+        node.known(Platform.list(2, true, "s1 8 " + endpoint.hostPort()));
         node.start();
-        assertThat(call().header("request-id")).isEqualTo("m1");
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
     }
 
-    /** Nobody accepts there and the queue is full: connections neither come up nor are refused. */
-    private static ServerSocket full(List<Socket> waiting) throws IOException {
+    /** A listener that accepts nothing and whose queue is full: connection attempts neither succeed nor fail. */
+    private static ServerSocket unresponsiveListener(List<Socket> waiting) throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         for (int i = 0; i < 3; i++) {
-            Socket s = new Socket();
-            waiting.add(s);
+            Socket socket = new Socket();
+            waiting.add(socket);
             try {
-                s.connect(server.getLocalSocketAddress(), 200);
+                socket.connect(server.getLocalSocketAddress(), 200);
             } catch (IOException e) {
-                // full by now
+                // the queue is full
             }
         }
         return server;
     }
 
-    /** Killed while the relay dials: what is not noted has surely not run, and an unsafe message may still go. */
+    /** A call that has not been recorded as started cannot have run, so that its message may be sent after a kill. */
     @Test
-    void anUnsafeMessageWhoseCallDialedAtAKillIsSentByTheNextProcess() throws Exception {
+    void anUnsafeMessageStillConnectingAtAKillIsSentByTheNextProcess() throws Exception {
         List<Socket> waiting = new ArrayList<>();
-        try (ServerSocket full = full(waiting)) {
-            platform.down(true); // the next process must not hear of the old place
-            node.known(Platform.list(1, true, "s1 8 127.0.0.1:" + full.getLocalPort()));
+        try (ServerSocket unresponsive = unresponsiveListener(waiting)) {
+            platform.down(true); // the next process must not learn the old address
+            node.known(Platform.list(1, true, "s1 8 127.0.0.1:" + unresponsive.getLocalPort()));
             node.start();
             assertThat(node.handIn("m1", "unsafe", 20_000, "dest=8", null, new byte[1]))
                     .contains(" 202 ");
             node.kill();
-            node.known(Platform.list(2, true, "s1 8 " + partner.hostPort()));
+            node.known(Platform.list(2, true, "s1 8 " + endpoint.hostPort()));
             node.start();
             assertThat(node.line("ready")).contains("1 messages and 0 notices");
-            assertThat(call().header("request-id")).isEqualTo("m1");
+            assertThat(nextCall().header("request-id")).isEqualTo("m1");
             assertThat(platform.notices).isEmpty();
         } finally {
-            for (Socket s : waiting) {
-                s.close();
+            for (Socket socket : waiting) {
+                socket.close();
             }
         }
     }
 
-    /** The signal's thread waits for the relay's end, also where its start has failed. */
+    /** The shutdown hook waits for the relay to end; a failed start must not block it. */
     @Test
-    void anAddressThatIsTakenEndsTheStartWithOneLine() throws Exception {
-        node.listen(partner.hostPort());
+    void anAddressInUseEndsTheStartWithOneLine() throws Exception {
+        node.listen(endpoint.hostPort());
         node.launch();
         assertThat(node.status()).isEqualTo(1);
-        assertThat(node.log()).filteredOn(l -> l.startsWith("firstair: ")).hasSize(1);
+        assertThat(node.log()).filteredOn(line -> line.startsWith("firstair: ")).hasSize(1);
     }
 
-    /** Whenever the process is killed, each message that was taken on ends, and no unsafe one is sent twice. */
+    /** Whenever the process is killed, each accepted message gets a final answer, and no unsafe one is sent twice. */
     @Test
-    void killedAtAnyMomentItLosesNothingAndRepeatsNothingUnsafe() throws Exception {
+    void killsAtAnyTimeLoseNoMessageAndRepeatNoUnsafeOne() throws Exception {
         int kills = 5;
         Random random = new Random(7);
-        AtomicInteger seen = new AtomicInteger();
+        AtomicInteger callCount = new AtomicInteger();
         Set<String> maybeRan = ConcurrentHashMap.newKeySet();
-        Set<String> over = ConcurrentHashMap.newKeySet();
-        Set<String> wrong = ConcurrentHashMap.newKeySet();
-        behaviour = r -> {
-            String id = r.header("request-id");
+        Set<String> finished = ConcurrentHashMap.newKeySet();
+        Set<String> repeatedUnsafe = ConcurrentHashMap.newKeySet();
+        endpointHandler = request -> {
+            String id = request.header("request-id");
             if (id.endsWith("unsafe") && maybeRan.contains(id)) {
-                wrong.add(id);
+                repeatedUnsafe.add(id);
             }
-            switch (seen.incrementAndGet() % 5) {
+            switch (callCount.incrementAndGet() % 5) {
                 case 0 -> {
                     maybeRan.add(id);
-                    r.reset();
+                    request.reset();
                 }
-                case 1 -> r.answer(503);
+                case 1 -> request.answer(503);
                 default -> {
                     maybeRan.add(id);
-                    over.add(id);
-                    r.answer(200);
+                    finished.add(id);
+                    request.answer(200);
                 }
             }
         };
-        Set<String> owed = ConcurrentHashMap.newKeySet();
+        Set<String> accepted = ConcurrentHashMap.newKeySet();
         for (int round = 0; round < kills; round++) {
             node.start();
-            int number = round;
+            int roundNumber = round;
             Thread client = new Thread(() -> {
                 try {
                     for (int i = 0; ; i++) {
-                        String id = "k" + number + "-" + i;
-                        String type = i % 3 == 0 ? "unsafe" : i % 3 == 1 ? "safe" : "keyed";
-                        String answer = node.handIn(id + type, type, 6_000, DEST, "key" + id, new byte[100]);
+                        String id = "k" + roundNumber + "-" + i;
+                        String messageClass = i % 3 == 0 ? "unsafe" : i % 3 == 1 ? "safe" : "keyed";
+                        String answer = node.handIn(
+                                id + messageClass, messageClass, 6_000, DESTINATION, "key" + id, new byte[100]);
                         if (answer.contains(" 202 ")) {
-                            owed.add(id + type);
+                            accepted.add(id + messageClass);
                         }
                     }
                 } catch (IOException e) {
@@ -355,205 +360,206 @@
                 }
             });
             client.start();
-            int before = owed.size();
-            int most = before + 20 + random.nextInt(40);
-            Await.until("messages taken on", () -> owed.size() >= most);
+            int before = accepted.size();
+            int target = before + 20 + random.nextInt(40);
+            Await.until("accepted messages", () -> accepted.size() >= target);
             node.kill();
             client.join();
         }
         node.start();
         Await.until("an end of each message", () -> {
-            for (String n = platform.notices.poll(); n != null; n = platform.notices.poll()) {
-                over.add(n.replaceAll(".*\"message\":\"([^\"]+)\".*", "$1"));
+            for (String notice = platform.notices.poll(); notice != null; notice = platform.notices.poll()) {
+                finished.add(notice.replaceAll(".*\"message\":\"([^\"]+)\".*", "$1"));
             }
-            return over.containsAll(owed);
+            return finished.containsAll(accepted);
         });
-        assertThat(wrong).isEmpty();
+        assertThat(repeatedUnsafe).isEmpty();
     }
 
     @Test
-    void aTornRecordIsDroppedAndTheRestTakenUp() throws Exception {
-        behaviour = r -> {};
+    void anIncompleteRecordIsDroppedAndTheOthersAreRead() throws Exception {
+        endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "keyed", 20_000, DEST, "key-1", new byte[50]);
-        call();
+        node.handIn("m1", "keyed", 20_000, DESTINATION, "key-1", new byte[50]);
+        nextCall();
         node.kill();
         Path file;
-        try (Stream<Path> all = Files.list(node.state())) {
-            file = all.findFirst().orElseThrow();
+        try (Stream<Path> files = Files.list(node.state())) {
+            file = files.findFirst().orElseThrow();
         }
         Files.write(file, new byte[] {(byte) 0xf1, (byte) 0xa1, 0, 0, 0, 99, 1, 2}, StandardOpenOption.APPEND);
         node.start();
         assertThat(node.line("store: incomplete last record")).contains("8 bytes dropped");
-        assertThat(call().header("request-id")).isEqualTo("m1");
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
     }
 
     @Test
-    void aSignalToEndLetsTheCallsOutEndAndKeepsTheRest() throws Exception {
-        LinkedBlockingQueue<StandIn.Request> held = new LinkedBlockingQueue<>();
-        behaviour = held::add;
+    void afterSigtermCallsInProgressMayEnd() throws Exception {
+        LinkedBlockingQueue<StandIn.Request> unanswered = new LinkedBlockingQueue<>();
+        endpointHandler = unanswered::add;
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DEST, null, new byte[1]);
-        StandIn.Request out = held.poll(20, TimeUnit.SECONDS);
-        assertThat(out).isNotNull();
+        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        StandIn.Request inProgress = unanswered.poll(20, TimeUnit.SECONDS);
+        assertThat(inProgress).isNotNull();
         node.terminate();
         node.line("draining");
-        assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 "); // new connections still come for a while
-        out.answer(200);
+        assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 "); // new connections are still accepted for a while
+        inProgress.answer(200);
         assertThat(node.ended(3500)).isTrue();
         assertThat(node.line("ended")).isNotNull();
         calls.clear();
         node.start();
         assertThat(node.line("ready")).contains("0 messages and 0 notices");
-        node.handIn("m3", "safe", 20_000, DEST, null, new byte[1]);
-        assertThat(call().header("request-id")).isEqualTo("m3"); // and m1 was not sent again
+        node.handIn("m3", "safe", 20_000, DESTINATION, null, new byte[1]);
+        assertThat(nextCall().header("request-id")).isEqualTo("m3"); // m1 was not sent again
     }
 
-    /** It would wait for the next process, which comes seconds later. */
+    /** Otherwise it would have to wait for the next process, which starts seconds later. */
     @Test
-    void whatWaitsWhenToldToEndIsStillDelivered() throws Exception {
-        AtomicInteger seen = new AtomicInteger();
-        behaviour = r -> {
-            if (seen.incrementAndGet() == 1) {
-                // Longer than the listener stays open; of a limit that is half used: a wait, no outage.
-                r.answer(429, "Retry-After: 1.2", "Server-Load: {\"x0\":0.5,\"x1\":9}");
+    void aMessageThatWaitsForARetryAtSigtermIsStillDelivered() throws Exception {
+        AtomicInteger callCount = new AtomicInteger();
+        endpointHandler = request -> {
+            if (callCount.incrementAndGet() == 1) {
+                // Longer than the listener stays open. With a limit that is half used this is a wait, not an outage.
+                request.answer(429, "Retry-After: 1.2", "Server-Load: {\"x0\":0.5,\"x1\":9}");
             } else {
-                r.answer(200);
+                request.answer(200);
             }
         };
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DEST, null, new byte[1]);
-        call();
+        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        nextCall();
         node.terminate();
         assertThat(node.ended(3500)).isTrue();
-        assertThat(call().header("request-id")).isEqualTo("m1");
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
         assertThat(node.line("ended")).contains("0 messages kept");
     }
 
     @Test
-    void anIdleRelayThatIsToldToEndDoesSoInTime() throws Exception {
+    void anIdleRelayExitsInTimeAfterSigterm() throws Exception {
         node.start();
         node.terminate();
         assertThat(node.ended(3500)).isTrue();
     }
 
     @Test
-    void aFullDiskRefusesAndNeverOverflows() throws Exception {
-        partner.close();
+    void messagesAreRejectedBeforeTheDiskLimitIsExceeded() throws Exception {
+        endpoint.close();
         node.diskMb(1);
         node.start();
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 60; i++) {
-            String answer = node.handIn("m" + i, "safe", 30_000, DEST, null, new byte[30_000]);
+            String answer = node.handIn("m" + i, "safe", 30_000, DESTINATION, null, new byte[30_000]);
             assertThat(answer).startsWith("HTTP/1.1 ").containsAnyOf(" 202 ", " 503 ");
-            refused += answer.contains(" 503 ") ? 1 : 0;
-            long sum = 0;
-            try (Stream<Path> all = Files.list(node.state())) {
-                for (Path p : all.toList()) {
-                    sum += Files.exists(p) ? (Files.size(p) + 511) / 512 * 512 : 0;
+            rejected += answer.contains(" 503 ") ? 1 : 0;
+            long usedBytes = 0;
+            try (Stream<Path> files = Files.list(node.state())) {
+                for (Path file : files.toList()) {
+                    usedBytes += Files.exists(file) ? (Files.size(file) + 511) / 512 * 512 : 0;
                 }
             }
-            assertThat(sum).isLessThanOrEqualTo(1_000_000);
+            assertThat(usedBytes).isLessThanOrEqualTo(1_000_000);
         }
-        assertThat(refused).isGreaterThan(30);
+        assertThat(rejected).isGreaterThan(30);
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
     }
 
     @Test
-    void withDiscoveryDownItServesFromTheListItHeldAndCatchesUp() throws Exception {
+    void whileDiscoveryIsDownItServesFromItsLastListAndLaterCatchesUp() throws Exception {
         platform.down(true);
         node.start();
         node.line("list lost");
-        node.handIn("m1", "safe", 9000, DEST, null, new byte[1]);
-        assertThat(call().header("request-id")).isEqualTo("m1");
+        node.handIn("m1", "safe", 9000, DESTINATION, null, new byte[1]);
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
         platform.down(false);
         node.line("list found again");
-        try (StandIn other = new StandIn(r -> {
-            calls.add(r);
-            r.answer(200);
+        try (StandIn other = new StandIn(request -> {
+            calls.add(request);
+            request.answer(200);
         })) {
-            platform.tell(Platform.list(2, false, "s2 9 " + other.hostPort(), "s1 7 " + partner.hostPort()));
+            platform.tell(Platform.list(2, false, "s2 9 " + other.hostPort(), "s1 7 " + endpoint.hostPort()));
             String answer;
-            do { // 404 until the change has come
+            do { // 404 until the change has arrived
                 answer = node.handIn("m2", "safe", 9000, "dest=9", null, new byte[1]);
             } while (answer.contains(" 404 "));
             assertThat(answer).contains(" 202 ");
-            assertThat(call().header("request-id")).isEqualTo("m2");
+            assertThat(nextCall().header("request-id")).isEqualTo("m2");
         }
     }
 
-    /** What the place that pushes lists has counts from the first moment on, and here it comes by a watch. */
+    /** If discovery pushes lists, the relay must know the current list before its first call; it gets it by a watch. */
     @Test
-    void whereListsArePushedItWatchesBeforeItCallsAnybody() throws Exception {
+    void withPushedListsItWatchesBeforeItsFirstCall() throws Exception {
         node.config(Files.readString(node.write()).replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
-        behaviour = r -> {};
+        endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "safe", 20_000, DEST, null, new byte[1]);
-        assertThat(call().header("request-id")).isEqualTo("m1");
+        node.handIn("m1", "safe", 20_000, DESTINATION, null, new byte[1]);
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
         assertThat(platform.watched()).isTrue();
         node.kill();
         calls.clear();
-        platform.holds(Platform.list(2, true, "s1 7 " + partner.hostPort() + " draining"));
-        AtomicBoolean told = new AtomicBoolean();
-        Set<String> early = ConcurrentHashMap.newKeySet();
-        behaviour = r -> {
-            if (!told.get()) {
-                early.add(r.header("request-id"));
+        platform.holds(Platform.list(2, true, "s1 7 " + endpoint.hostPort() + " draining"));
+        AtomicBoolean listSent = new AtomicBoolean();
+        Set<String> calledBefore = ConcurrentHashMap.newKeySet();
+        endpointHandler = request -> {
+            if (!listSent.get()) {
+                calledBefore.add(request.header("request-id"));
             }
-            r.answer(200);
+            request.answer(200);
         };
         node.start();
         assertThat(node.line("ready")).contains("1 messages");
-        told.set(true);
+        listSent.set(true);
         platform.tell(list(3));
-        assertThat(call().header("request-id")).isEqualTo("m1");
-        assertThat(early).isEmpty(); // by the list that it was started with it would have been
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
+        assertThat(calledBefore).isEmpty(); // with the list from its configuration m1 would have been sent
     }
 
     /**
-     * SIGHUP would end the virtual machine; here it means to follow discovery and the platform elsewhere. Who starts us
-     * with it ignored keeps it from us for good: then the changed file alone has to do.
+     * By default SIGHUP ends the virtual machine. Here the relay reads its configuration again, and follows discovery
+     * and the platform to their new address. A process that was started with SIGHUP ignored never receives it, and must
+     * notice the changed file by itself.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void atAHangUpItFollowsDiscoveryAndThePlatformAndTouchesNoMessage(boolean ignored) throws Exception {
+    void atSighupItFollowsDiscoveryAndThePlatformAndKeepsItsMessages(boolean ignored) throws Exception {
         if (ignored) {
-            node.ignoreHangUps();
+            node.ignoreSighup();
         } else {
             node.takeSignals();
         }
-        LinkedBlockingQueue<StandIn.Request> held = new LinkedBlockingQueue<>();
-        behaviour = held::add;
+        LinkedBlockingQueue<StandIn.Request> unanswered = new LinkedBlockingQueue<>();
+        endpointHandler = unanswered::add;
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DEST, null, new byte[1]);
-        StandIn.Request out = held.poll(20, TimeUnit.SECONDS);
+        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        StandIn.Request inProgress = unanswered.poll(20, TimeUnit.SECONDS);
         try (Platform first = new Platform(list(1));
                 Platform second = new Platform(
-                        Platform.list(3, true, "s1 7 " + partner.hostPort(), "s2 9 " + partner.hostPort()))) {
-            for (Platform p : List.of(first, second)) {
-                node.discovery(p.hostPort());
+                        Platform.list(3, true, "s1 7 " + endpoint.hostPort(), "s2 9 " + endpoint.hostPort()))) {
+            for (Platform next : List.of(first, second)) {
+                node.discovery(next.hostPort());
                 node.hangUp();
-                node.line("discovery at " + p.hostPort());
-                Await.until("a watch at the new place", p::watched);
+                node.line("discovery at " + next.hostPort());
+                Await.until("a watch at the new address", next::watched);
             }
-            platform.close(); // the old place is gone, and nothing comes of it
+            platform.close(); // the old address is gone, without effect
             while (node.handIn("x", "safe", 9000, "dest=9", null, new byte[1]).contains(" 404 ")) {
-                // what only the last place tells has not come yet
+                // the list of the second platform has not arrived yet
             }
-            out.answer(200); // and the call that was out went on
-            behaviour = r -> r.answer(503);
-            assertThat(node.handIn("m2", "unsafe", 1500, DEST, null, new byte[1]))
+            inProgress.answer(200); // the call in progress was not interrupted
+            endpointHandler = request -> request.answer(503);
+            assertThat(node.handIn("m2", "unsafe", 1500, DESTINATION, null, new byte[1]))
                     .startsWith("HTTP/1.1 202");
-            String n = second.notices.poll(20, TimeUnit.SECONDS);
-            assertThat(n).contains("\"message\":\"m2\"").contains("handed_back");
+            String notice = second.notices.poll(20, TimeUnit.SECONDS);
+            assertThat(notice).contains("\"message\":\"m2\"").contains("handed_back");
             assertThat(first.notices).isEmpty();
-            assertThat(calls.stream().filter(r -> "m1".equals(r.header("request-id"))))
+            assertThat(calls.stream().filter(call -> "m1".equals(call.header("request-id"))))
                     .hasSize(1);
         }
     }
 
     @Test
-    void atAHangUpAFileThatCannotBeUsedChangesNothing() throws Exception {
+    void atSighupAnInvalidConfigurationChangesNothing() throws Exception {
         node.start();
         Await.until("a watch", platform::watched);
         node.config("{\"listen\":");
@@ -563,35 +569,37 @@
         node.hangUp();
         node.line("settings.classes: no class");
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
-        behaviour = r -> r.answer(503);
-        node.handIn("m1", "unsafe", 1500, DEST, null, new byte[1]);
-        assertThat(notice()).contains("m1");
+        endpointHandler = request -> request.answer(503);
+        node.handIn("m1", "unsafe", 1500, DESTINATION, null, new byte[1]);
+        assertThat(nextNotice()).contains("m1");
         node.kill();
-        assertThat(node.log()).filteredOn(l -> l.contains("read before stays")).hasSize(2);
+        assertThat(node.log())
+                .filteredOn(line -> line.contains("read before stays"))
+                .hasSize(2);
     }
 
     @Test
-    void aLogThatNobodyReadsHoldsUpNeitherDeliveryNorTheEnd() throws Exception {
+    void anUnreadLogBlocksNeitherDeliveryNorExit() throws Exception {
         node.start();
-        node.leaveLogUnread();
+        node.stopReadingLog();
         byte[] body = new byte[1];
-        platform.noticeStatus(503); // repeated for ever
-        behaviour = r -> r.answer(503);
+        platform.noticeStatus(503); // notices are repeated without end
+        endpointHandler = request -> request.answer(503);
         for (int i = 0; i < 40; i++) {
-            node.handIn("x" + i, "unsafe", 100, DEST, null, body);
+            node.handIn("x" + i, "unsafe", 100, DESTINATION, null, body);
         }
-        for (int i = 0; i < 1300; i++) { // a pipe holds 64 KiB
+        for (int i = 0; i < 1300; i++) { // enough lines for a pipe, which holds 64 KiB
             node.signalHangUp();
         }
-        behaviour = r -> r.answer(200);
-        assertThat(node.handIn("m1", "safe", 9000, DEST, null, body)).contains(" 202 ");
-        Await.until("a delivery", () -> calls.stream().anyMatch(r -> "m1".equals(r.header("request-id"))));
+        endpointHandler = request -> request.answer(200);
+        assertThat(node.handIn("m1", "safe", 9000, DESTINATION, null, body)).contains(" 202 ");
+        Await.until("a delivery", () -> calls.stream().anyMatch(call -> "m1".equals(call.header("request-id"))));
         node.terminate();
         assertThat(node.ended(3700)).isTrue();
     }
 
     @Test
-    void settingsOfOursAreTakenOverWhereTheyCanBeAndTheLastUsableOnesStay() throws Exception {
+    void atSighupSettingsAreReloadedAndInvalidOnesIgnored() throws Exception {
         Path file = folder.resolve("settings.toml");
         Files.writeString(file, "[platform]\nposts = 4\n[start]\nreload = \"200ms\"\n");
         node.settings(file);
@@ -606,21 +614,24 @@
         Files.delete(file);
         node.signalHangUp();
         assertThat(node.line("cannot be read")).contains("the settings read before stays");
-        assertThat(node.handIn("m1", "safe", 5000, DEST, null, new byte[1])).contains(" 202 ");
+        assertThat(node.handIn("m1", "safe", 5000, DESTINATION, null, new byte[1]))
+                .contains(" 202 ");
     }
 
     @Test
-    void settingsThatCannotBeUsedEndTheStartWithALineForEachFault() throws Exception {
+    void invalidSettingsEndTheStartWithALineForEachFault() throws Exception {
         Path file = folder.resolve("settings.toml");
         Files.writeString(file, "[platform]\npost = 4\nleast = 5\n");
         node.settings(file);
         node.launch();
         assertThat(node.status()).isEqualTo(2);
-        assertThat(node.log()).hasSize(2).allMatch(l -> l.matches("firstair: .*settings.toml:[23]:1: platform\\..*"));
+        assertThat(node.log())
+                .hasSize(2)
+                .allMatch(line -> line.matches("firstair: .*settings.toml:[23]:1: platform\\..*"));
     }
 
     @Test
-    void atAHangUpAFileThatIsStillBeingWrittenIsReadAgain() throws Exception {
+    void atSighupAFileThatIsStillBeingWrittenIsReadAgain() throws Exception {
         node.start();
         Await.until("a watch", platform::watched);
         try (Platform later = new Platform(list(2))) {
@@ -628,34 +639,34 @@
             node.hangUp();
             node.config(null);
             node.discovery(later.hostPort());
-            node.write(); // with no signal of its own
-            Await.until("a watch at the new place", later::watched);
+            node.write(); // without another signal
+            Await.until("a watch at the new address", later::watched);
         }
     }
 
     @Test
-    void anEndpointThatDrainsGetsNothingNew() throws Exception {
+    void aDrainingEndpointReceivesNoNewCalls() throws Exception {
         node.start();
         AtomicInteger served = new AtomicInteger();
-        try (StandIn other = new StandIn(r -> {
-            r.answer(200);
+        try (StandIn other = new StandIn(request -> {
+            request.answer(200);
             served.incrementAndGet();
         })) {
             platform.tell(Platform.list(
                     2,
                     false,
-                    "s1 7 " + partner.hostPort() + " draining",
+                    "s1 7 " + endpoint.hostPort() + " draining",
                     "s2 7 " + other.hostPort(),
                     "s3 11 " + other.hostPort()));
             while (node.handIn("x", "safe", 9000, "dest=11", null, new byte[1]).contains(" 404 ")) {
-                // the change has not come yet
+                // the change has not arrived yet
             }
             calls.clear();
             int before = served.get();
             for (int i = 0; i < 20; i++) {
-                node.handIn("m" + i, "safe", 9000, DEST, null, new byte[1]);
+                node.handIn("m" + i, "safe", 9000, DESTINATION, null, new byte[1]);
             }
-            Await.until("all delivered by the other one", () -> served.get() >= before + 20);
+            Await.until("all delivered by the other endpoint", () -> served.get() >= before + 20);
             assertThat(calls).isEmpty();
         }
     }
@@ -670,7 +681,7 @@
                 "413 | POST /api HTTP/1.1\\nContent-Length: 65537\\n",
                 "505 | GET /api HTTP/9.9\\n",
             })
-    void badRequestsAreAnsweredAtOnceAndNothingIsStored(int status, String text) throws Exception {
+    void badRequestsAreAnsweredAtOnceAndNotStored(int status, String text) throws Exception {
         node.start();
         long before = Files.size(node.file());
         String length = text.contains("65537") || text.startsWith("nonsense") ? "" : "Content-Length: 0\r\n";
@@ -693,54 +704,54 @@
                 "Request-Id: a;Request-Class: keyed;Request-Timeout-Ms: 9;X-Addressing: dest=7",
                 "Request-Id: a b;Request-Class: safe;Request-Timeout-Ms: 9;X-Addressing: dest=7",
             })
-    void messagesWithoutWhatIsNeededAreBadRequests(String headers) throws Exception {
-        badRequestsAreAnsweredAtOnceAndNothingIsStored(
-                400, "POST /api HTTP/1.1\\n" + headers.replace(";", "\\n") + "\\n");
+    void messagesWithMissingOrInvalidHeadersAreBadRequests(String headers) throws Exception {
+        badRequestsAreAnsweredAtOnceAndNotStored(400, "POST /api HTTP/1.1\\n" + headers.replace(";", "\\n") + "\\n");
     }
 
     @Test
-    void anUnknownDestinationIsRefusedOnceTheListIsCurrent() throws Exception {
+    void anUnknownDestinationIsRejectedWith404OnceTheListIsCurrent() throws Exception {
         node.start();
         String answer;
         int i = 0;
-        do { // until the watch has told its first object
+        do { // until the watch has received the list
             answer = node.handIn("m" + i++, "safe", 9000, "dest=99", null, new byte[1]);
         } while (answer.contains(" 202 "));
         assertThat(answer).startsWith("HTTP/1.1 404");
     }
 
-    /** Taken on it could not be sent anywhere; refused, it may be handed in where, or when, the list has it. */
+    /** Accepted, the message could not be sent; rejected with 503, it can be handed in again later or elsewhere. */
     @Test
-    void anUnknownDestinationIsTurnedAwayWhileNoListIsCurrent() throws Exception {
+    void anUnknownDestinationIsRejectedWith503WhileNoListIsCurrent() throws Exception {
         platform.down(true);
         node.start();
         assertThat(node.handIn("m1", "safe", 9000, "dest=99", null, new byte[1]))
                 .startsWith("HTTP/1.1 503");
-        assertThat(node.handIn("m2", "safe", 9000, DEST, null, new byte[1])).startsWith("HTTP/1.1 202");
+        assertThat(node.handIn("m2", "safe", 9000, DESTINATION, null, new byte[1]))
+                .startsWith("HTTP/1.1 202");
     }
 
-    /** What a client sends, piece by piece for ever, and the end that it sees. */
-    private double secondsUntilTheEnd(byte[] first, byte[] again) throws Exception {
-        try (Socket s = new Socket()) {
-            s.connect(node.address());
-            long from = System.nanoTime();
-            s.setSoTimeout(20);
-            InputStream in = s.getInputStream();
+    /** Sends bytes, then others again and again; returns the seconds until an error response or the end. */
+    private double secondsUntilTheEnd(byte[] first, byte[] repeated) throws Exception {
+        try (Socket client = new Socket()) {
+            client.connect(node.address());
+            long startNs = System.nanoTime();
+            client.setSoTimeout(20);
+            InputStream in = client.getInputStream();
             try {
-                s.getOutputStream().write(first);
-                while (System.nanoTime() - from < TimeUnit.SECONDS.toNanos(20)) {
+                client.getOutputStream().write(first);
+                while (System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(20)) {
                     try {
-                        int b = in.read();
-                        assertThat(b).isIn(-1, (int) 'H'); // an error, or the end
+                        int next = in.read();
+                        assertThat(next).isIn(-1, (int) 'H'); // the end, or an error response
                         break;
                     } catch (SocketTimeoutException e) {
-                        s.getOutputStream().write(again);
+                        client.getOutputStream().write(repeated);
                     }
                 }
             } catch (SocketException e) {
-                // reset: an end as well
+                // a reset is an end as well
             }
-            return (System.nanoTime() - from) / 1e9;
+            return (System.nanoTime() - startNs) / 1e9;
         }
     }
 
@@ -755,7 +766,7 @@
                 "GET | ",
                 "POST /api HTTP/1.1\\nTransfer-Encoding: chunked\\n\\n | 1\\na\\n"
             })
-    void aClientThatNeverSendsAWholeRequestIsEndedInTime(String text) throws Exception {
+    void aClientThatNeverCompletesARequestIsDisconnectedInTime(String text) throws Exception {
         node.start();
         String[] parts = (text + " ").replace("\\n", "\r\n").split("\\|");
         assertThat(secondsUntilTheEnd(
@@ -769,135 +780,139 @@
     @Test
     void aBodyOfManyMegabytesIsNotReadToItsEnd() throws Exception {
         node.start();
-        byte[] much = new byte[60 << 20];
+        byte[] request = new byte[60 << 20];
         byte[] head = "POST /api HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-        System.arraycopy(head, 0, much, 0, head.length);
-        assertThat(secondsUntilTheEnd(much, new byte[1])).isLessThan(3);
+        System.arraycopy(head, 0, request, 0, head.length);
+        assertThat(secondsUntilTheEnd(request, new byte[1])).isLessThan(3);
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
     }
 
-    /** The hidden one would be a message that no client handed in. */
+    /** Otherwise the body of a request could contain a message that no client has handed in (request smuggling). */
     @Test
-    void whatHidesBehindTwoLengthsIsNotRead() throws Exception {
+    void aRequestHiddenByConflictingLengthsIsNotRead() throws Exception {
         node.start();
-        String hidden = node.handInText("hidden", "safe", 9000, DEST, null, 1) + "x";
-        for (String order : new String[] {
+        String hidden = node.handInText("hidden", "safe", 9000, DESTINATION, null, 1) + "x";
+        for (String lengths : new String[] {
             "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
             "Transfer-Encoding: chunked\r\nContent-Length: " + (5 + hidden.length()) + "\r\n",
             "Transfer-Encoding: \tchunked\r\nContent-Length: 0\r\n"
         }) {
-            String all = node.rawAll("POST /api HTTP/1.1\r\n" + order + "\r\n0\r\n\r\n" + hidden);
-            assertThat(all)
+            String response = node.rawAll("POST /api HTTP/1.1\r\n" + lengths + "\r\n0\r\n\r\n" + hidden);
+            assertThat(response)
                     .startsWith("HTTP/1.1 400")
                     .containsOnlyOnce("HTTP/1.1")
                     .contains("Connection: close");
         }
-        assertThat(node.handIn("m1", "safe", 9000, DEST, null, new byte[1])).startsWith("HTTP/1.1 202");
-        assertThat(call().header("request-id")).isEqualTo("m1");
+        assertThat(node.handIn("m1", "safe", 9000, DESTINATION, null, new byte[1]))
+                .startsWith("HTTP/1.1 202");
+        assertThat(nextCall().header("request-id")).isEqualTo("m1");
     }
 
     @Test
-    void hundredsThatSayNothingKeepNobodyOut() throws Exception {
+    void hundredsOfSilentClientsDoNotBlockOthers() throws Exception {
         node.sockets(96);
         node.start();
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 300; i++) {
-                Socket s = new Socket();
-                s.connect(node.address());
-                silent.add(s);
+                Socket socket = new Socket();
+                socket.connect(node.address());
+                silent.add(socket);
                 if (i % 50 == 49) {
-                    assertThat(node.handIn("m" + i, "safe", 9000, DEST, null, new byte[1]))
+                    assertThat(node.handIn("m" + i, "safe", 9000, DESTINATION, null, new byte[1]))
                             .startsWith("HTTP/1.1 202");
                 }
             }
-            for (Socket s : silent) { // and each of them sees an end
-                s.setSoTimeout(3000);
-                assertThat(s.getInputStream().read()).isIn(-1, (int) 'H');
+            for (Socket socket : silent) { // each connection ends
+                socket.setSoTimeout(3000);
+                assertThat(socket.getInputStream().read()).isIn(-1, (int) 'H');
             }
         } finally {
-            for (Socket s : silent) {
-                s.close();
+            for (Socket socket : silent) {
+                socket.close();
             }
         }
     }
 
-    /** Clients that keep what they do not need would leave the others none of what clients may hold. */
+    /** Otherwise clients with idle connections would use up all connections that clients may have. */
     @Test
-    void inACrowdNoConnectionIsKeptWithoutNeed() throws Exception {
+    void idleConnectionsAreClosedWhenThereAreMany() throws Exception {
         node.sockets(192);
         node.start();
-        String ask = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-        assertThat(node.raw(ask)).doesNotContain("Connection: close");
+        String request = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+        assertThat(node.raw(request)).doesNotContain("Connection: close");
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 50; i++) {
-                Socket s = new Socket();
-                s.connect(node.address());
-                silent.add(s);
+                Socket socket = new Socket();
+                socket.connect(node.address());
+                silent.add(socket);
             }
-            assertThat(node.rawAll(ask)).startsWith("HTTP/1.1 200").contains("Connection: close"); // and it is closed
-            long from = System.nanoTime();
-            for (Socket s : silent.subList(0, 10)) { // the first of the crowd
-                s.setSoTimeout(5000);
-                assertThat(s.getInputStream().read()).isIn(-1, (int) 'H');
+            assertThat(node.rawAll(request))
+                    .startsWith("HTTP/1.1 200")
+                    .contains("Connection: close"); // and the relay closes it
+            long startNs = System.nanoTime();
+            for (Socket socket : silent.subList(0, 10)) { // the oldest ones
+                socket.setSoTimeout(5000);
+                assertThat(socket.getInputStream().read()).isIn(-1, (int) 'H');
             }
-            assertThat(System.nanoTime() - from).isLessThan(TimeUnit.MILLISECONDS.toNanos(1500));
+            assertThat(System.nanoTime() - startNs).isLessThan(TimeUnit.MILLISECONDS.toNanos(1500));
         } finally {
-            for (Socket s : silent) {
-                s.close();
+            for (Socket socket : silent) {
+                socket.close();
             }
         }
     }
 
-    /** Its first request may be on its way when the listener closes, and has a claim to an answer. */
+    /** Its first request may arrive after the listener has closed, and must be answered. */
     @Test
-    void aClientThatConnectedJustBeforeTheEndIsAnswered() throws Exception {
+    void aClientThatConnectsJustBeforeTheListenerClosesIsAnswered() throws Exception {
         node.start();
         node.terminate();
         node.line("draining");
-        List<Socket> came = new ArrayList<>();
+        List<Socket> connected = new ArrayList<>();
         try {
             while (true) {
-                Socket s = new Socket();
-                s.connect(node.address());
-                came.add(s);
-                TimeUnit.MILLISECONDS.sleep(20); // so that there are not thousands
+                Socket socket = new Socket();
+                socket.connect(node.address());
+                connected.add(socket);
+                TimeUnit.MILLISECONDS.sleep(20); // to open few connections
             }
         } catch (IOException e) {
-            // the listener has closed
+            // the listener is closed
         }
-        Socket last = came.get(came.size() - 2); // the very last one may not have been accepted
+        Socket last = connected.get(connected.size() - 2); // the very last one may not have been accepted
         last.setSoTimeout(3000);
         last.getOutputStream()
-                .write((node.handInText("m1", "safe", 9000, DEST, null, 1) + "x").getBytes(StandardCharsets.US_ASCII));
+                .write((node.handInText("m1", "safe", 9000, DESTINATION, null, 1) + "x")
+                        .getBytes(StandardCharsets.US_ASCII));
         assertThat(last.getInputStream().read()).isEqualTo('H');
         assertThat(node.ended(3500)).isTrue();
-        for (Socket s : came) {
-            s.close();
+        for (Socket socket : connected) {
+            socket.close();
         }
     }
 
     @Test
-    void aRequestWithoutALengthIsRefused() throws Exception {
+    void aRequestWithoutALengthIsRejected() throws Exception {
         node.start();
         assertThat(node.raw("POST /api HTTP/1.1\r\nHost: x\r\n\r\n")).startsWith("HTTP/1.1 411");
     }
 
     @Test
-    void requestsOnOneConnectionAreAnsweredInTheirOrder() throws Exception {
+    void requestsOnOneConnectionAreAnsweredInOrder() throws Exception {
         node.start();
-        String one = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+        String first = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
         String last = "GET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         List<String> statuses = new ArrayList<>();
-        for (String line : node.rawAll(one + node.handInText("p1", "safe", 9000, DEST, null, 3) + "abc" + last)
+        for (String line : node.rawAll(first + node.handInText("p1", "safe", 9000, DESTINATION, null, 3) + "abc" + last)
                 .split("\r\n")) {
             if (line.startsWith("HTTP/1.1 ")) {
                 statuses.add(line.substring(9, 12));
             }
         }
         assertThat(statuses).containsExactly("200", "202", "404");
-        assertThat(call().body()).asString(StandardCharsets.US_ASCII).isEqualTo("abc");
+        assertThat(nextCall().body()).asString(StandardCharsets.US_ASCII).isEqualTo("abc");
     }
 
     @ParameterizedTest
@@ -920,7 +935,8 @@
                         + "\"settings\":{\"classes\":[{\"name\":\"a\"}]},\"known\":{\"version\":1,\"servers\":"
                         + "[{\"id\":\"s\",\"state\":\"up\",\"addr\":\"127.0.0.1:1\",\"cell\":\"one\\ntwo\"}]}}",
             })
-    void aBadConfigurationEndsWithOneLineThatNamesTheField(String message, String config) throws Exception {
+    void anInvalidConfigurationEndsTheStartWithOneLineThatNamesTheField(String message, String config)
+            throws Exception {
         node.config(config);
         node.launch();
         assertThat(node.status()).isEqualTo(2);
@@ -931,11 +947,12 @@
     @Test
     void manyClientsAtOnceAreAllAnsweredWithinTheMemory() throws Exception {
         node.start();
-        int clients = 450; // fewer than the connections that clients may have: beyond that idle ones are closed
-        List<String> answers = node.together(clients, 65_536);
-        assertThat(answers).hasSize(clients).allMatch(a -> a.matches("(?s)HTTP/1.1 (202|503) .*"));
-        long delivered =
-                answers.stream().filter(a -> a.startsWith("HTTP/1.1 202")).count();
+        int clients = 450; // fewer than the limit of client connections, beyond which idle ones are closed
+        List<String> answers = node.handInAtOnce(clients, 65_536);
+        assertThat(answers).hasSize(clients).allMatch(answer -> answer.matches("(?s)HTTP/1.1 (202|503) .*"));
+        long delivered = answers.stream()
+                .filter(answer -> answer.startsWith("HTTP/1.1 202"))
+                .count();
         Await.until("an end of each message", () -> calls.size() + platform.notices.size() >= delivered);
         assertThat(node.mostMemoryKb()).isLessThan(192 * 1000);
     }
