--- a/src/test/java/firstair/relay/ListClockTest.java
+++ b/src/test/java/firstair/relay/ListClockTest.java
@@ -50,32 +50,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What discovery had while it could be reached is known within six seconds, whatever becomes of the calls to it. */
+/** A relay knows the list within six seconds of discovery being reachable, however single calls to it fail. */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ListClockTest {
-    private static final double TOLD_MS = 6000;
-    private static final double MOVED_MS = 4000;
-    private static final double LATE_MS = 1500; // a connection comes up so late
-    private static final double TURN_MS = 980; // a call is refused so late
+    private static final double KNOWN_MS = 6000; // after discovery can be reached
+    private static final double MOVED_MS = 4000; // after SIGHUP with a new address of discovery
+    private static final double LATE_CONNECT_MS = 1500;
+    private static final double LATE_REFUSAL_MS = 980;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final Limits USUAL = Limits.of(0, 0, 64_000_000, 0, 0, 0);
+    private static final Limits LIMITS = Limits.of(0, 0, 64_000_000, 0, 0, 0);
 
     @TempDir
     private Path folder;
 
-    /** The longest pause that the decisions make after any of many failures in a row, over many seeds. */
-    private static double longestPause(ListUpdate news, boolean ask, double askEveryMs) {
+    /** The longest pause, in ms, that the controller makes after any of 12 failures in a row, over 100 seeds. */
+    private static double longestPause(ListUpdate failure, boolean ask, double askEveryMs) {
         double longest = 0;
         for (int seed = 0; seed < 100; seed++) {
-            int[] asked = new int[1];
+            int[] watchCalls = new int[1];
             Controller.Actions actions = (Controller.Actions) Proxy.newProxyInstance(
                     ListClockTest.class.getClassLoader(),
                     new Class<?>[] {Controller.Actions.class},
-                    (self, m, args) -> {
-                        asked[0] += m.getName().equals("watchList") ? 1 : 0;
+                    (proxy, method, arguments) -> {
+                        watchCalls[0] += method.getName().equals("watchList") ? 1 : 0;
                         return null;
                     });
-            Controller c = new Control(
+            Controller controller = new Control(
                     new Controller.Settings(
                             2,
                             0,
@@ -90,77 +90,80 @@
                             new Controller.Rules(20, askEveryMs, 1000, 0.25, 10_000, 1.5, 2000, 500)),
                     seed,
                     actions);
-            double now = 1000;
-            for (int failure = 0; failure < 12; failure++) {
-                double failed = now;
-                int before = asked[0];
-                c.list(now, news, List.of());
-                for (; asked[0] == before; now += 1) {
-                    c.timer(now);
-                    c.decide(now);
+            double nowMs = 1000;
+            for (int count = 0; count < 12; count++) {
+                double failedMs = nowMs;
+                int before = watchCalls[0];
+                controller.list(nowMs, failure, List.of());
+                for (; watchCalls[0] == before; nowMs += 1) {
+                    controller.timer(nowMs);
+                    controller.decide(nowMs);
                 }
-                longest = Math.max(longest, now - 1 - failed);
+                longest = Math.max(longest, nowMs - 1 - failedMs);
             }
         }
         return longest;
     }
 
-    /** The sums of docs/relay.md. */
+    /** Checks the sums in docs/relay.md. */
     @ParameterizedTest
     @CsvSource({"true,10000", "false,0", "false,10000", "true,0", "true,3000"})
-    void theSumOfWaitsAndPausesStaysBelowSixSeconds(boolean ask, double askEveryMs) {
+    void theSumsOfTimeoutsAndPausesStayBelowSixSeconds(boolean ask, double askEveryMs) {
         double pause = longestPause(ListUpdate.FAILED, ask, askEveryMs);
         double shortPause = longestPause(ListUpdate.OVERDUE, ask, askEveryMs);
-        double failing = Math.max(USUAL.listWaitMs() + shortPause, USUAL.listWaitMs() / 2 + pause); // however it fails
-        double silence = USUAL.listSilenceMs() + USUAL.sweepMs();
-        assertThat(TURN_MS).isLessThan(USUAL.listWaitMs());
-        assertThat(LATE_MS + TURN_MS).isLessThan(USUAL.listAnswerMs()); // a call is not given up that may be answered
-        assertThat(silence + 2 * failing)
-                .as("a silent watch and two calls that fail")
-                .isLessThan(TOLD_MS - 300);
-        assertThat(silence + failing + LATE_MS)
-                .as("a silent watch, a call that fails, a late one")
-                .isLessThan(TOLD_MS - 300);
-        assertThat(silence + 3 * failing)
-                .as("a silent watch and three calls that fail")
-                .isLessThan(TOLD_MS - 200);
-        assertThat(2 * silence + failing)
-                .as("a silent watch, a call that fails, a head with nothing behind it")
-                .isLessThan(TOLD_MS - 150);
-        assertThat(2 * silence).as("two watches that fall silent").isLessThan(TOLD_MS - 600);
-        assertThat(pause + 3 * failing).as("a pause and three calls that fail").isLessThan(TOLD_MS - 900);
-        assertThat(pause + 2 * failing + LATE_MS)
-                .as("a pause, two calls that fail, a late one")
-                .isLessThan(TOLD_MS - 900);
-        assertThat(2 * failing).as("a hang-up and two calls that fail").isLessThan(MOVED_MS - 900);
+        // Whichever way it fails.
+        double failedCall = Math.max(LIMITS.listWaitMs() + shortPause, LIMITS.listWaitMs() / 2 + pause);
+        double silence = LIMITS.listSilenceMs() + LIMITS.sweepMs();
+        assertThat(LATE_REFUSAL_MS).isLessThan(LIMITS.listWaitMs());
+        // A call that may still be answered is not given up.
+        assertThat(LATE_CONNECT_MS + LATE_REFUSAL_MS).isLessThan(LIMITS.listAnswerMs());
+        assertThat(silence + 2 * failedCall)
+                .as("a silent watch and two failed calls")
+                .isLessThan(KNOWN_MS - 300);
+        assertThat(silence + failedCall + LATE_CONNECT_MS)
+                .as("a silent watch, a failed call, a late one")
+                .isLessThan(KNOWN_MS - 300);
+        assertThat(silence + 3 * failedCall)
+                .as("a silent watch and three failed calls")
+                .isLessThan(KNOWN_MS - 200);
+        assertThat(2 * silence + failedCall)
+                .as("a silent watch, a failed call, a response with no body")
+                .isLessThan(KNOWN_MS - 150);
+        assertThat(2 * silence).as("two silent watches").isLessThan(KNOWN_MS - 600);
+        assertThat(pause + 3 * failedCall).as("a pause and three failed calls").isLessThan(KNOWN_MS - 900);
+        assertThat(pause + 2 * failedCall + LATE_CONNECT_MS)
+                .as("a pause, two failed calls, a late one")
+                .isLessThan(KNOWN_MS - 900);
+        assertThat(2 * failedCall).as("a SIGHUP and two failed calls").isLessThan(MOVED_MS - 900);
     }
 
-    /** Gives each call the next word, by which it fails here or in the place that it reaches. */
-    private static Dialer flawed(Wire wire, Loop loop, Queue<String> words, AtomicLong from, Queue<String> course) {
-        return (to, maxBody, request, first, closedIdle) -> {
-            String next = words.poll();
-            String word = next == null ? "told" : next;
-            from.compareAndSet(0, System.nanoTime());
-            course.add(Math.round((System.nanoTime() - from.get()) / 1e6) + " " + word);
+    /** Lets each call follow the next step of a scenario, either here or, by a header, in {@link #discover}. */
+    private static Dialer faultyDialer(
+            Wire wire, Loop loop, Queue<String> steps, AtomicLong startNs, Queue<String> timeline) {
+        return (address, maxBody, request, exchange, closedIdle) -> {
+            String next = steps.poll();
+            String step = next == null ? "list" : next;
+            startNs.compareAndSet(0, System.nanoTime());
+            timeline.add(Math.round((System.nanoTime() - startNs.get()) / 1e6) + " " + step);
             byte[] marked = new String(request, StandardCharsets.US_ASCII)
-                    .replace("Host:", "Word: " + word + "\r\nHost:")
+                    .replace("Host:", "Step: " + step + "\r\nHost:")
                     .getBytes(StandardCharsets.US_ASCII);
-            if (word.equals("never")) {
+            if (step.equals("never")) {
                 return FaultyDialer.deaf();
             }
-            if (!word.equals("late")) {
-                return wire.open(to, maxBody, marked, first, closedIdle);
+            if (!step.equals("late")) {
+                return wire.open(address, maxBody, marked, exchange, closedIdle);
             }
-            Link[] real = {FaultyDialer.deaf()};
-            AtomicBoolean left = new AtomicBoolean();
-            loop.after(LATE_MS, () -> {
-                if (!left.get()) {
-                    real[0] = wire.open(to, maxBody, marked, first, closedIdle);
+            Link[] link = {FaultyDialer.deaf()};
+            AtomicBoolean closed = new AtomicBoolean();
+            loop.after(LATE_CONNECT_MS, () -> {
+                if (!closed.get()) {
+                    link[0] = wire.open(address, maxBody, marked, exchange, closedIdle);
                 }
             });
             return new Link() {
                 @Override
-                public boolean send(byte[] again, Exchange other) {
+                public boolean send(byte[] request, Exchange exchange) {
                     return false;
                 }
 
@@ -176,13 +179,13 @@
 
                 @Override
                 public boolean connecting() {
-                    return real[0].connecting();
+                    return link[0].connecting();
                 }
 
                 @Override
                 public boolean leave() {
-                    left.set(true);
-                    return real[0].leave();
+                    closed.set(true);
+                    return link[0].leave();
                 }
 
                 @Override
@@ -193,8 +196,8 @@
         };
     }
 
-    private static void write(StandIn.Request r, String text) throws IOException {
-        r.write(text.getBytes(StandardCharsets.UTF_8));
+    private static void write(StandIn.Request request, String text) throws IOException {
+        request.write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     private static String chunk(String text) {
@@ -209,66 +212,66 @@
         }
     }
 
-    /** What the place does with a call, by its word. */
-    private static void place(StandIn.Request r, AtomicLong silentAt) throws IOException {
-        switch (String.valueOf(r.header("word"))) {
+    /** Answers a call as discovery, by the step in its header. */
+    private static void discover(StandIn.Request request, AtomicLong silentSinceNs) throws IOException {
+        switch (String.valueOf(request.header("step"))) {
             case "object" -> {
-                silentAt.set(System.nanoTime());
-                write(r, HEAD + chunk(Platform.list(2, true, "s1 7 127.0.0.1:1")));
+                silentSinceNs.set(System.nanoTime());
+                write(request, HEAD + chunk(Platform.list(2, true, "s1 7 127.0.0.1:1")));
             }
-            case "head" -> write(r, HEAD);
-            case "half" -> write(r, HEAD + chunk("{\"version\":3,"));
+            case "head" -> write(request, HEAD);
+            case "half" -> write(request, HEAD + chunk("{\"version\":3,"));
             case "drip" -> {
-                write(r, HEAD + chunk("{\"version\":3,\"x\":\""));
+                write(request, HEAD + chunk("{\"version\":3,\"x\":\""));
                 while (true) { // until the relay closes
-                    write(r, chunk("x"));
+                    write(request, chunk("x"));
                     pause(100);
                 }
             }
-            case "refuse" -> r.answer(503);
+            case "refuse" -> request.answer(503);
             case "endless" -> {
-                write(r, "HTTP/1.1 503 x\r\nContent-Length: 1000000000\r\n\r\n");
+                write(request, "HTTP/1.1 503 x\r\nContent-Length: 1000000000\r\n\r\n");
                 while (true) {
-                    write(r, "x".repeat(1000));
+                    write(request, "x".repeat(1000));
                     pause(10);
                 }
             }
             case "slow" -> {
-                pause(TURN_MS);
-                r.answer(503);
+                pause(LATE_REFUSAL_MS);
+                request.answer(503);
             }
-            case "reset" -> r.reset();
+            case "reset" -> request.reset();
             case "fin" -> {
-                write(r, HEAD);
-                r.socket().close();
+                write(request, HEAD);
+                request.socket().close();
             }
             case "pieces" -> {
                 for (String piece : HEAD.split("(?<=0)|(?<=\r\n)")) {
-                    write(r, piece);
+                    write(request, piece);
                     pause(20);
                 }
-                write(r, chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+                write(request, chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
             }
-            case "long" -> { // neither chunked nor with a length: up to its end
-                write(r, "HTTP/1.1 200 OK\r\n\r\n" + Platform.list(4, true, "s1 7 127.0.0.1:1"));
+            case "long" -> { // neither chunked nor with a length: ends with the connection
+                write(request, "HTTP/1.1 200 OK\r\n\r\n" + Platform.list(4, true, "s1 7 127.0.0.1:1"));
             }
             case "nothing" -> {}
-            default -> write(r, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+            default -> write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
         }
     }
 
     /**
-     * Each mix is forced with the longest pauses that the decisions make; its clock runs from where it is worst. What
-     * is too late on a machine that is short of cores is played a second time: a wrong decision is as late again.
+     * Runs each scenario with the longest pauses that the controller makes, timed from the worst moment. Those that are
+     * too late run a second time, as a machine that is short of cores may delay them; a wrong decision is late again.
      */
     @Test
-    void theListIsThereInTimeWhateverBecomesOfTheCalls() throws Exception {
+    void theListArrivesInTimeHoweverCallsFail() throws Exception {
         Map<ListUpdate, Double> pauses = new EnumMap<>(ListUpdate.class);
-        for (ListUpdate n : List.of(ListUpdate.FAILED, ListUpdate.OVERDUE)) {
-            pauses.put(n, Math.max(longestPause(n, true, 10_000), longestPause(n, false, 0)));
+        for (ListUpdate failure : List.of(ListUpdate.FAILED, ListUpdate.OVERDUE)) {
+            pauses.put(failure, Math.max(longestPause(failure, true, 10_000), longestPause(failure, false, 0)));
         }
-        List<String> orders = List.of(
-                // a watch falls silent, and what it misses counts from then on
+        List<String> scenarios = List.of(
+                // a watch falls silent, and a change that it misses must be known from then on
                 "object",
                 "object nothing",
                 "object head",
@@ -300,7 +303,7 @@
                 "object nothing head",
                 "object slow head",
                 "object refuse head",
-                // discovery is back just after a call has been refused, or has begun
+                // discovery can be reached again just after a call has been refused, or has begun
                 "refuse slow slow slow",
                 "refuse nothing nothing nothing",
                 "refuse never slow half",
@@ -311,124 +314,133 @@
                 "late never late",
                 "reset endless reset never",
                 "refuse never head");
-        List<String> late = played(orders, pauses);
-        System.out.println(late.size() + " are played a second time: " + late);
-        assertThat(played(late.stream().map(l -> l.replaceAll(":.*", "")).toList(), pauses))
+        List<String> late = runScenarios(scenarios, pauses);
+        System.out.println(late.size() + " run a second time: " + late);
+        assertThat(runScenarios(
+                        late.stream().map(line -> line.replaceAll(":.*", "")).toList(), pauses))
                 .isEmpty();
     }
 
-    /** Plays the orders side by side and returns those that were too late, with the calls that were made. */
-    private static List<String> played(List<String> orders, Map<ListUpdate, Double> pauses) throws Exception {
-        Map<String, Double> took = new ConcurrentHashMap<>();
-        Map<String, Queue<String>> courses = new ConcurrentHashMap<>();
-        List<StandIn> places = new ArrayList<>();
-        Wire wire = new Wire(USUAL);
+    /** Runs the scenarios in parallel; returns those that were too late, with the calls that were made. */
+    private static List<String> runScenarios(List<String> scenarios, Map<ListUpdate, Double> pauses) throws Exception {
+        Map<String, Double> tookMs = new ConcurrentHashMap<>();
+        Map<String, Queue<String>> timelines = new ConcurrentHashMap<>();
+        List<StandIn> servers = new ArrayList<>();
+        Wire wire = new Wire(LIMITS);
         Loop loop = LoopThread.start(() -> {});
-        for (String order : orders) {
-            AtomicLong from = new AtomicLong();
-            StandIn place = new StandIn(r -> place(r, from));
-            places.add(place);
-            Queue<String> words = new ConcurrentLinkedQueue<>(List.of(order.split(" ")));
-            Queue<String> course = new ConcurrentLinkedQueue<>(); // calls, with the times at which they were made
-            courses.put(order, course);
-            EndpointListWatch[] made = new EndpointListWatch[1];
-            made[0] = new EndpointListWatch(
-                    flawed(wire, loop, words, from, course),
-                    USUAL,
+        for (String scenario : scenarios) {
+            AtomicLong startNs = new AtomicLong();
+            StandIn server = new StandIn(request -> discover(request, startNs));
+            servers.add(server);
+            Queue<String> steps = new ConcurrentLinkedQueue<>(List.of(scenario.split(" ")));
+            Queue<String> timeline = new ConcurrentLinkedQueue<>(); // times of the calls and their steps
+            timelines.put(scenario, timeline);
+            EndpointListWatch[] watch = new EndpointListWatch[1];
+            watch[0] = new EndpointListWatch(
+                    faultyDialer(wire, loop, steps, startNs, timeline),
+                    LIMITS,
                     loop,
-                    place.address(),
+                    server.address(),
                     List.of("one"),
                     new Zones(List.of("z")),
-                    order.startsWith("half") ? -1 : 1,
-                    (news, listed) -> {
-                        if (pauses.containsKey(news)) {
-                            loop.after(pauses.get(news), made[0]::listen);
+                    scenario.startsWith("half") ? -1 : 1,
+                    (update, listed) -> {
+                        if (pauses.containsKey(update)) {
+                            loop.after(pauses.get(update), watch[0]::listen);
                         } else if (listed.version() == 4) {
-                            took.putIfAbsent(order, (System.nanoTime() - from.get()) / 1e6);
+                            tookMs.putIfAbsent(scenario, (System.nanoTime() - startNs.get()) / 1e6);
                         }
                     });
-            loop.post(made[0]::listen);
+            loop.post(watch[0]::listen);
         }
         try {
-            Await.until("all lists", () -> took.size() == orders.size());
-            return orders.stream()
-                    .filter(o -> took.get(o) >= TOLD_MS)
-                    .map(o -> o + ": " + courses.get(o) + ", told after " + took.get(o))
+            Await.until("all lists", () -> tookMs.size() == scenarios.size());
+            return scenarios.stream()
+                    .filter(scenario -> tookMs.get(scenario) >= KNOWN_MS)
+                    .map(scenario ->
+                            scenario + ": " + timelines.get(scenario) + ", known after " + tookMs.get(scenario))
                     .toList();
         } finally {
             loop.end();
             wire.close();
-            for (StandIn place : places) {
-                place.close();
+            for (StandIn server : servers) {
+                server.close();
             }
         }
     }
 
-    /** However long it hangs, no more calls are out than a few, and all others end once one is answered. */
+    /** While discovery hangs, few calls are in progress at a time; once one is answered, the others are closed. */
     @Test
-    void whileDiscoveryHangsFewCallsAreOutAndOneIsLeftAtItsReturn() throws Exception {
-        AtomicBoolean back = new AtomicBoolean();
-        AtomicInteger most = new AtomicInteger();
-        StandIn[] place = new StandIn[1];
-        place[0] = new StandIn(r -> {
-            most.accumulateAndGet(place[0].open(), Math::max);
-            if (back.get()) {
-                write(r, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+    void whileDiscoveryHangsFewCallsAreInProgressAndAfterwardsOne() throws Exception {
+        AtomicBoolean answering = new AtomicBoolean();
+        AtomicInteger maxOpen = new AtomicInteger();
+        StandIn[] server = new StandIn[1];
+        server[0] = new StandIn(request -> {
+            maxOpen.accumulateAndGet(server[0].open(), Math::max);
+            if (answering.get()) {
+                write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
             }
         });
-        Wire wire = new Wire(USUAL);
+        Wire wire = new Wire(LIMITS);
         Loop loop = LoopThread.start(() -> {});
-        BlockingQueue<ListUpdate> told = new LinkedBlockingQueue<>();
-        EndpointListWatch[] made = new EndpointListWatch[1];
-        made[0] = new EndpointListWatch(
-                wire, USUAL, loop, place[0].address(), List.of("one"), new Zones(List.of("z")), 1, (news, listed) -> {
-                    told.add(news);
-                    if (news == ListUpdate.FAILED || news == ListUpdate.OVERDUE) {
-                        loop.after(300, made[0]::listen);
+        BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
+        EndpointListWatch[] watch = new EndpointListWatch[1];
+        watch[0] = new EndpointListWatch(
+                wire,
+                LIMITS,
+                loop,
+                server[0].address(),
+                List.of("one"),
+                new Zones(List.of("z")),
+                1,
+                (update, listed) -> {
+                    updates.add(update);
+                    if (update == ListUpdate.FAILED || update == ListUpdate.OVERDUE) {
+                        loop.after(300, watch[0]::listen);
                     }
                 });
-        loop.post(made[0]::listen);
+        loop.post(watch[0]::listen);
         try {
-            Await.until("six calls", () -> place[0].accepted() >= 6);
-            back.set(true);
-            Await.until("the list", () -> told.contains(ListUpdate.COMPLETE));
-            loop.post(made[0]::listen); // asked for by a failure that was told before: what is out does not let wait
-            Await.until("one watch", () -> place[0].open() == 1);
-            int calls = place[0].accepted();
-            BlockingQueue<Boolean> idle = new LinkedBlockingQueue<>();
-            loop.post(() -> loop.post(() -> idle.add(made[0].current())));
-            assertThat(idle.take()).isTrue();
-            assertThat(place[0].accepted()).isEqualTo(calls);
-            assertThat(most.get()).isLessThanOrEqualTo(3);
+            Await.until("six calls", () -> server[0].accepted() >= 6);
+            answering.set(true);
+            Await.until("the list", () -> updates.contains(ListUpdate.COMPLETE));
+            loop.post(watch[0]::listen); // as after an earlier failure; the watch in progress makes it superfluous
+            Await.until("one watch", () -> server[0].open() == 1);
+            int calls = server[0].accepted();
+            BlockingQueue<Boolean> current = new LinkedBlockingQueue<>();
+            loop.post(() -> loop.post(() -> current.add(watch[0].current())));
+            assertThat(current.take()).isTrue();
+            assertThat(server[0].accepted()).isEqualTo(calls);
+            assertThat(maxOpen.get()).isLessThanOrEqualTo(3);
         } finally {
             loop.end();
             wire.close();
-            place[0].close();
+            server[0].close();
         }
     }
 
-    /** Discovery answers in turn and refuses who has waited for a second: a hundred at once do not run it over. */
+    /** Discovery answers one call at a time, and refuses those that waited for 1 s: 100 relays must not overload it. */
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "hangs"})
-    void atItsReturnDiscoveryServesAHundredRelaysInTime(String before) throws Exception {
+    void afterAnOutageDiscoveryServesAHundredRelaysInTime(String outage) throws Exception {
         int relays = 100;
         long seed = System.nanoTime();
         System.out.println("seed " + seed);
         Random random = new Random(seed);
-        AtomicLong backAt = new AtomicLong();
-        AtomicInteger since = new AtomicInteger();
-        ReentrantLock turn = new ReentrantLock(true);
-        StandIn place = new StandIn(r -> {
-            if (backAt.get() == 0) {
-                if (before.equals("refuses")) {
-                    r.answer(503);
+        AtomicLong backNs = new AtomicLong();
+        AtomicInteger callsSinceBack = new AtomicInteger();
+        ReentrantLock oneAtATime = new ReentrantLock(true);
+        StandIn server = new StandIn(request -> {
+            if (backNs.get() == 0) {
+                if (outage.equals("refuses")) {
+                    request.answer(503);
                 }
                 return;
             }
-            since.incrementAndGet();
+            callsSinceBack.incrementAndGet();
             try {
-                if (!turn.tryLock(1, TimeUnit.SECONDS)) {
-                    r.answer(503);
+                if (!oneAtATime.tryLock(1, TimeUnit.SECONDS)) {
+                    request.answer(503);
                     return;
                 }
             } catch (InterruptedException e) {
@@ -436,54 +448,54 @@
             }
             try {
                 pause(20);
-                write(r, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+                write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
             } finally {
-                turn.unlock();
+                oneAtATime.unlock();
             }
         });
-        Wire wire = new Wire(USUAL);
+        Wire wire = new Wire(LIMITS);
         Loop loop = LoopThread.start(() -> {});
-        Map<Integer, Double> told = new ConcurrentHashMap<>();
+        Map<Integer, Double> knownMs = new ConcurrentHashMap<>();
         Set<Integer> failed = ConcurrentHashMap.newKeySet();
         loop.post(() -> {
             for (int i = 0; i < relays; i++) {
                 int relay = i;
-                EndpointListWatch[] made = new EndpointListWatch[1];
-                made[0] = new EndpointListWatch(
+                EndpointListWatch[] watch = new EndpointListWatch[1];
+                watch[0] = new EndpointListWatch(
                         wire,
-                        USUAL,
+                        LIMITS,
                         loop,
-                        place.address(),
+                        server.address(),
                         List.of("one"),
                         new Zones(List.of("z")),
                         1,
-                        (news, listed) -> {
-                            if (news == ListUpdate.FAILED || news == ListUpdate.OVERDUE) {
+                        (update, listed) -> {
+                            if (update == ListUpdate.FAILED || update == ListUpdate.OVERDUE) {
                                 failed.add(relay);
-                                loop.after(300 + random.nextInt(200), made[0]::listen);
+                                loop.after(300 + random.nextInt(200), watch[0]::listen);
                             } else {
-                                told.putIfAbsent(relay, (System.nanoTime() - backAt.get()) / 1e6);
+                                knownMs.putIfAbsent(relay, (System.nanoTime() - backNs.get()) / 1e6);
                             }
                         });
-                made[0].listen();
+                watch[0].listen();
             }
         });
         try {
-            Await.until("each has failed", () -> failed.size() == relays);
-            backAt.set(System.nanoTime());
-            Await.until("all lists", () -> told.size() == relays);
-            assertThat(told.values()).allSatisfy(ms -> assertThat(ms).isLessThan(TOLD_MS));
-            assertThat(since.get()).as("calls since its return").isLessThan(4 * relays);
+            Await.until("a failure of each relay", () -> failed.size() == relays);
+            backNs.set(System.nanoTime());
+            Await.until("all lists", () -> knownMs.size() == relays);
+            assertThat(knownMs.values()).allSatisfy(ms -> assertThat(ms).isLessThan(KNOWN_MS));
+            assertThat(callsSinceBack.get()).as("calls since discovery is back").isLessThan(4 * relays);
         } finally {
             loop.end();
             wire.close();
-            place.close();
+            server.close();
         }
     }
 
-    /** Lost and found all the time: the log does not tell each of these. */
+    /** The log does not report every loss of a list that is lost and found again many times. */
     @Test
-    void aListThatIsLostAgainAndAgainIsALineAMinute() throws Exception {
+    void aListThatIsLostRepeatedlyIsLoggedOnceAMinute() throws Exception {
         List<String> lines = new ArrayList<>();
         Handler handler = new Handler() {
             @Override
@@ -499,65 +511,67 @@
         };
         Logger log = Logger.getLogger(EndpointListWatch.class.getName());
         log.addHandler(handler);
-        StandIn place = new StandIn(r -> {
-            write(r, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
-            r.socket().close();
+        StandIn server = new StandIn(request -> {
+            write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+            request.socket().close();
         });
-        Wire wire = new Wire(USUAL);
+        Wire wire = new Wire(LIMITS);
         Loop loop = LoopThread.start(() -> {});
-        EndpointListWatch[] made = new EndpointListWatch[1];
-        made[0] = new EndpointListWatch(
-                wire, USUAL, loop, place.address(), List.of("one"), new Zones(List.of("z")), 1, (news, listed) -> {
-                    if (news == ListUpdate.FAILED || news == ListUpdate.OVERDUE) {
-                        loop.post(made[0]::listen);
+        EndpointListWatch[] watch = new EndpointListWatch[1];
+        watch[0] = new EndpointListWatch(
+                wire, LIMITS, loop, server.address(), List.of("one"), new Zones(List.of("z")), 1, (update, listed) -> {
+                    if (update == ListUpdate.FAILED || update == ListUpdate.OVERDUE) {
+                        loop.post(watch[0]::listen);
                     }
                 });
-        loop.post(made[0]::listen);
+        loop.post(watch[0]::listen);
         try {
-            Await.until("many watches", () -> place.accepted() > 50);
-            assertThat(lines).filteredOn(l -> l.startsWith("list lost")).hasSize(1);
-            assertThat(lines).filteredOn(l -> l.startsWith("list found again")).hasSizeLessThanOrEqualTo(1);
+            Await.until("many watches", () -> server.accepted() > 50);
+            assertThat(lines).filteredOn(line -> line.startsWith("list lost")).hasSize(1);
+            assertThat(lines)
+                    .filteredOn(line -> line.startsWith("list found again"))
+                    .hasSizeLessThanOrEqualTo(1);
         } finally {
             log.removeHandler(handler);
             loop.end();
             wire.close();
-            place.close();
+            server.close();
         }
     }
 
-    /** A watch that ends as soon as it begins, with or without a list, is asked for again after a pause each time. */
+    /** A watch that ends as soon as it begins, with or without a list, is repeated after a pause each time. */
     @ParameterizedTest
     @ValueSource(strings = {"fin", "object"})
-    void whatEndsAtOnceIsNotAskedForInATightLoop(String what) throws Exception {
+    void aWatchThatEndsAtOnceIsNotRepeatedInATightLoop(String response) throws Exception {
         BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
-        try (StandIn place = new StandIn(r -> {
+        try (StandIn server = new StandIn(request -> {
             calls.add(System.nanoTime());
-            write(r, HEAD + (what.equals("fin") ? "" : chunk(Platform.list(4, true, "s1 7 127.0.0.1:1"))));
-            r.socket().close();
+            write(request, HEAD + (response.equals("fin") ? "" : chunk(Platform.list(4, true, "s1 7 127.0.0.1:1"))));
+            request.socket().close();
         })) {
-            Node node = new Node(folder, place.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
+            Node node = new Node(folder, server.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
             node.start();
             try {
-                long first = calls.take();
+                long firstNs = calls.take();
                 for (int i = 0; i < 6; i++) {
-                    first = i == 0 ? calls.take() : first; // the first two may be the start's
+                    firstNs = i == 0 ? calls.take() : firstNs; // the first two calls may belong to the start
                     if (i > 0) {
                         calls.take();
                     }
                 }
-                assertThat((System.nanoTime() - first) / 1e6).isGreaterThan(5 * 300 - 50);
+                assertThat((System.nanoTime() - firstNs) / 1e6).isGreaterThan(5 * 300 - 50);
             } finally {
                 node.kill();
             }
         }
     }
 
-    /** Twice, while a call to the old place hangs: the last place is heard in time, and what it has counts then. */
+    /** Discovery moves twice while calls to the old addresses hang: the list of the last one is known in time. */
     @Test
-    void atHangUpsWhileCallsHangTheLastPlaceIsHeardInTime() throws Exception {
+    void afterSighupsTheLastAddressIsWatchedInTimeWhileOldCallsHang() throws Exception {
         BlockingQueue<Long> hung = new LinkedBlockingQueue<>();
-        try (StandIn old = new StandIn(r -> hung.add(System.nanoTime()));
-                StandIn between = new StandIn(r -> hung.add(System.nanoTime()));
+        try (StandIn old = new StandIn(request -> hung.add(System.nanoTime()));
+                StandIn between = new StandIn(request -> hung.add(System.nanoTime()));
                 Platform last = new Platform(Platform.list(7, true, "s1 7 127.0.0.1:1"))) {
             Node node = new Node(folder, old.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
             node.start();
@@ -566,16 +580,16 @@
                 node.discovery(between.hostPort());
                 node.hangUp();
                 node.line("discovery at " + between.hostPort());
-                Await.until("a call there", () -> between.accepted() > 0);
+                Await.until("a call to the second address", () -> between.accepted() > 0);
                 node.discovery(last.hostPort());
-                long from = System.nanoTime();
+                long startNs = System.nanoTime();
                 node.hangUp();
-                node.hangUp(); // and once more for nothing
+                node.hangUp(); // once more without a change
                 Await.until("a watch", last::watched);
-                assertThat((System.nanoTime() - from) / 1e6).isLessThan(MOVED_MS - 2000);
+                assertThat((System.nanoTime() - startNs) / 1e6).isLessThan(MOVED_MS - 2000);
                 node.line("discovery at " + last.hostPort());
                 Await.until("one call", () -> last.open() == 1);
-                Await.until("none at the old places", () -> old.open() + between.open() == 0);
+                Await.until("none at the old addresses", () -> old.open() + between.open() == 0);
                 assertThat(last.accepted()).isEqualTo(1);
             } finally {
                 node.kill();
@@ -583,7 +597,7 @@
         }
     }
 
-    private static long pidOfTheLastChild() {
+    private static long pidOfNewestChild() {
         return ProcessHandle.current()
                 .children()
                 .filter(ProcessHandle::isAlive)
@@ -592,7 +606,7 @@
                 .pid();
     }
 
-    /** Clients that say nothing fill all that clients may have, and more come all the time: the watch has its place. */
+    /** Silent clients use up all connections for clients, and more arrive all the time: the watch still gets one. */
     @Test
     void clientsThatFillTheDescriptorsWhileDiscoveryIsDownDoNotKeepTheListAway() throws Exception {
         int sockets = 96;
@@ -602,81 +616,84 @@
             Node node = new Node(folder, platform.hostPort(), known);
             node.sockets(sockets);
             node.start();
-            AtomicBoolean over = new AtomicBoolean();
+            AtomicBoolean stopped = new AtomicBoolean();
             List<Socket> idle = new ArrayList<>();
-            InetSocketAddress at = node.address();
-            Thread filling = new Thread(() -> {
-                while (!over.get()) {
+            InetSocketAddress address = node.address();
+            Thread connecting = new Thread(() -> {
+                while (!stopped.get()) {
                     try {
-                        Socket s = new Socket();
-                        idle.add(s);
-                        s.connect(at);
+                        Socket socket = new Socket();
+                        idle.add(socket);
+                        socket.connect(address);
                         if (idle.size() % 3 == 0) {
-                            s.getOutputStream().write("POST /api HTTP/1.1\r\n".getBytes(StandardCharsets.US_ASCII));
+                            socket.getOutputStream()
+                                    .write("POST /api HTTP/1.1\r\n".getBytes(StandardCharsets.US_ASCII));
                         }
                         if (idle.size() > 400) {
                             idle.remove(0).close();
                         }
                     } catch (IOException e) {
-                        // it was ended
+                        // closed by the relay
                     }
                 }
             });
-            filling.setDaemon(true);
-            int most = 0;
+            connecting.setDaemon(true);
+            int maxDescriptors = 0;
             try {
-                if (Files.isExecutable(Path.of("/usr/bin/prlimit"))) { // the system's own limit as well
+                if (Files.isExecutable(Path.of("/usr/bin/prlimit"))) { // the limit of the system as well
                     assertThat(new ProcessBuilder(
                                             "/usr/bin/prlimit",
                                             "--pid",
-                                            String.valueOf(pidOfTheLastChild()),
+                                            String.valueOf(pidOfNewestChild()),
                                             "--nofile=" + sockets + ":" + sockets)
                                     .inheritIO()
                                     .start()
                                     .waitFor())
                             .isZero();
                 }
-                filling.start();
+                connecting.start();
                 for (int i = 0; i < 300; i++) {
-                    most = Math.max(most, node.descriptors());
+                    maxDescriptors = Math.max(maxDescriptors, node.descriptors());
                     TimeUnit.MILLISECONDS.sleep(5);
                 }
                 platform.holds(Platform.list(2, true, "s1 7 127.0.0.1:1", "s2 9 127.0.0.1:1"));
                 platform.down(false);
-                long from = System.nanoTime();
+                long startNs = System.nanoTime();
                 Await.until("a watch", platform::watched);
-                assertThat((System.nanoTime() - from) / 1e6).isLessThan(TOLD_MS / 3);
+                assertThat((System.nanoTime() - startNs) / 1e6).isLessThan(KNOWN_MS / 3);
                 node.line("list found again, version 2");
-                most = Math.max(most, node.descriptors());
+                maxDescriptors = Math.max(maxDescriptors, node.descriptors());
             } finally {
-                over.set(true);
+                stopped.set(true);
                 node.kill();
-                filling.join();
-                for (Socket s : idle) {
-                    s.close();
+                connecting.join();
+                for (Socket socket : idle) {
+                    socket.close();
                 }
             }
-            int clients = Limits.of(sockets, 0, 64_000_000, 0, 0, 0).maxClients();
-            assertThat(most).as("descriptors, with all clients that may be").isBetween(clients + 10, sockets - 1);
+            int maxClients = Limits.of(sockets, 0, 64_000_000, 0, 0, 0).maxClients();
+            assertThat(maxDescriptors)
+                    .as("descriptors, with all clients that are allowed")
+                    .isBetween(maxClients + 10, sockets - 1);
         }
     }
 
-    /** An object that no list is ends the call and takes no more memory than there is, however small that is. */
+    /** An object that is too long for a list ends the call before it fills the heap, however small that is. */
     @Test
-    void anObjectOfManyMegabytesIsRefusedOnASmallHeap() throws Exception {
-        String one = Platform.list(2, true, "s1 7 127.0.0.1:1");
-        String entry = one.substring(one.indexOf('[') + 1, one.indexOf(']'));
-        StringBuilder many = new StringBuilder("{\"version\":2,\"full\":true,\"servers\":[").append(entry);
-        while (many.length() < 4_000_000) {
-            many.append(',').append(entry.replace("s1", "s" + many.length()));
+    void anObjectOfManyMegabytesIsRejectedOnASmallHeap() throws Exception {
+        String list = Platform.list(2, true, "s1 7 127.0.0.1:1");
+        String entry = list.substring(list.indexOf('[') + 1, list.indexOf(']'));
+        StringBuilder object = new StringBuilder("{\"version\":2,\"full\":true,\"servers\":[").append(entry);
+        while (object.length() < 4_000_000) {
+            object.append(',').append(entry.replace("s1", "s" + object.length()));
         }
-        String all = HEAD + chunk(many + "]}");
+        String response = HEAD + chunk(object + "]}");
         BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
-        try (StandIn place = new StandIn(r -> {
-            calls.add(r);
-            write(r, all);
+        try (StandIn server = new StandIn(request -> {
+            calls.add(request);
+            write(request, response);
         })) {
-            Node node = new Node(folder, place.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
+            Node node = new Node(folder, server.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
             node.config(Files.readString(node.write()).replace("\"memory_mb\":192", "\"memory_mb\":112"));
             node.start();
             try {
@@ -686,7 +703,7 @@
                 }
                 assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
                 assertThat(node.lines())
-                        .filteredOn(l -> l.contains("list lost"))
+                        .filteredOn(line -> line.contains("list lost"))
                         .hasSize(1);
             } finally {
                 node.kill();
