--- a/src/main/java/firstair/kit/soak/SoakEndpoints.java
+++ b/src/main/java/firstair/kit/soak/SoakEndpoints.java
@@ -146,8 +146,9 @@
     }
 
     private void refuse(StandIn.Request request, List<Call> calls, int retryAfterMs) throws IOException {
-        request.answer(429, String.format(Locale.ROOT, "Retry-After: %.3f", retryAfterMs / 1000.0));
+        // Before the write: the relay counts the wait from when it reads the header.
         calls.forEach(call -> call.answered(Outcome.TURNED_AWAY, retryAfterMs, seen.now()));
+        request.answer(429, String.format(Locale.ROOT, "Retry-After: %.3f", retryAfterMs / 1000.0));
     }
 
     private void deliver(StandIn.Request request, List<Call> calls) throws IOException {
