--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -273,7 +273,7 @@
         if (hasEndedSending()) {
             close(); // nothing unread can be left
         } else {
-            Wire.endSending(connection, this::close);
+            Wire.shutdownOutput(connection, this::close);
         }
     }
 
--- a/src/main/java/firstair/relay/net/ConnectionRefusal.java
+++ b/src/main/java/firstair/relay/net/ConnectionRefusal.java
@@ -7,17 +7,17 @@
 import java.util.logging.Logger;
 
 /**
- * Has the system refuse new connections to a socket that listens, while those that it has completed can still be
- * accepted. To close the socket, or to shut it down, resets these.
+ * Makes the system refuse new connections to a listening socket, while connections that it has already completed can
+ * still be accepted. Closing the socket or shutting it down would reset those.
  *
  * <p>The socket is bound to a network interface that does not exist: from then on the system finds no listener for a
- * new connection and refuses it at once, and nothing else changes. The option is {@code SO_BINDTOIFINDEX} of Linux,
- * which needs no privilege from 5.7 on. Java has no public way to it, and the way through its own classes is open where
- * {@code java.base/sun.nio.ch} is; the manifest of the jar opens it.
+ * new connection and refuses it at once; nothing else changes. The option is {@code SO_BINDTOIFINDEX} of Linux, which
+ * needs no privilege since kernel 5.7. Java has no public API for it; its internal classes are accessible only if
+ * {@code java.base/sun.nio.ch} is opened, which the manifest of the jar does.
  */
 final class ConnectionRefusal {
     private static final Logger LOG = Logger.getLogger(ConnectionRefusal.class.getName());
-    private static final String SYSTEM = "Linux"; // the numbers below are its
+    private static final String SUPPORTED_OS = "Linux"; // the option numbers below are those of Linux
     private static final int SOL_SOCKET = 1;
     private static final int SO_BINDTOIFINDEX = 62;
     private static final int NO_SUCH_INTERFACE = 1 << 30;
@@ -25,33 +25,33 @@
     private ConnectionRefusal() {}
 
     /**
-     * Begins it, for good.
+     * Starts to refuse new connections; this cannot be undone.
      *
-     * @return whether the system can; where it cannot, the log says why
+     * @return whether the system supports it; if not, a warning with the reason is logged
      */
-    static boolean begin(ServerSocketChannel listener) {
-        String why;
+    static boolean start(ServerSocketChannel listener) {
+        String reason;
         try {
-            if (System.getProperty("os.name").equals(SYSTEM)) {
+            if (System.getProperty("os.name").equals(SUPPORTED_OS)) {
                 setOption(listener, SO_BINDTOIFINDEX, NO_SUCH_INTERFACE);
                 return true;
             }
-            why = "not on this system";
+            reason = "not supported on this system";
         } catch (InvocationTargetException e) {
-            why = String.valueOf(e.getCause());
+            reason = String.valueOf(e.getCause());
         } catch (ReflectiveOperationException | RuntimeException e) {
-            why = e.toString();
+            reason = e.toString();
         }
-        LOG.warning("new connections cannot be refused before the listener closes, a few may be reset: " + why);
+        LOG.warning("cannot refuse new connections before the listener closes, a few may be reset: " + reason);
         return false;
     }
 
-    /** What {@code sun.nio.ch.Net} does for the options that Java knows. */
+    /** Sets an option the way {@code sun.nio.ch.Net} does for the options that Java supports. */
     private static void setOption(ServerSocketChannel listener, int option, int value)
             throws ReflectiveOperationException {
-        Method descriptor = Class.forName("sun.nio.ch.SelChImpl").getMethod("getFD");
-        descriptor.setAccessible(true);
-        Method set = Class.forName("sun.nio.ch.Net")
+        Method getDescriptor = Class.forName("sun.nio.ch.SelChImpl").getMethod("getFD");
+        getDescriptor.setAccessible(true);
+        Method setIntOption = Class.forName("sun.nio.ch.Net")
                 .getDeclaredMethod(
                         "setIntOption0",
                         FileDescriptor.class,
@@ -60,9 +60,9 @@
                         int.class,
                         int.class,
                         boolean.class);
-        set.setAccessible(true);
-        boolean converted = false; // the value needs no conversion, as that of some options of IP does
-        boolean forIpv6 = false; // it is an option of the socket
-        set.invoke(null, descriptor.invoke(listener), converted, SOL_SOCKET, option, value, forIpv6);
+        setIntOption.setAccessible(true);
+        boolean converted = false; // only some options of IP need a conversion of their value
+        boolean forIpv6 = false; // it is an option of the socket level
+        setIntOption.invoke(null, getDescriptor.invoke(listener), converted, SOL_SOCKET, option, value, forIpv6);
     }
 }
--- a/src/main/java/firstair/relay/net/Datagrams.java
+++ b/src/main/java/firstair/relay/net/Datagrams.java
@@ -18,10 +18,10 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** One UDP socket between relays, with a selector thread of its own that never blocks. */
+/** A UDP socket for datagrams between relays, with its own selector thread, which never blocks. */
 public final class Datagrams {
     private static final Logger LOG = Logger.getLogger(Datagrams.class.getName());
-    private static final int BUFFER = 1 << 18; // the system holds so many bytes while the selector is late
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 18; // buffered by the system while the selector thread is late
 
     private final UDPNIOTransport transport;
     private final DatagramChannel channel;
@@ -29,50 +29,50 @@
     /**
      * Opens the socket.
      *
-     * @param thread name of the selector's thread
-     * @param most   bytes of a datagram at most; longer ones are garbage
-     * @throws IOException if the address cannot be had
+     * @param threadName name of the selector thread
+     * @param maxBytes   maximum size of a datagram, in bytes; longer ones are reported as {@link Inbox#garbage}
+     * @throws IOException if the address cannot be bound
      */
-    public Datagrams(String thread, InetSocketAddress at, int most, Inbox inbox) throws IOException {
+    public Datagrams(String threadName, InetSocketAddress bindAddress, int maxBytes, Inbox inbox) throws IOException {
         transport = UDPNIOTransportBuilder.newInstance()
-                .setName(thread)
+                .setName(threadName)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
                 .setSelectorRunnersCount(1)
                 .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig()
-                        .setPoolName(thread)
+                        .setPoolName(threadName)
                         .setDaemon(true)
                         .setCorePoolSize(1)
                         .setMaxPoolSize(1))
-                .setReadBufferSize(most + 1) // what is longer is cut by the system, and shows by this one byte
+                .setReadBufferSize(maxBytes + 1) // the system truncates longer datagrams; the extra byte reveals them
                 .setReuseAddress(false) // two processes must not share a port
                 .build();
         transport.setProcessor(FilterChainBuilder.stateless()
                 .add(new TransportFilter())
-                .add(new Arrivals(most, inbox))
+                .add(new ReceiveFilter(maxBytes, inbox))
                 .build());
         try {
             transport.start();
-            channel = (DatagramChannel) ((NIOConnection) transport.bind(at)).getChannel();
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER);
+            channel = (DatagramChannel) ((NIOConnection) transport.bind(bindAddress)).getChannel();
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
         } catch (IOException | RuntimeException e) {
             transport.shutdownNow();
             throw e;
         }
     }
 
-    /** Where it is bound. */
+    /** The address that the socket is bound to. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
     /**
-     * Sends a datagram, or not: it never waits.
+     * Sends a datagram without waiting.
      *
-     * @return false if the system did not take it
+     * @return false if the system did not accept it
      */
     public boolean send(InetSocketAddress to, byte[] bytes) {
         try {
-            // Not by Grizzly's queue: that closes the socket for all when one way cannot be reached for a moment.
+            // Bypasses Grizzly's write queue, which closes the socket for all peers when one of them is unreachable.
             return channel.send(ByteBuffer.wrap(bytes), to) == bytes.length;
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.FINE, "a datagram was not sent", e);
@@ -80,24 +80,24 @@
         }
     }
 
-    /** Closes the socket and ends the selector's thread; its address is free behind that. */
+    /** Closes the socket and ends the selector thread; its address is free once this returns. */
     public void close() throws IOException {
-        SelectorThreads.end(transport);
+        SelectorThreads.shutDown(transport);
     }
 
-    private static final class Arrivals extends BaseFilter {
-        private final int most;
+    private static final class ReceiveFilter extends BaseFilter {
+        private final int maxBytes;
         private final Inbox inbox;
 
-        Arrivals(int most, Inbox inbox) {
-            this.most = most;
+        ReceiveFilter(int maxBytes, Inbox inbox) {
+            this.maxBytes = maxBytes;
             this.inbox = inbox;
         }
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
             byte[] bytes = Wire.bytes(ctx);
-            if (bytes.length > most) {
+            if (bytes.length > maxBytes) {
                 inbox.garbage();
             } else {
                 inbox.bytes(bytes);
--- a/src/main/java/firstair/relay/net/Dialer.java
+++ b/src/main/java/firstair/relay/net/Dialer.java
@@ -2,15 +2,16 @@
 
 import java.net.InetSocketAddress;
 
-/** Opens connections that carry requests: the seam at which a test takes the place of the network. */
+/** Opens connections that carry requests. Tests implement it in place of the network. */
 public interface Dialer {
     /**
-     * Opens a connection and sends a first request on it as soon as it is up. A connection takes its time, up to
-     * seconds where the other side is in trouble: who would have to decide anew by then opens it without a request.
+     * Opens a connection and sends the first request as soon as it is established. That may take seconds if the peer
+     * is overloaded; a caller that would have to decide again by then opens the connection without a request.
      *
-     * @param request    null to send nothing: {@link Link.Exchange#up} tells that the connection is there
-     * @param maxBody    bytes of an answer's body at most
-     * @param closedIdle told if the connection ends while no request is out on it
+     * @param maxBody       maximum size of a response body, in bytes
+     * @param request       null to send nothing; {@link Link.Exchange#up} then reports the established connection
+     * @param firstExchange receives the events of the first request
+     * @param onIdleClose   run if the connection ends while no request is in progress on it
      */
-    Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle);
+    Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose);
 }
--- a/src/main/java/firstair/relay/net/Frames.java
+++ b/src/main/java/firstair/relay/net/Frames.java
@@ -25,39 +25,39 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Frames over TCP between relays, with a selector thread of its own that never blocks. Each relay sends on connections
- * that it opened and receives on those that it accepted; nobody answers on a connection.
+ * Frames over TCP between relays, with its own selector thread, which never blocks. Each relay sends on connections
+ * that it opened and receives on those that it accepted; a connection carries frames in one direction only.
  */
 public final class Frames {
     private static final Logger LOG = Logger.getLogger(Frames.class.getName());
     private static final Attribute<Pipe> PIPE = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.pipe");
 
     /**
-     * What is held at most.
+     * Upper limits of what is buffered and kept open.
      *
-     * @param frame       bytes of a frame
-     * @param begun       bytes of frames that have come in part, over all connections
-     * @param connections accepted connections; for one more, the one that has said nothing for longest is closed
+     * @param maxFrameBytes   bytes of a frame
+     * @param maxPartialBytes bytes of partly received frames, over all connections
+     * @param maxConnections  accepted connections; beyond that, the one that has been silent for longest is closed
      */
-    public record Bounds(int frame, long begun, int connections) {}
+    public record Bounds(int maxFrameBytes, long maxPartialBytes, int maxConnections) {}
 
     private final TCPNIOTransport transport;
     private final FilterChain outgoing;
     private final InetSocketAddress address;
 
     /**
-     * Listens.
+     * Starts to listen.
      *
-     * @param thread name of the selector's thread
-     * @throws IOException if the address cannot be had
+     * @param threadName name of the selector thread
+     * @throws IOException if the address cannot be bound
      */
-    public Frames(String thread, InetSocketAddress at, Bounds bounds, Inbox inbox) throws IOException {
+    public Frames(String threadName, InetSocketAddress listenAddress, Bounds bounds, Inbox inbox) throws IOException {
         transport = TCPNIOTransportBuilder.newInstance()
-                .setName(thread)
+                .setName(threadName)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
                 .setSelectorRunnersCount(1)
                 .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig()
-                        .setPoolName(thread)
+                        .setPoolName(threadName)
                         .setDaemon(true)
                         .setCorePoolSize(1)
                         .setMaxPoolSize(1))
@@ -65,13 +65,13 @@
                 .setKeepAlive(true)
                 .setReuseAddress(true)
                 .build();
-        outgoing = chain(new Outgoing());
+        outgoing = chain(new OutgoingFilter());
         try {
             transport.start();
             address = (InetSocketAddress) TCPNIOBindingHandler.builder(transport)
-                    .processor(chain(new Incoming(bounds, inbox)))
+                    .processor(chain(new IncomingFilter(bounds, inbox)))
                     .build()
-                    .bind(at)
+                    .bind(listenAddress)
                     .getLocalAddress();
         } catch (IOException | RuntimeException e) {
             transport.shutdownNow();
@@ -86,12 +86,12 @@
                 .build();
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Opens a connection that carries frames to somebody. */
+    /** Opens a connection that carries frames to another relay. */
     public Pipe open(InetSocketAddress to) {
         return new Pipe(this, to);
     }
@@ -105,18 +105,18 @@
                 .connect(to);
     }
 
-    /** Makes a connection known as the one of a pipe. */
-    static void belongs(Connection<?> connection, Pipe pipe) {
+    /** Associates a connection with its pipe. */
+    static void setPipe(Connection<?> connection, Pipe pipe) {
         PIPE.set(connection, pipe);
     }
 
-    /** Closes all connections and ends the selector's thread; its address is free behind that. */
+    /** Closes all connections and ends the selector thread; its address is free once this returns. */
     public void close() throws IOException {
-        SelectorThreads.end(transport);
+        SelectorThreads.shutDown(transport);
     }
 
-    /** On connections that we opened nothing comes but their end. */
-    private static final class Outgoing extends BaseFilter {
+    /** Connections that this relay opened receive nothing but their end; data is discarded. */
+    private static final class OutgoingFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
             Wire.drop(ctx);
@@ -133,38 +133,38 @@
         }
     }
 
-    private static final class Incoming extends BaseFilter {
+    private static final class IncomingFilter extends BaseFilter {
         private final Bounds bounds;
         private final Inbox inbox;
-        /** The one that has said nothing for longest comes first. */
-        private final Map<Connection<?>, Intake> open = new LinkedHashMap<>(16, 0.75f, true);
+        /** In order of last use: the connection that has been silent for longest comes first. */
+        private final Map<Connection<?>, FrameDecoder> decoders = new LinkedHashMap<>(16, 0.75f, true);
 
-        private long begun;
+        private long partialBytes;
 
-        Incoming(Bounds bounds, Inbox inbox) {
+        IncomingFilter(Bounds bounds, Inbox inbox) {
             this.bounds = bounds;
             this.inbox = inbox;
         }
 
-        private boolean room(long bytes) {
-            if (begun + bytes > bounds.begun()) {
+        private boolean reserve(long bytes) {
+            if (partialBytes + bytes > bounds.maxPartialBytes()) {
                 return false;
             }
-            begun += bytes;
+            partialBytes += bytes;
             return true;
         }
 
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
-            Connection<?> silent = null;
-            synchronized (open) {
-                open.put(ctx.getConnection(), new Intake(bounds.frame(), this::room, inbox));
-                if (open.size() > bounds.connections()) {
-                    silent = open.keySet().iterator().next();
+            Connection<?> longestSilent = null;
+            synchronized (decoders) {
+                decoders.put(ctx.getConnection(), new FrameDecoder(bounds.maxFrameBytes(), this::reserve, inbox));
+                if (decoders.size() > bounds.maxConnections()) {
+                    longestSilent = decoders.keySet().iterator().next();
                 }
             }
-            if (silent != null) {
-                ended(silent);
+            if (longestSilent != null) {
+                remove(longestSilent);
             }
             return ctx.getInvokeAction();
         }
@@ -172,30 +172,30 @@
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
             byte[] bytes = Wire.bytes(ctx);
-            boolean sound;
-            synchronized (open) {
-                Intake intake = open.get(ctx.getConnection());
-                sound = intake != null && intake.feed(bytes);
+            boolean valid;
+            synchronized (decoders) {
+                FrameDecoder decoder = decoders.get(ctx.getConnection());
+                valid = decoder != null && decoder.feed(bytes);
             }
-            if (!sound) {
-                LOG.log(Level.FINE, "no frames on {0}", ctx.getConnection());
+            if (!valid) {
+                LOG.log(Level.FINE, "invalid frame data on {0}", ctx.getConnection());
                 inbox.garbage();
-                ended(ctx.getConnection());
+                remove(ctx.getConnection());
             }
             return ctx.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext ctx) {
-            ended(ctx.getConnection());
+            remove(ctx.getConnection());
             return ctx.getStopAction();
         }
 
-        private void ended(Connection<?> connection) {
-            synchronized (open) {
-                Intake intake = open.remove(connection);
-                if (intake != null) {
-                    intake.end();
+        private void remove(Connection<?> connection) {
+            synchronized (decoders) {
+                FrameDecoder decoder = decoders.remove(connection);
+                if (decoder != null) {
+                    decoder.reset();
                 }
             }
             connection.closeSilently();
--- a/src/main/java/firstair/relay/net/HalfCloseFilter.java
+++ b/src/main/java/firstair/relay/net/HalfCloseFilter.java
@@ -13,16 +13,16 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * The transport's end of the clients' chain. Grizzly's own closes a connection as soon as its peer has ended its
- * sending; a client may do so behind its request and still wait for the answer.
+ * The transport filter of clients' connections. Grizzly's own filter closes a connection as soon as its peer has shut
+ * down its output; a client may do so after its request and still wait for the response.
  */
 final class HalfCloseFilter extends TransportFilter {
-    private final Predicate<Connection<?>> stays;
-    private final ByteBuffer buffer; // all connections are read on one selector's thread
+    private final Predicate<Connection<?>> keepOpen;
+    private final ByteBuffer buffer; // shared: one selector thread reads all connections
 
-    /** @param stays whether a connection whose peer has ended its sending is still owed something */
-    HalfCloseFilter(int readBuffer, Predicate<Connection<?>> stays) {
-        this.stays = stays;
+    /** @param keepOpen whether a connection still needs a response although its peer has shut down its output */
+    HalfCloseFilter(int readBuffer, Predicate<Connection<?>> keepOpen) {
+        this.keepOpen = keepOpen;
         this.buffer = ByteBuffer.allocate(readBuffer);
     }
 
@@ -43,8 +43,8 @@
             ctx.setMessage(Buffers.wrap(ctx.getMemoryManager(), bytes));
             return ctx.getInvokeAction();
         }
-        if (read < 0 && stays.test(connection)) {
-            connection.disableIOEvent(IOEvent.READ); // there is nothing more to come, again and again
+        if (read < 0 && keepOpen.test(connection)) {
+            connection.disableIOEvent(IOEvent.READ); // or the end of the input would be reported again and again
         } else if (read < 0) {
             connection.terminateSilently();
         }
--- a/src/main/java/firstair/relay/net/HttpLink.java
+++ b/src/main/java/firstair/relay/net/HttpLink.java
@@ -12,32 +12,32 @@
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.GrizzlyFuture;
 
-/** A {@link Link} that speaks HTTP/1.1 over a connection of Grizzly's. */
+/** A {@link Link} that speaks HTTP/1.1 over a Grizzly connection. */
 final class HttpLink implements Link {
     private static final RateLimitedLogger FAULTS =
             new RateLimitedLogger(Logger.getLogger(HttpLink.class.getName()), Level.SEVERE);
 
     private enum Phase {
         CONNECTING,
-        UP,
+        UP, // established, and nothing has been sent on it yet
         WRITING,
         WAITING,
         IDLE,
         CLOSED
-    } // UP: nothing has been sent on it yet
+    }
 
     private final HttpParser parser;
-    private final Runnable closedIdle;
+    private final Runnable onIdleClose;
 
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
-    private final GrizzlyFuture<Connection> opening;
+    private final GrizzlyFuture<Connection> connectFuture;
 
     private Connection<?> connection;
     private Phase phase = Phase.CONNECTING;
     private Exchange exchange;
     private Head head;
-    private boolean answered;
-    private boolean begun;
+    private boolean responseComplete;
+    private boolean responseBegun;
     private boolean halted;
 
     /** Opens a connection, and sends a first request on it if there is one; see {@link Dialer#open}. */
@@ -47,56 +47,56 @@
             InetSocketAddress to,
             long maxBody,
             byte[] request,
-            Exchange first,
-            Runnable closedIdle) {
-        this.parser = new HttpParser(HttpParser.Kind.ANSWER, maxHead, maxBody, new Answer());
-        this.exchange = first;
-        this.closedIdle = closedIdle;
-        // Guards against a library that throws in place of telling a failure: who opened the link waits for its end.
-        opening = guarded(() -> wire.connect(to));
-        if (opening == null) {
-            unwritten();
+            Exchange firstExchange,
+            Runnable onIdleClose) {
+        this.parser = new HttpParser(HttpParser.Kind.ANSWER, maxHead, maxBody, new ResponseSink());
+        this.exchange = firstExchange;
+        this.onIdleClose = onIdleClose;
+        // The library may throw instead of reporting a failure, but the opener must be notified of the end of the link.
+        connectFuture = callLibrary(() -> wire.connect(to));
+        if (connectFuture == null) {
+            notSent();
             return;
         }
-        opening.addCompletionHandler(new EmptyCompletionHandler<>() {
+        connectFuture.addCompletionHandler(new EmptyCompletionHandler<>() {
             @Override
             @SuppressWarnings("rawtypes") // Grizzly's handler is declared so
-            public void completed(Connection c) {
-                connected(c, request);
+            public void completed(Connection established) {
+                connected(established, request);
             }
 
             @Override
-            public void failed(Throwable why) {
-                if (LocalFailure.is(why)) {
-                    unasked();
+            public void failed(Throwable cause) {
+                if (LocalFailure.isLocal(cause)) {
+                    failedLocally();
                 } else {
-                    unwritten();
+                    notSent();
                 }
             }
 
             @Override
             public void cancelled() {
-                unwritten();
+                notSent();
             }
         });
     }
 
-    private static <T> T guarded(Supplier<T> step) {
+    private static <T> T callLibrary(Supplier<T> step) {
         try {
             return step.get();
         } catch (RuntimeException e) {
-            FAULTS.log("fault under a connection", e);
+            FAULTS.log("unexpected exception in the connection library", e);
             return null;
         }
     }
 
-    private synchronized void connected(Connection<?> c, byte[] request) {
+    private synchronized void connected(Connection<?> established, byte[] request) {
         if (phase == Phase.CLOSED) {
-            c.closeSilently(); // it came up after its call was given up
+            established.closeSilently(); // established after its call was given up
             return;
         }
-        connection = c;
-        LinkFilter.LINK.set(c, this);
+        connection = established;
+        LinkFilter.LINK.set(established, this);
         if (request != null) {
             write(request);
             return;
@@ -107,21 +107,20 @@
 
     @Override
     public synchronized boolean send(byte[] request, Exchange next) {
-        if (phase == Phase.UP && (begun || !connection.isOpen())) {
-            fail(false); // what has come answers no request, and an end before we knew the connection was not told
+        if (phase == Phase.UP && (responseBegun || !connection.isOpen())) {
+            fail(false); // unsolicited data was received, or the connection ended before the library could report it
         }
         if (phase != Phase.UP && !idle()) {
             return false;
         }
-        if (phase == Phase.IDLE && !Wire.isQuiet(connection)) {
-            // It has ended or is out of step, and the selector has not come to it: a request would be lost on it, or
-            // get
-            // the answer that nobody asked for.
+        if (phase == Phase.IDLE && !Wire.hasNothingUnread(connection)) {
+            // The peer has ended it or sent unsolicited data, which the selector has not processed yet: a request would
+            // be lost on it or would be taken for answered by that data.
             close();
             return false;
         }
         exchange = next;
-        begun = false;
+        responseBegun = false;
         write(request);
         return true;
     }
@@ -133,7 +132,7 @@
 
     @Override
     public synchronized boolean keep() {
-        if (phase == Phase.UP && !begun) {
+        if (phase == Phase.UP && !responseBegun) {
             phase = Phase.IDLE;
             exchange = null;
         }
@@ -147,13 +146,13 @@
 
     private void write(byte[] request) {
         phase = Phase.WRITING;
-        boolean handed = guarded(() -> {
-                    Wire.write(connection, request, this::written, this::unwritten);
+        boolean accepted = callLibrary(() -> {
+                    Wire.write(connection, request, this::written, this::notSent);
                     return true;
                 })
                 != null;
-        if (!handed) {
-            unwritten();
+        if (!accepted) {
+            notSent();
         }
     }
 
@@ -163,69 +162,69 @@
         }
     }
 
-    /** The connection never came up, or the last byte could not be handed to the system. */
-    private synchronized void unwritten() {
+    /** The connection was not established, or the last byte could not be handed to the system. */
+    private synchronized void notSent() {
         if (phase == Phase.CONNECTING || phase == Phase.WRITING) {
             fail(false);
         }
     }
 
-    private synchronized void unasked() {
+    private synchronized void failedLocally() {
         if (phase == Phase.CONNECTING) {
-            Exchange over = exchange;
+            Exchange ended = exchange;
             exchange = null;
             close();
-            over.unasked();
+            ended.unasked();
         }
     }
 
     synchronized void received(byte[] bytes) {
         if (phase == Phase.IDLE) {
-            close(); // nothing was asked: this peer is out of step
-            closedIdle.run();
+            close(); // unsolicited data: the peer is out of step
+            onIdleClose.run();
             return;
         }
         if (phase == Phase.CLOSED) {
             return;
         }
         try {
-            answered = false;
+            responseComplete = false;
             int used = parser.feed(bytes, 0, bytes.length);
-            if (answered) {
-                answered(used == bytes.length && head.keepAlive(), used == bytes.length);
+            if (responseComplete) {
+                responseEnded(used == bytes.length && head.keepAlive(), used == bytes.length);
             } else {
-                tellBegin();
+                reportProgress();
             }
         } catch (HttpException e) {
             fail(true);
         } catch (RuntimeException e) {
-            FAULTS.log("fault in an answer", e); // its exchange must still hear that it is over
-            fail(true);
+            FAULTS.log("unexpected exception while handling a response", e);
+            fail(true); // the exchange must still be notified of its end
         }
     }
 
-    /** An answer has begun once a part of it has come; interim ones, which are passed over, are no part of it. */
-    private void tellBegin() {
-        boolean begins = phase == Phase.UP || parser.begun();
-        if (begins && !begun) {
-            begun = true;
+    /** Reports that a response has begun, or that what had begun was an interim response, which is skipped. */
+    private void reportProgress() {
+        boolean hasBegun = phase == Phase.UP || parser.begun();
+        if (hasBegun && !responseBegun) {
+            responseBegun = true;
             exchange.begun();
-        } else if (!begins && begun) {
-            begun = false; // what had come was a part of an interim answer
+        } else if (!hasBegun && responseBegun) {
+            responseBegun = false; // what had been received was part of an interim response
             exchange.interim();
         }
     }
 
-    private void answered(boolean keep, boolean alone) {
-        Exchange over = exchange;
+    private void responseEnded(boolean keepAlive, boolean alone) {
+        Exchange ended = exchange;
         exchange = null;
-        boolean reusable = keep && phase == Phase.WAITING && !halted;
+        boolean reusable = keepAlive && phase == Phase.WAITING && !halted;
         if (reusable) {
             phase = Phase.IDLE;
         } else {
             close();
         }
-        over.done(reusable, alone);
+        ended.done(reusable, alone);
     }
 
     synchronized void closed() {
@@ -234,31 +233,31 @@
         }
         if (phase == Phase.IDLE) {
             phase = Phase.CLOSED;
-            closedIdle.run();
+            onIdleClose.run();
             return;
         }
         try {
-            answered = false;
-            if (parser.eof() && answered) {
-                answered(false, true);
+            responseComplete = false;
+            if (parser.eof() && responseComplete) {
+                responseEnded(false, true);
                 return;
             }
         } catch (HttpException e) {
-            // falls through: an answer cut short is a broken one
+            // falls through: a truncated response is a failed one
         } catch (RuntimeException e) {
-            FAULTS.log("fault at the end of an answer", e);
+            FAULTS.log("unexpected exception at the end of a response", e);
         }
-        // While a write is not complete, its last byte is not with the system: completion is told under our lock
-        // or on the thread that runs here. Grizzly tells the end of a connection before that of its writes.
+        // In phase WRITING the last byte has not been handed to the system: completion of a write is reported under
+        // our lock or on this thread. Grizzly reports the end of a connection before the end of its writes.
         fail(phase == Phase.WAITING);
     }
 
     private void fail(boolean maybeArrived) {
-        Exchange over = exchange;
+        Exchange ended = exchange;
         exchange = null;
         close();
-        if (over != null) {
-            over.broken(maybeArrived);
+        if (ended != null) {
+            ended.broken(maybeArrived);
         }
     }
 
@@ -276,23 +275,23 @@
             return false;
         }
         halted = true;
-        Wire.endSending(connection, this::closed);
+        Wire.shutdownOutput(connection, this::closed);
         return true;
     }
 
     private void close() {
         phase = Phase.CLOSED;
-        guarded(() -> {
+        callLibrary(() -> {
             if (connection != null) {
                 connection.closeSilently();
-            } else if (opening != null) {
-                opening.cancel(true); // or its descriptor would be held until the system gives the connection up
+            } else if (connectFuture != null) {
+                connectFuture.cancel(true); // or its descriptor stays in use until the system gives up connecting
             }
             return true;
         });
     }
 
-    private final class Answer implements HttpParser.Sink {
+    private final class ResponseSink implements HttpParser.Sink {
         @Override
         public void first(int status) {
             exchange.first(status);
@@ -304,9 +303,9 @@
         }
 
         @Override
-        public void head(Head h) {
-            head = h;
-            exchange.head(h);
+        public void head(Head received) {
+            head = received;
+            exchange.head(received);
         }
 
         @Override
@@ -316,7 +315,7 @@
 
         @Override
         public void end() {
-            answered = true;
+            responseComplete = true;
         }
     }
 }
--- a/src/main/java/firstair/relay/net/Inbox.java
+++ b/src/main/java/firstair/relay/net/Inbox.java
@@ -1,10 +1,10 @@
 package firstair.relay.net;
 
-/** Where what other relays send is handed in; calls come from a selector's thread and must not block. */
+/** Receives what other relays send. Methods are called on a selector thread and must not block. */
 public interface Inbox {
-    /** A datagram or a frame, whole. */
+    /** A complete datagram or frame has been received. */
     void bytes(byte[] bytes);
 
-    /** Something came that can be neither. */
+    /** Data has been received that is neither a valid datagram nor a valid frame. */
     void garbage();
 }
--- a/src/main/java/firstair/relay/net/Link.java
+++ b/src/main/java/firstair/relay/net/Link.java
@@ -3,56 +3,58 @@
 import firstair.relay.http.Head;
 
 /**
- * One connection that the relay opens to a peer, with one request at a time on it. No method throws: what goes wrong
- * below comes as {@link Exchange#broken}.
+ * A connection that the relay opens to a peer and that carries one request at a time. No method throws; failures of the
+ * layers below are reported by {@link Exchange#broken}.
  */
 public interface Link {
     /**
-     * What comes of one request. Exactly one of {@link #done}, {@link #broken} and {@link #unasked} comes, unless
-     * it was left; calls come from the selector's thread or from the thread that sends, and must not block.
+     * Callbacks of one request and its response. Exactly one of {@link #done}, {@link #broken} and {@link #unasked} is
+     * called, unless the request was given up by {@link Link#leave}. The methods run on the selector thread or on the
+     * thread that sends, and must not block.
      */
     interface Exchange {
         /**
-         * The connection is up and nothing has been sent on it: opened without a request. What comes of it until one
-         * is sent is told here, too.
+         * The connection is established and was opened without a request, so nothing has been sent on it. Events until
+         * the first request is sent are reported to this exchange, too.
          */
         default void up() {}
 
-        /** Something of an answer has come, and not yet all of it. */
+        /** A part of the response, but not all of it, has been received. */
         default void begun() {}
 
-        /** What {@link #begun} told of was an interim answer, which is over; the answer is yet to begin. */
+        /** What {@link #begun} reported was an interim response, which is complete; the final one is yet to begin. */
         default void interim() {}
 
-        /** The answer's first line says so, whatever follows it. */
+        /** The status line of the response has been received; the rest may still turn out to be invalid. */
         default void first(int status) {}
 
-        /** A header line of the answer is whole, whatever follows it; the name in lower case. */
+        /** A header line of the response has been received, its name in lower case; the rest may still be invalid. */
         default void field(String name, String value) {}
 
-        /** Start line and headers of the answer. */
+        /** Start line and headers of the response. */
         void head(Head head);
 
-        /** A piece of the answer's body, valid during the call only. */
+        /** A part of the response body. The array is valid during the call only. */
         void body(byte[] bytes, int offset, int length);
 
         /**
-         * The answer is whole.
+         * The response is complete.
          *
-         * @param reusable the connection can carry another request
-         * @param alone    nothing came behind it
+         * @param reusable whether the connection can carry another request
+         * @param alone    whether no data came after the response
          */
         void done(boolean reusable, boolean alone);
 
         /**
-         * The connection never came up or broke, or what came is no answer and the connection has been closed;
-         * {@code maybeArrived} unless the last byte was not written.
+         * The connection was not established or broke, or the response was invalid and the connection has been closed.
+         *
+         * @param maybeArrived false if the last byte of the request was not written
          */
         void broken(boolean maybeArrived);
 
         /**
-         * In place of {@link #broken}: the connection could not be asked for, by a failure of this machine that says
-         * nothing of the peer (no descriptor, no buffer, no port, no route).
+         * Called in place of {@link #broken} if connecting failed on this machine, which says nothing about the peer
+         * (no descriptor, no buffer, no port, no route).
          */
         default void unasked() {
             broken(false);
@@ -60,35 +62,39 @@
     }
 
     /**
-     * Sends a request; false if the connection has ended meanwhile. Then nothing more is told of it, but for the
-     * exchange that it was opened for, which hears that it broke.
+     * Sends a request.
+     *
+     * @return false if the connection has ended meanwhile; then {@code next} is not called. The exchange that the
+     *     connection was opened with, if no request has been sent yet, is notified by {@link Exchange#broken}
      */
     boolean send(byte[] request, Exchange next);
 
-    /** Whether it has carried a request, waits for the next one and has not ended, as far as is known. */
+    /** Whether the connection is free for a request and has not ended, as far as is known. */
     boolean idle();
 
     /**
-     * Sends nothing on a connection that is up: it stands idle from now on. False if it has ended, is not up yet or
-     * something has come on it, and then nothing has been done.
+     * Makes an established connection on which nothing has been sent an idle one.
+     *
+     * @return whether the connection is idle; false, without any effect, if it has ended, is not established yet or
+     *     data has been received on it
      */
     boolean keep();
 
-    /** Whether the connection has not come up yet. */
+    /** Whether the connection is still being established. */
     boolean connecting();
 
     /**
-     * Ends the connection and the wait for an answer; nothing more is told of the exchange.
+     * Closes the connection without waiting for the response; the exchange is not called any more.
      *
      * @return whether the request may have arrived
      */
     boolean leave();
 
     /**
-     * Gives up a request whose answer is waited for, by ending our sending. The exchange goes on until the peer
-     * ends the connection too, so that both sides agree on when the request was over.
+     * Gives up a request whose response is awaited by shutting down our output. The exchange lasts until the peer
+     * closes the connection too, so that both sides agree on when the request ended.
      *
-     * @return false if no whole request is out; then nothing has been done
+     * @return false, without any effect, unless a whole request has been sent and its response is awaited
      */
     boolean halt();
 }
--- a/src/main/java/firstair/relay/net/LinkFilter.java
+++ b/src/main/java/firstair/relay/net/LinkFilter.java
@@ -6,7 +6,7 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** Hands what comes on a connection that the relay opened to its link. */
+/** Passes data and the end of connections that the relay opened to their links. */
 final class LinkFilter extends BaseFilter {
     static final Attribute<HttpLink> LINK = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.link");
 
--- a/src/main/java/firstair/relay/net/LocalFailure.java
+++ b/src/main/java/firstair/relay/net/LocalFailure.java
@@ -5,25 +5,25 @@
 import java.net.SocketException;
 import java.util.Arrays;
 
-/** Tells failures of this machine from those of a peer, where a connection did not come up. */
+/** Distinguishes failures of this machine from those of a peer when a connection was not established. */
 final class LocalFailure {
-    private static final String CALL_OF_ANSWERS = "finishConnect";
+    private static final String COMPLETION_METHOD = "finishConnect";
 
     private LocalFailure() {}
 
     /**
-     * Whether the system refused to ask for a connection at all: {@code socket} or {@code connect} failed itself, with
-     * an error that is no answer of a peer. What comes of a connection later is told by {@code finishConnect}, with
-     * errors of the same class.
+     * Whether the system did not start to connect at all: {@code socket} or {@code connect} itself failed, with an
+     * error that is not a reaction of the peer. Later failures, which may come from the peer, are exceptions of the
+     * same class but are thrown by {@code finishConnect}.
      */
-    static boolean is(Throwable why) {
-        for (Throwable t = why; t != null; t = t.getCause()) {
-            if (t instanceof ConnectException || t instanceof NoRouteToHostException) {
+    static boolean isLocal(Throwable failure) {
+        for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
+            if (cause instanceof ConnectException || cause instanceof NoRouteToHostException) {
                 return false;
             }
-            if (t instanceof SocketException) {
-                return Arrays.stream(t.getStackTrace())
-                        .noneMatch(f -> f.getMethodName().equals(CALL_OF_ANSWERS));
+            if (cause instanceof SocketException) {
+                return Arrays.stream(cause.getStackTrace())
+                        .noneMatch(frame -> frame.getMethodName().equals(COMPLETION_METHOD));
             }
         }
         return false;
--- a/src/main/java/firstair/relay/net/Pipe.java
+++ b/src/main/java/firstair/relay/net/Pipe.java
@@ -11,8 +11,8 @@
 import org.glassfish.grizzly.GrizzlyFuture;
 
 /**
- * A connection that carries frames to another relay. No method throws or waits; a frame that was taken may be lost with
- * the connection all the same. Who sends watches {@link #waiting} and {@link #stillMs}.
+ * A connection that carries frames to another relay. No method throws or waits. A frame that was accepted may still be
+ * lost with the connection; senders check {@link #waiting} and {@link #stillMs}.
  */
 public final class Pipe {
     private static final Logger LOG = Logger.getLogger(Pipe.class.getName());
@@ -25,30 +25,30 @@
     }
 
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
-    private final GrizzlyFuture<Connection> opening;
+    private final GrizzlyFuture<Connection> connectFuture;
 
-    private final Queue<byte[]> before = new ArrayDeque<>();
+    private final Queue<byte[]> queuedFrames = new ArrayDeque<>();
     private Connection<?> connection;
     private Phase phase = Phase.CONNECTING;
-    private long waiting;
-    private long movedAt = System.nanoTime();
+    private long unwrittenBytes;
+    private long lastProgressAt = System.nanoTime();
 
-    /** Begins to connect; see {@link Frames#open}. */
+    /** Starts to connect; see {@link Frames#open}. */
     Pipe(Frames frames, InetSocketAddress to) {
-        opening = connect(frames, to);
-        if (opening == null) {
+        connectFuture = connect(frames, to);
+        if (connectFuture == null) {
             close();
             return;
         }
-        opening.addCompletionHandler(new EmptyCompletionHandler<>() {
+        connectFuture.addCompletionHandler(new EmptyCompletionHandler<>() {
             @Override
             @SuppressWarnings("rawtypes") // Grizzly's handler is declared so
-            public void completed(Connection c) {
-                connected(c);
+            public void completed(Connection established) {
+                connected(established);
             }
 
             @Override
-            public void failed(Throwable why) {
+            public void failed(Throwable cause) {
                 close();
             }
 
@@ -64,45 +64,45 @@
         try {
             return frames.connect(to);
         } catch (RuntimeException e) {
-            LOG.log(Level.FINE, "no connection to another relay", e);
+            LOG.log(Level.FINE, "cannot connect to another relay", e);
             return null;
         }
     }
 
-    private synchronized void connected(Connection<?> c) {
+    private synchronized void connected(Connection<?> established) {
         if (phase == Phase.CLOSED) {
-            c.closeSilently(); // it came up after it was given up
+            established.closeSilently(); // established after it was closed here
             return;
         }
-        connection = c;
+        connection = established;
         phase = Phase.OPEN;
-        movedAt = System.nanoTime();
-        Frames.belongs(c, this);
-        while (phase == Phase.OPEN && !before.isEmpty()) {
-            write(before.remove());
+        lastProgressAt = System.nanoTime();
+        Frames.setPipe(established, this);
+        while (phase == Phase.OPEN && !queuedFrames.isEmpty()) {
+            write(queuedFrames.remove());
         }
-        if (!c.isOpen()) {
-            close(); // it ended before its end could be told to us
+        if (!established.isOpen()) {
+            close(); // it ended before its end could be reported to this pipe
         }
     }
 
-    /** Hands in a frame; false if the connection has ended and it was not taken. */
+    /** Queues a frame; false if the connection has ended and the frame was not accepted. */
     public synchronized boolean send(byte[] frame) {
         if (phase == Phase.CLOSED) {
             return false;
         }
-        byte[] all = ByteBuffer.allocate(Integer.BYTES + frame.length)
+        byte[] framed = ByteBuffer.allocate(Integer.BYTES + frame.length)
                 .putInt(frame.length)
                 .put(frame)
                 .array();
-        if (waiting == 0) {
-            movedAt = System.nanoTime();
+        if (unwrittenBytes == 0) {
+            lastProgressAt = System.nanoTime();
         }
-        waiting += all.length;
+        unwrittenBytes += framed.length;
         if (phase == Phase.CONNECTING) {
-            before.add(all);
+            queuedFrames.add(framed);
         } else {
-            write(all);
+            write(framed);
         }
         return true;
     }
@@ -111,54 +111,54 @@
         try {
             Wire.write(connection, bytes, () -> written(bytes.length), this::close);
         } catch (RuntimeException e) {
-            LOG.log(Level.FINE, "a frame was not written", e);
+            LOG.log(Level.FINE, "failed to write a frame", e);
             close();
         }
     }
 
     private synchronized void written(int bytes) {
         if (phase != Phase.CLOSED) {
-            waiting -= bytes;
-            movedAt = System.nanoTime();
+            unwrittenBytes -= bytes;
+            lastProgressAt = System.nanoTime();
         }
     }
 
-    /** Bytes taken that are not with the system yet. */
+    /** Bytes that were accepted and have not been handed to the system yet. */
     public synchronized long waiting() {
-        return waiting;
+        return unwrittenBytes;
     }
 
-    /** Milliseconds since anything was last taken, opened or written. */
+    /** Milliseconds since bytes were last written, the connection was established or sending began anew. */
     public synchronized double stillMs() {
-        return (System.nanoTime() - movedAt) / NS_PER_MS;
+        return (System.nanoTime() - lastProgressAt) / NS_PER_MS;
     }
 
-    /** Whether it is open or may still come up. */
+    /** Whether the connection is open or still being established. */
     public synchronized boolean alive() {
         return phase != Phase.CLOSED;
     }
 
-    /** Whether it ever came up. */
+    /** Whether the connection was ever established. */
     public synchronized boolean cameUp() {
         return connection != null;
     }
 
-    /** Ends it; what waits is lost. */
+    /** Closes the connection; frames that are not written yet are lost. */
     public synchronized void close() {
         if (phase == Phase.CLOSED) {
             return;
         }
         phase = Phase.CLOSED;
-        before.clear();
-        waiting = 0;
+        queuedFrames.clear();
+        unwrittenBytes = 0;
         try {
             if (connection != null) {
                 connection.closeSilently();
-            } else if (opening != null) {
-                opening.cancel(true); // or its descriptor would be held until the system gives the connection up
+            } else if (connectFuture != null) {
+                connectFuture.cancel(true); // or its descriptor stays in use until the system gives up connecting
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.FINE, "fault at the end of a connection", e);
+            LOG.log(Level.FINE, "unexpected exception while closing a connection", e);
         }
     }
 }
--- a/src/main/java/firstair/relay/net/SelectorThreads.java
+++ b/src/main/java/firstair/relay/net/SelectorThreads.java
@@ -5,24 +5,24 @@
 import java.util.concurrent.TimeUnit;
 import org.glassfish.grizzly.nio.NIOTransport;
 
-/** Ends the thread that serves a transport's sockets. */
+/** Shuts down transports and their selector threads. */
 final class SelectorThreads {
-    private static final long END_MS = 1000;
+    private static final long TERMINATION_TIMEOUT_MS = 1000;
 
     private SelectorThreads() {}
 
     /**
-     * Closes all sockets of a transport and waits until its selector's thread has let go of them: until then the system
-     * holds their addresses to be in use. Not for that thread itself.
+     * Closes all sockets of a transport and waits, for a second at most, until its selector thread has released them:
+     * until then their addresses are in use. Must not be called on that thread itself.
      */
-    static void end(NIOTransport transport) throws IOException {
+    static void shutDown(NIOTransport transport) throws IOException {
         ExecutorService threads = transport.getKernelThreadPool();
         transport.shutdownNow();
         if (threads == null) {
-            return; // it never began
+            return; // it was never started
         }
         try {
-            threads.awaitTermination(END_MS, TimeUnit.MILLISECONDS);
+            threads.awaitTermination(TERMINATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/firstair/relay/net/Wire.java
+++ b/src/main/java/firstair/relay/net/Wire.java
@@ -32,12 +32,12 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** The transport that all sockets of the relay share: one selector thread, whose filters never block. */
+/** The transport of the relay's sockets for clients and HTTP peers, with one selector thread; filters never block. */
 public final class Wire implements Dialer {
     private static final Logger LOG = Logger.getLogger(Wire.class.getName());
 
     private final TCPNIOTransport transport;
-    private final FilterChain links;
+    private final FilterChain linkFilters;
     private final int maxHead;
     private final int readBuffer;
     private final int backlog;
@@ -61,7 +61,7 @@
         maxHead = limits.maxHead();
         readBuffer = limits.readBuffer();
         backlog = limits.backlog();
-        links = chain(new LinkFilter());
+        linkFilters = chain(new LinkFilter());
         transport.start();
     }
 
@@ -73,95 +73,98 @@
     }
 
     /**
-     * Listens; each connection is served by the filter.
+     * Starts to listen; each connection is served by the filter.
      *
-     * @param stays whether a connection whose peer has ended its sending is still owed something, on the selector's
-     *     thread
+     * @param keepOpen whether a connection still needs a response although its peer has shut down its output; called on
+     *     the selector thread
      */
-    public Connection<?> listen(InetSocketAddress at, Filter filter, Predicate<Connection<?>> stays)
+    public Connection<?> listen(InetSocketAddress address, Filter filter, Predicate<Connection<?>> keepOpen)
             throws IOException {
         return TCPNIOBindingHandler.builder(transport)
                 .processor(FilterChainBuilder.stateless()
-                        .add(new HalfCloseFilter(readBuffer, stays))
+                        .add(new HalfCloseFilter(readBuffer, keepOpen))
                         .add(filter)
                         .build())
                 .build()
-                .bind(at);
+                .bind(address);
     }
 
     /**
-     * Has the system refuse new connections, while those that it has completed are accepted as before. Where it cannot,
-     * connections come until {@link #unlisten}.
+     * Makes the system refuse new connections, while those that it has completed are accepted as before. Where this is
+     * not supported, new connections are accepted until {@link #unlisten}.
      */
     public static void refuseNew(Connection<?> listener) {
-        ConnectionRefusal.begin((ServerSocketChannel) ((TCPNIOServerConnection) listener).getChannel());
+        ConnectionRefusal.start((ServerSocketChannel) ((TCPNIOServerConnection) listener).getChannel());
     }
 
     /**
-     * Takes no connection any more. The system resets whatever it has completed by the moment of the close and we have
-     * not accepted: so {@link #refuseNew} comes before, and here the selector lets go of the listener first, since the
-     * close of one that is registered waits for the selector's next event. Then all that waits is accepted.
+     * Closes a listener. When it closes, the system resets the connections that it has completed and the relay has not
+     * accepted. So {@link #refuseNew} is called before, and here the listener is first deregistered from the selector,
+     * since a registered one is not closed before the selector's next event. Then all completed connections are
+     * accepted.
      *
-     * @param then told on the selector's thread; what is handed to it from then on runs behind the end of the listener
+     * @param afterwards run on the selector thread; tasks given to that thread from then on run after the close
      */
-    public void unlisten(Connection<?> listener, Runnable then) {
+    public void unlisten(Connection<?> listener, Runnable afterwards) {
         between(listener, () -> {
             TCPNIOServerConnection server = (TCPNIOServerConnection) listener;
             try {
                 server.getSelectionKey().cancel();
                 server.getSelectorRunner().getSelector().selectNow();
-                for (int accepts = 0; accepts <= backlog; accepts++) { // an accept does not tell whether one waited
+                // An accept does not report whether a connection was waiting, so as many follow as may have been.
+                for (int accepts = 0; accepts <= backlog; accepts++) {
                     accept(server);
                 }
                 server.getChannel().close();
                 LOG.fine("listener closed");
             } catch (IOException e) {
-                // it is closed next
+                // the listener is closed below
             }
             listener.closeSilently();
-            then.run();
+            afterwards.run();
         });
     }
 
-    /** Accepts a connection if one waits. One that fails, as it may for a moment, must not keep out those behind it. */
+    /** Accepts a connection if one is waiting. A failure, which may be temporary, must not prevent further accepts. */
     private static void accept(TCPNIOServerConnection server) {
         try {
             server.onAccept();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "an accept failed as the listener closes", e);
+            LOG.log(Level.FINE, "failed to accept a connection while the listener closes", e);
         }
     }
 
     @Override
-    public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
-        return new HttpLink(this, maxHead, to, maxBody, request, first, closedIdle);
+    public Link open(
+            InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose) {
+        return new HttpLink(this, maxHead, to, maxBody, request, firstExchange, onIdleClose);
     }
 
     /** Opens a connection for a {@link HttpLink}. */
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     GrizzlyFuture<Connection> connect(InetSocketAddress to) {
         return TCPNIOConnectorHandler.builder(transport)
-                .processor(links)
+                .processor(linkFilters)
                 .build()
                 .connect(to);
     }
 
-    /** Stops the selector thread and closes what is open, at once. */
+    /** Stops the selector thread and closes all sockets, without waiting. */
     public void close() throws IOException {
         transport.shutdownNow();
     }
 
-    /** How many bytes have come in one read. */
+    /** Number of bytes of one read. */
     public static int size(FilterChainContext ctx) {
         return ((Buffer) ctx.getMessage()).remaining();
     }
 
-    /** Passes over what has come in one read. */
+    /** Discards the bytes of one read. */
     public static void drop(FilterChainContext ctx) {
         ((Buffer) ctx.getMessage()).tryDispose();
     }
 
-    /** What has come in one read. */
+    /** The bytes of one read. */
     public static byte[] bytes(FilterChainContext ctx) {
         Buffer buffer = ctx.getMessage();
         byte[] bytes = new byte[buffer.remaining()];
@@ -171,17 +174,17 @@
     }
 
     /**
-     * Runs a task on the selector's thread, between two reads: whatever has been read of the connection is with its
+     * Runs a task on the selector thread, between two reads: all bytes read from the connection have been passed to its
      * filter by then. Bytes that one thread has read while another closes their connection would be lost.
      */
     public static void between(Connection<?> connection, Runnable task) {
-        NIOConnection c = (NIOConnection) connection;
-        SelectorRunner selector = c.getSelectorRunner();
+        NIOConnection nioConnection = (NIOConnection) connection;
+        SelectorRunner selector = nioConnection.getSelectorRunner();
         if (selector == null) {
-            task.run(); // it is read by nobody
+            task.run(); // no thread reads it
             return;
         }
-        ((NIOTransport) c.getTransport())
+        ((NIOTransport) nioConnection.getTransport())
                 .getSelectorHandler()
                 .execute(
                         selector,
@@ -192,28 +195,28 @@
                         null);
     }
 
-    /** Whether nothing has come that nobody has read, neither a byte nor an end. If a byte has, it is lost. */
-    static boolean isQuiet(Connection<?> connection) {
+    /** Whether neither a byte nor an end waits to be read. Consumes a byte if there is one. */
+    static boolean hasNothingUnread(Connection<?> connection) {
         try {
             return ((SocketChannel) ((NIOConnection) connection).getChannel()).read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
-            return false; // it has broken
+            return false; // the connection is broken
         }
     }
 
-    /** What has come and waits to be read, up to a size; empty if nothing has. On the selector's thread only. */
-    public static byte[] unread(Connection<?> connection, int most) {
-        ByteBuffer bytes = ByteBuffer.allocate(most);
+    /** Reads what has been received and not read yet, up to a size; may be empty. On the selector thread only. */
+    public static byte[] unread(Connection<?> connection, int maxBytes) {
+        ByteBuffer bytes = ByteBuffer.allocate(maxBytes);
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel()).read(bytes);
         } catch (IOException e) {
-            // it has broken or is closed, and then nothing waits; its end is told elsewhere
+            // the connection is broken or closed, so nothing waits; its end is reported elsewhere
         }
         return Arrays.copyOf(bytes.array(), bytes.position());
     }
 
-    /** Ends our sending and leaves the other direction open; {@code failed} if there is nothing to end. */
-    public static void endSending(Connection<?> connection, Runnable failed) {
+    /** Shuts down our output and leaves the input open; runs {@code failed} if the connection is closed or broken. */
+    public static void shutdownOutput(Connection<?> connection, Runnable failed) {
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel()).shutdownOutput();
         } catch (IOException e) {
@@ -221,7 +224,7 @@
         }
     }
 
-    /** Writes bytes; the handler hears once the last one is with the system, or that it never got there. */
+    /** Writes bytes; runs {@code written} once the last one is with the system, or {@code failed} if that fails. */
     @SuppressWarnings({"rawtypes", "unchecked"}) // Grizzly's handler is declared so
     public static void write(Connection<?> connection, byte[] bytes, Runnable written, Runnable failed) {
         Buffer buffer = Buffers.wrap(connection.getMemoryManager(), bytes);
@@ -232,7 +235,7 @@
             }
 
             @Override
-            public void failed(Throwable why) {
+            public void failed(Throwable cause) {
                 failed.run();
             }
 
--- a/src/main/java/firstair/relay/net/package-info.java
+++ b/src/main/java/firstair/relay/net/package-info.java
@@ -1,2 +1,2 @@
-/** The sockets: Grizzly filter chains that move bytes between a connection and a state machine. */
+/** Sockets: Grizzly filter chains that pass bytes between connections and state machines. */
 package firstair.relay.net;
--- a/src/test/java/firstair/relay/net/HttpLinkTest.java
+++ b/src/test/java/firstair/relay/net/HttpLinkTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connection that is given up in the moment in which it comes up: nothing is written, and it is closed. */
+/** Links that are given up while their connection is being established: nothing is written, and it is closed. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HttpLinkTest {
     private static final long MAX_BODY = 1000;
-    private final AtomicInteger told = new AtomicInteger();
+    private final AtomicInteger calls = new AtomicInteger();
     private final AtomicReference<Thread> selector = new AtomicReference<>();
-    private final CountDownLatch go = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
     private Wire wire;
     private ServerSocket server;
 
@@ -38,12 +38,12 @@
 
     @AfterEach
     void stop() throws Exception {
-        go.countDown();
+        resume.countDown();
         wire.close();
         server.close();
     }
 
-    private InetSocketAddress to() {
+    private InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
@@ -51,44 +51,44 @@
         return sends ? "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII) : null;
     }
 
-    /** Counts what is told of a connection. */
-    private class Counting implements Link.Exchange {
+    /** Counts the calls of all exchanges. */
+    private class CountingExchange implements Link.Exchange {
         @Override
         public void up() {
-            told.incrementAndGet();
+            calls.incrementAndGet();
         }
 
         @Override
         public void head(Head head) {
-            told.incrementAndGet();
+            calls.incrementAndGet();
         }
 
         @Override
         public void body(byte[] bytes, int offset, int length) {
-            told.incrementAndGet();
+            calls.incrementAndGet();
         }
 
         @Override
         public void done(boolean reusable, boolean alone) {
-            told.incrementAndGet();
+            calls.incrementAndGet();
         }
 
         @Override
         public void broken(boolean maybeArrived) {
-            told.incrementAndGet();
+            calls.incrementAndGet();
         }
     }
 
     /**
-     * Holds up the selector's thread until {@link #go}. A connection that is there before anybody asks for its news
-     * tells them on the thread that opened it: then another one is opened.
+     * Blocks the selector thread until {@link #resume}. If a connection is established before its handler is added, the
+     * callback runs on the thread that opened it; then another one is opened.
      */
-    private Socket holdSelector() throws Exception {
+    private Socket blockSelector() throws Exception {
         while (true) {
-            Holding holding = new Holding(Thread.currentThread());
-            wire.open(to(), MAX_BODY, null, holding, () -> {});
+            BlockingExchange exchange = new BlockingExchange(Thread.currentThread());
+            wire.open(address(), MAX_BODY, null, exchange, () -> {});
             Socket other = server.accept();
-            holding.told.await();
+            exchange.called.await();
             if (selector.get() != null) {
                 return other;
             }
@@ -96,124 +96,128 @@
         }
     }
 
-    /** Holds up the thread that tells it of its connection, unless that is the one that opened it. */
-    private final class Holding extends Counting {
+    /** Blocks the thread that reports the connection, unless that is the one that opened it. */
+    private final class BlockingExchange extends CountingExchange {
         private final Thread opener;
-        private final CountDownLatch told = new CountDownLatch(1);
+        private final CountDownLatch called = new CountDownLatch(1);
 
-        Holding(Thread opener) {
+        BlockingExchange(Thread opener) {
             this.opener = opener;
         }
 
         @Override
         public void up() {
             if (Thread.currentThread() == opener) {
-                told.countDown();
+                called.countDown();
                 return;
             }
             selector.set(Thread.currentThread());
-            told.countDown();
+            called.countDown();
             try {
-                go.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
         @Override
-        public void broken(boolean maybeArrived) {} // when the test lets go of it
+        public void broken(boolean maybeArrived) {} // when the test closes the connection
     }
 
-    /** The system has the connection, and the selector's thread has not looked yet. */
+    /** The system has established the connection, and the selector thread has not handled it yet. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void givenUpBeforeTheSelectorSeesTheConnection(boolean sends) throws Exception {
-        try (Socket other = holdSelector()) {
-            Link link = wire.open(to(), MAX_BODY, request(sends), new Counting(), () -> {});
-            try (Socket s = server.accept()) {
+        try (Socket other = blockSelector()) {
+            Link link = wire.open(address(), MAX_BODY, request(sends), new CountingExchange(), () -> {});
+            try (Socket peer = server.accept()) {
                 assertThat(link.connecting()).isTrue();
                 assertThat(link.leave()).as("may have arrived").isFalse();
-                go.countDown();
-                s.setSoTimeout(10_000);
-                assertThat(s.getInputStream().read()).as("an end and no byte").isEqualTo(-1);
+                resume.countDown();
+                peer.setSoTimeout(10_000);
+                assertThat(peer.getInputStream().read())
+                        .as("an end and no byte")
+                        .isEqualTo(-1);
             }
             assertThat(other.isClosed()).isFalse();
         }
-        assertThat(told).hasValue(0);
+        assertThat(calls).hasValue(0);
     }
 
-    /** The library has completed the connection and is about to tell the link. */
+    /** The library has completed the connection and is about to report it to the link. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void givenUpBetweenTheCompletionAndItsLink(boolean sends) throws Exception {
-        try (Socket other = holdSelector()) {
-            Link link = wire.open(to(), MAX_BODY, request(sends), new Counting(), () -> {});
-            try (Socket s = server.accept()) {
+    void givenUpAfterTheConnectAndBeforeTheLinkIsNotified(boolean sends) throws Exception {
+        try (Socket other = blockSelector()) {
+            Link link = wire.open(address(), MAX_BODY, request(sends), new CountingExchange(), () -> {});
+            try (Socket peer = server.accept()) {
                 synchronized (link) { // the link's own lock
-                    go.countDown();
+                    resume.countDown();
                     Await.until(
-                            "the selector's thread at its door",
+                            "the selector thread to wait for the lock",
                             () -> selector.get().getState() == Thread.State.BLOCKED);
                     assertThat(link.leave()).isFalse();
                 }
-                s.setSoTimeout(10_000);
-                assertThat(s.getInputStream().read()).as("an end and no byte").isEqualTo(-1);
+                peer.setSoTimeout(10_000);
+                assertThat(peer.getInputStream().read())
+                        .as("an end and no byte")
+                        .isEqualTo(-1);
             }
             assertThat(other.isClosed()).isFalse();
         }
-        assertThat(told).hasValue(0);
+        assertThat(calls).hasValue(0);
     }
 
-    /** Given up on the loop's thread in the moment in which it is told that the connection is there. */
+    /** Given up on another thread as soon as the connection has been reported. */
     @Test
-    void givenUpOnceItIsUpItIsClosedAndTakesNoRequest() throws Exception {
+    void givenUpWhenEstablishedItIsClosedAndTakesNoRequest() throws Exception {
         CountDownLatch up = new CountDownLatch(1);
         Link link = wire.open(
-                to(),
+                address(),
                 MAX_BODY,
                 null,
-                new Counting() {
+                new CountingExchange() {
                     @Override
                     public void up() {
                         up.countDown();
                     }
                 },
                 () -> {});
-        try (Socket s = server.accept()) {
+        try (Socket peer = server.accept()) {
             up.await();
             assertThat(link.leave()).isFalse();
-            assertThat(link.send(request(true), new Counting())).isFalse();
+            assertThat(link.send(request(true), new CountingExchange())).isFalse();
             assertThat(link.keep()).isFalse();
-            s.setSoTimeout(10_000);
-            assertThat(s.getInputStream().read()).isEqualTo(-1);
+            peer.setSoTimeout(10_000);
+            assertThat(peer.getInputStream().read()).isEqualTo(-1);
         }
-        assertThat(told).hasValue(0);
+        assertThat(calls).hasValue(0);
     }
 
     @Test
-    void keptUnusedItTakesALaterRequestAndTellsItsEnd() throws Exception {
+    void anUnusedConnectionCanBeKeptIdleAndReportsItsEnd() throws Exception {
         CountDownLatch up = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
         Link link = wire.open(
-                to(),
+                address(),
                 MAX_BODY,
                 null,
-                new Counting() {
+                new CountingExchange() {
                     @Override
                     public void up() {
                         up.countDown();
                     }
                 },
                 ended::countDown);
-        try (Socket s = server.accept()) {
+        try (Socket peer = server.accept()) {
             up.await();
-            assertThat(link.idle()).as("not before it is kept").isFalse();
+            assertThat(link.idle()).as("before keep()").isFalse();
             assertThat(link.keep()).isTrue();
             assertThat(link.idle()).isTrue();
-            s.close();
+            peer.close();
             ended.await();
             assertThat(link.idle()).isFalse();
         }
-        assertThat(told).hasValue(0);
+        assertThat(calls).hasValue(0);
     }
 }
--- a/src/test/java/firstair/relay/net/WireTest.java
+++ b/src/test/java/firstair/relay/net/WireTest.java
@@ -14,14 +14,15 @@
 import org.junit.jupiter.api.Test;
 
 class WireTest {
-    /** Small writes would wait for the other side's word on those before, and go with a reset. */
+    /** Without TCP_NODELAY a small write waits for the acknowledgement of the one before, and a reset discards it. */
     @Test
-    void requestsDoNotWaitInTheSystem() throws Exception {
+    void requestsAreWrittenWithTcpNoDelay() throws Exception {
         Wire wire = new Wire(Limits.of(0, 0, 64_000_000, 0, 0, 0));
-        try (ServerSocket there = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Connection<?> c = wire.connect((InetSocketAddress) there.getLocalSocketAddress())
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            Connection<?> connection = wire.connect((InetSocketAddress) server.getLocalSocketAddress())
                     .get(10, TimeUnit.SECONDS);
-            assertThat(((SocketChannel) ((NIOConnection) c).getChannel()).getOption(StandardSocketOptions.TCP_NODELAY))
+            assertThat(((SocketChannel) ((NIOConnection) connection).getChannel())
+                            .getOption(StandardSocketOptions.TCP_NODELAY))
                     .isTrue();
         } finally {
             wire.close();
