--- a/src/main/java/firstair/relay/clients/BookingRequest.java
+++ b/src/main/java/firstair/relay/clients/BookingRequest.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A question about a booking, or a request for one, and the way to answer it. */
+/** A client's request about a booking, and the means to respond to it. */
 public final class BookingRequest {
     private final ClientConnection connection;
     private final String method;
@@ -21,18 +21,22 @@
         return method;
     }
 
-    /** Which one. */
+    /** The name of the booking, from the request path. */
     public String booking() {
         return booking;
     }
 
-    /** The bytes as they came, JSON if they are any good. */
+    /** The request body, unchecked; it should be JSON. */
     public byte[] body() {
         return body;
     }
 
-    /** Answers with JSON; a wait of 0 ms is not told. */
+    /**
+     * Responds with JSON.
+     *
+     * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
+     */
     public void answer(int status, double retryAfterMs, String json) {
-        connection.answer(status, retryAfterMs, null, json.getBytes(StandardCharsets.UTF_8));
+        connection.respond(status, retryAfterMs, null, json.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -16,15 +16,15 @@
 import java.util.logging.Logger;
 import org.glassfish.grizzly.Connection;
 
-/** One client's connection: its requests one after another, each answered before the next is looked at. */
+/** A client's connection. Its requests are handled one at a time, each is answered before the next is parsed. */
 final class ClientConnection {
     private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
     private static final RateLimitedLogger FAULTS = new RateLimitedLogger(LOG, Level.SEVERE);
     private static final double MS_PER_S = 1000;
-    private static final int AHEAD = 16; // requests sent before their turn; clients send one at a time
-    private static final byte[] NOTHING = new byte[0];
-    private static final String BOOKINGS = "/-/bookings/";
-    private static final Set<String> ASKED = Set.of("GET", "PUT", "DELETE");
+    private static final int MAX_PIPELINED_REQUESTS = 16; // per connection; clients should send one at a time
+    private static final byte[] NO_BYTES = new byte[0];
+    private static final String BOOKINGS_PATH = "/-/bookings/";
+    private static final Set<String> BOOKING_METHODS = Set.of("GET", "PUT", "DELETE");
 
     private enum Phase {
         OPEN,
@@ -35,62 +35,63 @@
     private final Connection<?> connection;
     private final Limits limits;
     private final RequestHandler requests;
-    private final BooleanSupplier crowded;
+    private final BooleanSupplier softLimitExceeded;
     private final HttpParser parser;
     private final String peer;
-    private boolean heard; // something of it has been read
+    private boolean receivedAny;
     private Phase phase = Phase.OPEN;
-    private boolean answering; // a request awaits its answer
-    private boolean inputEnded; // the client sends nothing more, and may still listen
-    private boolean last; // no request is taken after this answer
+    private boolean requestPending; // a request awaits its response
+    private boolean inputEnded; // the client sends nothing more, but may still read
+    private boolean closeAfterResponse;
     private boolean draining;
-    private boolean served; // a request has been answered
-    private byte[] backlog = NOTHING;
-    private double quietSince; // connected, or last answer
-    private double begunAt; // connected, or first byte of the request that is being read
+    private boolean served; // at least one request has been answered
+    private byte[] unparsed = NO_BYTES;
+    private double idleSince; // time of the connect or of the last response
+    private double requestStartedAt; // time of the connect or of the first byte of the current request
     private double endingSince;
-    private int unsent; // writes that are not with the system yet
-    private int ahead; // requests behind which more had come already
-    private long discarded; // bytes that came after a refusal
+    private int pendingWrites; // not handed to the system yet
+    private int pipelinedRequests; // requests that were followed by more data at once
+    private long discardedBytes; // received after the last response
 
-    /** @param crowded whether clients hold so many connections that none is to be kept without need */
-    ClientConnection(Connection<?> connection, Limits limits, RequestHandler requests, BooleanSupplier crowded) {
+    /** @param softLimitExceeded whether clients have so many connections that idle ones are closed */
+    ClientConnection(
+            Connection<?> connection, Limits limits, RequestHandler requests, BooleanSupplier softLimitExceeded) {
         this.connection = connection;
         this.limits = limits;
         this.requests = requests;
-        this.crowded = crowded;
-        this.quietSince = requests.now();
-        this.begunAt = quietSince;
+        this.softLimitExceeded = softLimitExceeded;
+        this.idleSince = requests.now();
+        this.requestStartedAt = idleSince;
         this.peer = String.valueOf(connection.getPeerAddress());
         trace("accepted");
         this.parser = new HttpParser(HttpParser.Kind.REQUEST, limits.maxHead(), limits.maxBody(), new Collector() {
             @Override
-            public void head(Head h) {
-                super.head(h);
-                if (h.lists("expect", "100-continue")) {
+            public void head(Head head) {
+                super.head(head);
+                if (head.lists("expect", "100-continue")) {
                     write(HttpWriter.answer(100).bare(), () -> {});
                 }
             }
 
             @Override
             protected void whole(Head head, byte[] body) {
-                request(head, body);
+                handleRequest(head, body);
             }
         });
     }
 
     /**
-     * Passes over what a refused client still sends. Its answer would be lost with a reset, so it may go on for a
-     * little; a body of many megabytes is not read to its end.
+     * Discards what a client still sends after its last response. Closing at once could reset the connection and lose
+     * that response, so a limited number of bytes is read; a body of many megabytes is not read to its end.
      *
-     * @return false if what came is to be looked at
+     * @return false if the bytes are to be parsed
      */
-    synchronized boolean discards(int bytes) {
+    synchronized boolean discardsInput(int bytes) {
         if (phase == Phase.OPEN) {
             return false;
         }
-        discarded += bytes;
-        if (phase == Phase.ENDING && discarded > limits.lingerBytes()) {
+        discardedBytes += bytes;
+        if (phase == Phase.ENDING && discardedBytes > limits.lingerBytes()) {
             close();
         }
         return true;
@@ -103,365 +104,375 @@
     }
 
     synchronized void received(byte[] bytes) {
-        if (!heard) {
-            heard = true;
+        if (!receivedAny) {
+            receivedAny = true;
             trace("first bytes");
         }
         try {
-            if (!answering) {
+            if (!requestPending) {
                 parse(bytes);
-            } else if (backlog.length + bytes.length <= limits.maxHead()) {
-                backlog = joined(backlog, bytes);
+            } else if (unparsed.length + bytes.length <= limits.maxHead()) {
+                unparsed = joined(unparsed, bytes);
             } else {
-                last = true; // it sends on and on without waiting: the answer that is owed it gets, and no other
-                backlog = NOTHING;
+                // The client keeps sending without waiting: it gets the pending response and no other.
+                closeAfterResponse = true;
+                unparsed = NO_BYTES;
             }
         } catch (RuntimeException e) {
-            FAULTS.log("fault in a request", e);
-            turnAway(500); // a fault of ours has cut its request short, and nothing was taken on
+            FAULTS.log("unexpected exception while handling a request", e);
+            rejectAndClose(500); // a bug of the relay interrupted the request, nothing was accepted
         }
     }
 
-    private static byte[] joined(byte[] a, byte[] b) {
-        byte[] all = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, all, a.length, b.length);
+    private static byte[] joined(byte[] first, byte[] second) {
+        byte[] all = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, all, first.length, second.length);
         return all;
     }
 
     private void parse(byte[] bytes) {
         int at = 0;
         try {
-            while (at < bytes.length && !answering && phase == Phase.OPEN) {
+            while (at < bytes.length && !requestPending && phase == Phase.OPEN) {
                 if (served && parser.between()) {
-                    begunAt = requests.now();
+                    requestStartedAt = requests.now();
                 }
                 at += parser.feed(bytes, at, bytes.length - at);
-                // Hundreds fit into one read, and all others would wait while they are answered.
-                last |= at < bytes.length && ++ahead > AHEAD;
+                // One read may contain hundreds, and other clients would wait while all of them are answered.
+                closeAfterResponse |= at < bytes.length && ++pipelinedRequests > MAX_PIPELINED_REQUESTS;
             }
             if (at < bytes.length) {
-                backlog = joined(Arrays.copyOfRange(bytes, at, bytes.length), backlog);
+                unparsed = joined(Arrays.copyOfRange(bytes, at, bytes.length), unparsed);
             }
         } catch (HttpException e) {
-            turnAway(e.status());
+            rejectAndClose(e.status());
         }
     }
 
-    private void request(Head head, byte[] body) {
-        answering = true;
-        last |= !head.keepAlive();
+    private void handleRequest(Head head, byte[] body) {
+        requestPending = true;
+        closeAfterResponse |= !head.keepAlive();
         trace("request " + head.path() + " " + head.header(SubmissionFields.REQUEST_ID));
         switch (head.path()) {
-            case "/-/ready" -> answer(!head.method().equals("GET") ? 405 : requests.ready() ? 200 : 503, 0);
+            case "/-/ready" -> respond(!head.method().equals("GET") ? 405 : requests.ready() ? 200 : 503, 0);
             case "/api" -> {
                 if (!head.method().equals("POST")) {
-                    answer(405, 0);
+                    respond(405, 0);
                 } else if (head.contentLength() < 0 && head.header("transfer-encoding") == null) {
-                    answer(411, 0);
+                    respond(411, 0);
                 } else {
-                    handIn(head, body);
+                    submit(head, body);
                 }
             }
             default -> {
-                if (head.path().startsWith(BOOKINGS) && requests.asks()) {
-                    ask(head, body);
+                if (head.path().startsWith(BOOKINGS_PATH) && requests.asks()) {
+                    requestBooking(head, body);
                 } else {
-                    answer(404, 0);
+                    respond(404, 0);
                 }
             }
         }
     }
 
-    private void ask(Head head, byte[] body) {
-        String booking = head.path().substring(BOOKINGS.length());
-        if (!ASKED.contains(head.method())) {
-            answer(405, 0);
+    private void requestBooking(Head head, byte[] body) {
+        String booking = head.path().substring(BOOKINGS_PATH.length());
+        if (!BOOKING_METHODS.contains(head.method())) {
+            respond(405, 0);
         } else if (!SubmissionFields.isWord(booking)) {
-            answer(404, 0);
+            respond(404, 0);
         } else {
             requests.ask(new BookingRequest(this, head.method(), booking, body));
         }
     }
 
-    private void handIn(Head head, byte[] body) {
+    private void submit(Head head, byte[] body) {
         SubmissionFields fields = SubmissionFields.read(head, requests);
         if (fields == null) {
-            answer(400, 0);
+            respond(400, 0);
         } else {
-            requests.handIn(new Submission(this, fields, requests.now() + fields.timeMs(), body));
+            requests.handIn(new Submission(this, fields, requests.now() + fields.timeoutMs(), body));
         }
     }
 
-    void answer(int status, double retryAfterMs) {
-        answer(status, retryAfterMs, null);
+    void respond(int status, double retryAfterMs) {
+        respond(status, retryAfterMs, null);
     }
 
-    void answer(int status, double retryAfterMs, String reason) {
-        answer(status, retryAfterMs, reason, NOTHING);
+    void respond(int status, double retryAfterMs, String reason) {
+        respond(status, retryAfterMs, reason, NO_BYTES);
     }
 
     /**
-     * @param reason what a person can make of it, one line, or null
-     * @param json   the answer's body, or no bytes
+     * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
+     * @param reason       one line of text for {@code X-Reason}, or null
+     * @param json         the response body, or no bytes
      */
-    synchronized void answer(int status, double retryAfterMs, String reason, byte[] json) {
-        if (phase != Phase.OPEN || !answering) {
+    synchronized void respond(int status, double retryAfterMs, String reason, byte[] json) {
+        if (phase != Phase.OPEN || !requestPending) {
             return;
         }
-        if (unsent > 0) {
-            close(); // it asks and does not read: its answers would fill the memory
+        if (pendingWrites > 0) {
+            close(); // the client does not read its responses, which would fill the memory
             return;
         }
-        // Clients that ask once and stay, or open one for each request, would take all that clients may have.
-        boolean close = last || draining || crowded.getAsBoolean() || inputEnded && backlog.length == 0;
-        HttpWriter w = HttpWriter.answer(status);
+        // Clients that keep a connection without using it, or open one for each request, could use up all of them.
+        boolean close = closeAfterResponse
+                || draining
+                || softLimitExceeded.getAsBoolean()
+                || inputEnded && unparsed.length == 0;
+        HttpWriter response = HttpWriter.answer(status);
         if (retryAfterMs > 0) {
-            w.header("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / MS_PER_S));
+            response.header("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / MS_PER_S));
         }
         if (reason != null) {
-            w.header("X-Reason", reason);
+            response.header("X-Reason", reason);
         }
         if (status == 405) {
-            w.header("Allow", "GET, POST");
+            response.header("Allow", "GET, POST");
         }
         if (close) {
-            w.header("Connection", "close");
+            response.header("Connection", "close");
         }
         if (json.length > 0) {
-            w.header("Content-Type", "application/json");
+            response.header("Content-Type", "application/json");
         }
-        byte[] bytes = w.body(json);
-        trace(status + (close ? ", the last answer" : ""));
-        answering = false;
+        byte[] bytes = response.body(json);
+        trace(status + (close ? ", closing after this response" : ""));
+        requestPending = false;
         served = true;
-        quietSince = requests.now();
+        idleSince = requests.now();
         if (close) {
             phase = Phase.ENDING;
-            endingSince = quietSince;
-            write(bytes, this::finish);
+            endingSince = idleSince;
+            write(bytes, this::finishOutput);
             return;
         }
         write(bytes, () -> {});
-        byte[] rest = backlog;
-        backlog = NOTHING;
+        byte[] rest = unparsed;
+        unparsed = NO_BYTES;
         if (rest.length > 0) {
             received(rest);
         }
     }
 
-    private void write(byte[] bytes, Runnable then) {
-        unsent++;
+    private void write(byte[] bytes, Runnable afterwards) {
+        pendingWrites++;
         Wire.write(
                 connection,
                 bytes,
                 () -> {
                     sent();
-                    then.run();
+                    afterwards.run();
                 },
                 this::close);
     }
 
     private synchronized void sent() {
-        unsent--;
+        pendingWrites--;
     }
 
     /**
-     * Ends our sending only: to close with bytes unread would reset the connection, and the client might lose
-     * the answer with it. The client closes, or a sweep does.
+     * Shuts down our output only: closing with unread input would reset the connection, and the client might lose the
+     * response. The client closes the connection, or a sweep does.
      */
-    private void finish() {
-        if (hasEndedSending()) {
-            close(); // nothing unread can be left
+    private void finishOutput() {
+        if (hasInputEnded()) {
+            close(); // there is no unread input
         } else {
             Wire.shutdownOutput(connection, this::close);
         }
     }
 
-    private synchronized boolean hasEndedSending() {
+    private synchronized boolean hasInputEnded() {
         return inputEnded;
     }
 
-    /** From now on it ends with its next answer, and at once if it neither has a request nor is about to. */
+    /** Closes the connection after its next response, or now if it has no request and expects no first one. */
     synchronized void drain() {
         draining = true;
         if (!busy()) {
-            leave();
+            closeIfIdle();
         }
     }
 
     /**
-     * Ends it, and tells once that is done or an answer is all that is left to wait for. What its client has sent by
-     * then is looked at first: a request that is whole is answered, one of which a part is there is refused.
+     * Ends the connection and runs {@code done} once it has ended or only awaits a response. What the client has sent
+     * by then is read first: a complete request is answered, a partial one is refused.
      */
     void end(Runnable done) {
         Wire.between(connection, () -> {
-            endNow();
+            readAndEnd();
             done.run();
         });
     }
 
-    private synchronized void endNow() {
-        last = true;
-        look();
-        if (phase == Phase.OPEN && !answering) {
-            endUnasked();
+    private synchronized void readAndEnd() {
+        closeAfterResponse = true;
+        readPending();
+        if (phase == Phase.OPEN && !requestPending) {
+            endWithoutRequest();
         }
     }
 
     /**
-     * Ends it while no whole request is there. Between two requests it just closes, and one that crosses that is sent
-     * again. A part of one, or a first one that may be on its way, is owed an answer.
+     * Ends a connection without a complete request. Between two requests it is just closed; a client whose request
+     * crosses the close sends it again. A partial request, or a first one that may be on its way, gets a response.
      */
-    private void endUnasked() {
+    private void endWithoutRequest() {
         if (served && parser.between()) {
             close();
         } else {
-            turnAway(503);
+            rejectAndClose(503);
         }
     }
 
     /**
-     * Ends it between two requests. While we decide that, its next one may come and even be read: so it is done where
-     * reading is, and only if nothing has come by then.
+     * Ends an idle connection. The next request may arrive meanwhile, so this runs on the selector thread, and only if
+     * nothing has been received by then.
      */
-    private void leave() {
-        Wire.between(connection, this::leaveUnlessAsked);
+    private void closeIfIdle() {
+        Wire.between(connection, this::closeIfStillIdle);
     }
 
-    private synchronized void leaveUnlessAsked() {
-        if (phase == Phase.OPEN && !answering && parser.between() && !look()) {
-            endUnasked();
+    private synchronized void closeIfStillIdle() {
+        if (phase == Phase.OPEN && !requestPending && parser.between() && !readPending()) {
+            endWithoutRequest();
         }
     }
 
     /**
-     * Reads what has come and has not been read, as much as a request may have; false if nothing has. From one that
-     * sends for ever it could go on for ever, and all others would wait.
+     * Reads and handles received bytes that the selector has not read yet, up to the size of one request: a client that
+     * sends without end must not block the others.
+     *
+     * @return whether there were any
      */
-    private boolean look() {
-        int came = 0;
-        while (phase == Phase.OPEN && !answering && came <= limits.maxHead() + limits.maxBody()) {
+    private boolean readPending() {
+        int total = 0;
+        while (phase == Phase.OPEN && !requestPending && total <= limits.maxHead() + limits.maxBody()) {
             byte[] bytes = Wire.unread(connection, limits.readBuffer());
             if (bytes.length == 0) {
                 break;
             }
-            came += bytes.length;
+            total += bytes.length;
             received(bytes);
         }
-        return came > 0;
+        return total > 0;
     }
 
-    /** Answers with a status and ends, whatever it may want. */
-    synchronized void turnAway(int status) {
-        last = true;
-        answering = true;
-        answer(status, 0);
+    /** Responds with a status, whatever has been received, and ends the connection. */
+    synchronized void rejectAndClose(int status) {
+        closeAfterResponse = true;
+        requestPending = true;
+        respond(status, 0);
     }
 
-    /** Ends it if it says nothing, or takes too long over a request or over its end. */
+    /** Ends the connection if it has been idle, or a request or the close has been going on, for too long. */
     synchronized void sweep(double now) {
         if (phase == Phase.ENDING && now - endingSince > limits.lingerMs()) {
             close();
-        } else if (takesTooLong(now)) {
-            Wire.between(connection, this::endUnlessWhole);
+        } else if (requestTimedOut(now)) {
+            Wire.between(connection, this::timeOutUnlessComplete);
         } else if (phase == Phase.OPEN
-                && !answering
+                && !requestPending
                 && served
                 && parser.between()
-                && now - quietSince > limits.clientIdleMs()) {
-            leave();
+                && now - idleSince > limits.clientIdleMs()) {
+            closeIfIdle();
         }
     }
 
-    private boolean takesTooLong(double now) {
-        boolean silent = !served && parser.between() && crowded.getAsBoolean();
+    private boolean requestTimedOut(double now) {
+        boolean limitedWait = !served && parser.between() && softLimitExceeded.getAsBoolean();
         return phase == Phase.OPEN
-                && !answering
+                && !requestPending
                 && (!served || !parser.between())
-                && now - begunAt > (silent ? limits.crowdedMs() : limits.requestMs());
+                && now - requestStartedAt > (limitedWait ? limits.crowdedMs() : limits.requestMs());
     }
 
-    /** Ends it with an answer also where nothing came: it may cross a first request, which is owed one. */
-    private synchronized void endUnlessWhole() {
-        if (takesTooLong(requests.now())) {
-            look();
+    /** Responds even if nothing was received: a first request may be on its way and needs a response. */
+    private synchronized void timeOutUnlessComplete() {
+        if (requestTimedOut(requests.now())) {
+            readPending();
         }
-        if (takesTooLong(requests.now())) {
-            turnAway(408);
+        if (requestTimedOut(requests.now())) {
+            rejectAndClose(408);
         }
     }
 
     /**
-     * How little is lost if it is closed to make room for another one, 0 if it must stay: most for what has been
-     * refused, then for a client that has connected and not sent a request in a time that is enough for any, for one
-     * that has been served before, and last for one that has only just connected.
+     * How suitable the connection is for being closed in favour of a new one: 4 if it is ending, 3 if the client has
+     * had enough time to send its request and has not, 2 if it is idle after a response, 1 if it has only just
+     * connected, 0 if it must stay.
      */
-    synchronized int spare(double now) {
+    synchronized int evictionPriority(double now) {
         if (phase != Phase.OPEN) {
             return phase == Phase.ENDING ? 4 : 0;
         }
-        if (answering) {
+        if (requestPending) {
             return 0;
         }
-        if (now - begunAt > limits.firstMs() && (!served || !parser.between())) {
+        if (now - requestStartedAt > limits.firstMs() && (!served || !parser.between())) {
             return 3;
         }
         return !parser.between() ? 0 : served ? 2 : 1;
     }
 
     /**
-     * Ends it at once, for another one's sake; on the selector's thread. False if its request has come meanwhile: that
-     * is answered first.
+     * Closes the connection at once in favour of a new one; on the selector thread only.
+     *
+     * @return false if its request has arrived meanwhile, which is answered first
      */
-    synchronized boolean yields() {
-        look();
-        if (phase == Phase.OPEN && answering) {
+    synchronized boolean evict() {
+        readPending();
+        if (phase == Phase.OPEN && requestPending) {
             return false;
         }
         if (phase == Phase.OPEN) {
-            endUnasked();
+            endWithoutRequest();
         }
-        close(); // what it was told is with the system
+        close(); // its response has been handed to the system
         return true;
     }
 
-    /** Refuses what it has been told nothing of: nobody is left who could take it. */
+    /** Refuses a request that has not been answered, or may be on its way; used when the handler has stopped. */
     synchronized void refuse() {
-        if (phase == Phase.OPEN && (answering || !served || !parser.between())) {
-            turnAway(503);
+        if (phase == Phase.OPEN && (requestPending || !served || !parser.between())) {
+            rejectAndClose(503);
         }
     }
 
-    /** Since when it has been as it is. */
-    synchronized double since() {
-        return phase == Phase.ENDING ? endingSince : quietSince;
+    /** When the connection began to end, or else became idle. */
+    synchronized double stateSince() {
+        return phase == Phase.ENDING ? endingSince : idleSince;
     }
 
-    /** Whether a request is being read or answered, or a first one may be on its way. */
+    /** Whether a request is being received or awaits its response, or a first one may be on its way. */
     synchronized boolean busy() {
         return phase == Phase.ENDING
                 || phase == Phase.OPEN
-                        && (answering || !parser.between() || !served && requests.now() - begunAt < limits.firstMs());
+                        && (requestPending
+                                || !parser.between()
+                                || !served && requests.now() - requestStartedAt < limits.firstMs());
     }
 
-    synchronized boolean gone() {
+    synchronized boolean clientGone() {
         return phase != Phase.OPEN || inputEnded;
     }
 
-    /** Its client sends nothing more: true if an answer is owed all the same, and then it ends with that. */
-    synchronized boolean endedSending() {
+    /** The client has shut down its output; true if a response is still to be sent, after which the connection ends. */
+    synchronized boolean onInputEnd() {
         inputEnded = true;
-        return phase == Phase.OPEN && answering || phase == Phase.ENDING && unsent > 0;
+        return phase == Phase.OPEN && requestPending || phase == Phase.ENDING && pendingWrites > 0;
     }
 
-    /** Ends it at once: who does not read its answers must not keep its place until they are written. */
+    /** Closes the connection without waiting for its writes, which a client that does not read would delay. */
     synchronized void close() {
-        trace("closed by us");
+        trace("closed by the relay");
         phase = Phase.CLOSED;
         connection.terminateSilently();
     }
 
-    synchronized void closed() {
+    synchronized void onClose() {
         trace("closed");
         phase = Phase.CLOSED;
     }
--- a/src/main/java/firstair/relay/clients/ClientFilter.java
+++ b/src/main/java/firstair/relay/clients/ClientFilter.java
@@ -13,7 +13,7 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The clients' end of the filter chain: hands bytes to each connection's state, and keeps their number down. */
+/** The last filter of clients' connections: passes events to each connection's state and limits their number. */
 public final class ClientFilter extends BaseFilter {
     private static final Attribute<ClientConnection> CLIENT =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.client");
@@ -23,7 +23,7 @@
     private final Set<ClientConnection> open = ConcurrentHashMap.newKeySet();
     private volatile boolean draining;
 
-    /** Serves clients and hands their requests on. */
+    /** Creates a filter that passes the requests of clients to a handler. */
     public ClientFilter(Limits limits, RequestHandler requests) {
         this.limits = limits;
         this.requests = requests;
@@ -33,50 +33,51 @@
     public NextAction handleAccept(FilterChainContext ctx) {
         ClientConnection client =
                 new ClientConnection(ctx.getConnection(), limits, requests, () -> open.size() > limits.crowd());
-        boolean room = open.size() < limits.maxClients() || makeRoom();
+        boolean admitted = open.size() < limits.maxClients() || evictOne();
         CLIENT.set(ctx.getConnection(), client);
         open.add(client);
-        if (!room) {
-            client.turnAway(503);
+        if (!admitted) {
+            client.rejectAndClose(503);
         } else if (draining) {
-            client.drain(); // it came while the others were told
+            client.drain(); // accepted while the others were being drained
         }
         return ctx.getInvokeAction();
     }
 
-    /** Closes the connection that is missed least; hundreds that say nothing must not keep out those who would. */
-    private boolean makeRoom() {
+    /** Closes the connection whose loss matters least: hundreds of silent ones must not keep other clients out. */
+    private boolean evictOne() {
         for (int tries = open.size(); tries > 0; tries--) {
-            ClientConnection least = least();
-            if (least == null) {
+            ClientConnection candidate = evictionCandidate();
+            if (candidate == null) {
                 return false;
             }
-            if (least.yields()) {
-                open.remove(least);
+            if (candidate.evict()) {
+                open.remove(candidate);
                 return true;
             }
         }
         return false;
     }
 
-    private ClientConnection least() {
+    private ClientConnection evictionCandidate() {
         double now = requests.now();
-        ClientConnection least = null;
-        int most = 0;
-        for (ClientConnection c : open) {
-            int spare = c.spare(now);
-            if (spare > most || spare > 0 && spare == most && c.since() < least.since()) {
-                least = c;
-                most = spare;
+        ClientConnection candidate = null;
+        int highest = 0;
+        for (ClientConnection client : open) {
+            int priority = client.evictionPriority(now);
+            if (priority > highest
+                    || priority > 0 && priority == highest && client.stateSince() < candidate.stateSince()) {
+                candidate = client;
+                highest = priority;
             }
         }
-        return least;
+        return candidate;
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         ClientConnection client = CLIENT.get(ctx.getConnection());
-        if (client == null || client.discards(Wire.size(ctx))) {
+        if (client == null || client.discardsInput(Wire.size(ctx))) {
             Wire.drop(ctx);
         } else {
             client.received(Wire.bytes(ctx));
@@ -84,56 +85,56 @@
         return ctx.getStopAction();
     }
 
-    /** A client has ended its sending: whether its connection stays for an answer that is owed. */
+    /** Called when a client has shut down its output; returns whether its connection stays open for a response. */
     public boolean stays(Connection<?> connection) {
         ClientConnection client = CLIENT.get(connection);
-        return client != null && client.endedSending();
+        return client != null && client.onInputEnd();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
         ClientConnection client = CLIENT.get(ctx.getConnection());
         if (client != null) {
-            client.closed();
+            client.onClose();
             open.remove(client);
         }
         return ctx.getStopAction();
     }
 
-    /** Ends connections that take too long. */
+    /** Closes connections whose time limits have passed. */
     public void sweep() {
         double now = requests.now();
-        open.forEach(c -> c.sweep(now));
+        open.forEach(client -> client.sweep(now));
     }
 
-    /** Whether any request is being read or answered. */
+    /** Whether any request is being received or awaits its response, or a first one may be on its way. */
     public boolean busy() {
         return open.stream().anyMatch(ClientConnection::busy);
     }
 
-    /** Closes idle connections now and the others with their next answer. */
+    /** Closes idle connections now and the others after their next response. */
     public void drain() {
         draining = true;
         open.forEach(ClientConnection::drain);
     }
 
     /**
-     * Ends all connections, but those that await an answer: these end with it. Whatever had come whole by then has been
-     * handed in when {@code done} runs, on any thread.
+     * Closes all connections except those that await a response, which are closed after it. When {@code done} runs, on
+     * any thread, all requests that were completely received have been passed to the handler.
      */
     public void end(Runnable done) {
         List<ClientConnection> all = List.copyOf(open);
-        AtomicInteger left = new AtomicInteger(all.size() + 1);
-        Runnable one = () -> {
-            if (left.decrementAndGet() == 0) {
+        AtomicInteger remaining = new AtomicInteger(all.size() + 1);
+        Runnable countDown = () -> {
+            if (remaining.decrementAndGet() == 0) {
                 done.run();
             }
         };
-        all.forEach(c -> c.end(one));
-        one.run();
+        all.forEach(client -> client.end(countDown));
+        countDown.run();
     }
 
-    /** Refuses, with nobody left to take it, what has been read and not answered. */
+    /** Refuses all requests that were received and not answered; used when the handler has stopped. */
     public void refuse() {
         open.forEach(ClientConnection::refuse);
     }
--- a/src/main/java/firstair/relay/clients/RequestHandler.java
+++ b/src/main/java/firstair/relay/clients/RequestHandler.java
@@ -2,30 +2,30 @@
 
 import java.util.Map;
 
-/** What the client side needs to know of the relay. */
+/** Handles the requests of clients. */
 public interface RequestHandler {
-    /** Now, on the clock of deadlines. */
+    /** The current time on the clock of deadlines, in milliseconds. */
     double now();
 
-    /** Whether the relay takes messages. */
+    /** Whether the relay accepts messages. */
     boolean ready();
 
-    /** Numbers of the classes by name. */
+    /** The numbers of the message classes, by name. */
     Map<String, Integer> classes();
 
-    /** Whether messages of a class carry a key. */
+    /** Whether messages of a class must have a key. */
     boolean keyed(int messageClass);
 
-    /** A well-formed message has come; it is answered later, from another thread. */
-    void handIn(Submission message);
+    /** Handles a well-formed submission; the response follows later, from another thread. */
+    void handIn(Submission submission);
 
-    /** Whether bookings can be asked for here. */
+    /** Whether requests about bookings are supported. */
     default boolean asks() {
         return false;
     }
 
-    /** Somebody asks for a booking, where {@link #asks}; it is answered later, from another thread. */
-    default void ask(BookingRequest ask) {
-        throw new IllegalStateException("bookings are off");
+    /** Handles a request about a booking, if {@link #asks}; the response follows later, from another thread. */
+    default void ask(BookingRequest request) {
+        throw new IllegalStateException("bookings are not supported");
     }
 }
--- a/src/main/java/firstair/relay/clients/Submission.java
+++ b/src/main/java/firstair/relay/clients/Submission.java
@@ -1,6 +1,6 @@
 package firstair.relay.clients;
 
-/** A message that a client has handed in, and the way to answer it. */
+/** A message that a client has submitted, and the means to respond to it. */
 public final class Submission {
     private final ClientConnection connection;
     private final SubmissionFields fields;
@@ -14,68 +14,77 @@
         this.body = body;
     }
 
-    /** The client's id of this hand-in. */
+    /** The client's id of this submission. */
     public String requestId() {
         return fields.requestId();
     }
 
-    /** Number of the class. */
+    /** The number of the message class. */
     public int messageClass() {
         return fields.messageClass();
     }
 
-    /** Number of the destination. */
+    /** The number of the destination. */
     public int destination() {
         return fields.destination();
     }
 
-    /** The key, or null. */
+    /** The idempotency key, or null. */
     public String key() {
         return fields.key();
     }
 
-    /** End of its time on the loop's clock. */
+    /** The deadline of the message on the loop's clock, in milliseconds. */
     public double deadlineAt() {
         return deadlineAt;
     }
 
-    /** Whether it was handed in before and refused. */
+    /** Whether the message was submitted before and refused. */
     public boolean again() {
-        return fields.again();
+        return fields.previouslyRefused();
     }
 
-    /** Whether a relay had it that died or failed to answer. */
+    /** Whether the message was submitted to a relay that ended or did not respond. */
     public boolean fromDead() {
-        return fields.fromDead();
+        return fields.fromFailedRelay();
     }
 
-    /** The bytes as they came. */
+    /** The content of the message. */
     public byte[] body() {
         return body;
     }
 
-    /** Whose message it is, or null. */
+    /** The tenant that the message belongs to, or null. */
     public String tenant() {
         return fields.tenant();
     }
 
-    /** The booking that it draws on, or null. */
+    /** The booking that the message uses, or null. */
     public String booking() {
         return fields.booking();
     }
 
-    /** Whether the client has left: it may hand the message in again, and this one counts for nothing. */
+    /** Whether the client has ended its side of the connection; it may submit the message again, this one is void. */
     public boolean gone() {
-        return connection.gone();
+        return connection.clientGone();
     }
 
-    /** Answers; a wait of 0 ms is not told. */
+    /**
+     * Responds.
+     *
+     * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
+     */
     public void answer(int status, double retryAfterMs) {
-        connection.answer(status, retryAfterMs, null);
+        connection.respond(status, retryAfterMs, null);
     }
 
-    /** Answers with the reason, one line. */
+    /**
+     * Responds.
+     *
+     * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
+     * @param reason       one line of text for {@code X-Reason}, or null
+     */
     public void answer(int status, double retryAfterMs, String reason) {
-        connection.answer(status, retryAfterMs, reason);
+        connection.respond(status, retryAfterMs, reason);
     }
 }
--- a/src/main/java/firstair/relay/clients/SubmissionFields.java
+++ b/src/main/java/firstair/relay/clients/SubmissionFields.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 
 /**
- * What the headers of a submission say.
+ * The headers of a submission.
  *
- * @param requestId    the client's id of this submission
- * @param messageClass number of the class
- * @param destination  number of the destination
- * @param key          the idempotency key, or null
- * @param timeMs       for how many milliseconds the message may still be delivered
- * @param again        whether it was submitted before and refused
- * @param fromDead     whether a relay had it that died or failed to answer
- * @param tenant       whose message it is, or null
- * @param booking      the booking that it draws on, or null
+ * @param requestId         the client's id of this submission
+ * @param messageClass      number of the class
+ * @param destination       number of the destination
+ * @param key               the idempotency key, or null
+ * @param timeoutMs         for how many milliseconds the message may still be delivered
+ * @param previouslyRefused whether it was submitted before and refused
+ * @param fromFailedRelay   whether it was submitted to a relay that ended or did not respond
+ * @param tenant            the tenant that it belongs to, or null
+ * @param booking           the booking that it uses, or null
  */
 record SubmissionFields(
         String requestId,
         int messageClass,
         int destination,
         String key,
-        long timeMs,
-        boolean again,
-        boolean fromDead,
+        long timeoutMs,
+        boolean previouslyRefused,
+        boolean fromFailedRelay,
         String tenant,
         String booking) {
 
@@ -31,19 +31,19 @@
 
     private static final int MAX_WORD_CHARS = 128;
     private static final int MAX_DIGITS = 15;
-    private static final long NO_NUMBER = -1;
+    private static final long NOT_A_NUMBER = -1;
 
-    /** Reads the headers; null if one that is needed is missing or cannot be used. */
+    /** Reads the headers; null if a required one is missing or one is invalid. */
     static SubmissionFields read(Head head, RequestHandler requests) {
         String id = head.header(REQUEST_ID);
         Integer messageClass = requests.classes().get(String.valueOf(head.header("request-class")));
-        long timeMs = wholeNumber(head.header("request-timeout-ms"));
+        long timeoutMs = wholeNumber(head.header("request-timeout-ms"));
         String addressing = head.header("x-addressing");
-        long destination = wholeNumber(part(addressing, "dest="));
-        if (id == null || !isWord(id) || messageClass == null || timeMs == NO_NUMBER) {
+        long destination = wholeNumber(addressingValue(addressing, "dest="));
+        if (id == null || !isWord(id) || messageClass == null || timeoutMs == NOT_A_NUMBER) {
             return null;
         }
-        if (destination == NO_NUMBER || destination > Integer.MAX_VALUE) {
+        if (destination == NOT_A_NUMBER || destination > Integer.MAX_VALUE) {
             return null;
         }
         String key = head.header("idempotency-key");
@@ -56,21 +56,21 @@
                 messageClass,
                 (int) destination,
                 key,
-                timeMs,
+                timeoutMs,
                 retry.equals("1"),
                 retry.equals("again"),
-                part(addressing, "tenant="),
-                part(addressing, "booking="));
+                addressingValue(addressing, "tenant="),
+                addressingValue(addressing, "booking="));
     }
 
-    /** Whether a text can stand in a line of a call with several messages. */
+    /** Whether a text can be one word in the header lines of a call with several messages. */
     static boolean isWord(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_WORD_CHARS
                 && text.chars().allMatch(c -> c > 32 && c < 127);
     }
 
-    private static String part(String addressing, String name) {
+    private static String addressingValue(String addressing, String name) {
         if (addressing != null) {
             for (String part : addressing.split("[;,\\s]+")) {
                 if (part.startsWith(name)) {
@@ -83,8 +83,8 @@
 
     private static long wholeNumber(String text) {
         if (text == null || text.isEmpty() || text.length() > MAX_DIGITS) {
-            return NO_NUMBER;
+            return NOT_A_NUMBER;
         }
-        return text.chars().allMatch(c -> c >= '0' && c <= '9') ? Long.parseLong(text) : NO_NUMBER;
+        return text.chars().allMatch(c -> c >= '0' && c <= '9') ? Long.parseLong(text) : NOT_A_NUMBER;
     }
 }
--- a/src/main/java/firstair/relay/clients/package-info.java
+++ b/src/main/java/firstair/relay/clients/package-info.java
@@ -1,2 +1,2 @@
-/** Clients, who hand in messages. */
+/** Connections and requests of clients, which submit messages. */
 package firstair.relay.clients;
--- a/src/test/java/firstair/relay/clients/ClientFilterTest.java
+++ b/src/test/java/firstair/relay/clients/ClientFilterTest.java
@@ -22,11 +22,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A request whose last byte a client has written is answered, whatever ends its connection meanwhile. */
+/** A request that a client has written completely is answered, whatever ends its connection meanwhile. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ClientFilterTest {
-    /** Takes whatever comes. */
-    private static final class Taking implements RequestHandler {
+    /** Accepts every message. */
+    private static final class AcceptingHandler implements RequestHandler {
         volatile double now;
 
         @Override
@@ -56,25 +56,25 @@
     }
 
     private enum Cause {
-        TOLD_TO_END((f, d) -> f.drain()),
-        IDLE((f, d) -> {
-            d.now += 60_000;
-            f.sweep();
+        DRAINED((filter, handler) -> filter.drain()),
+        IDLE((filter, handler) -> {
+            handler.now += 60_000;
+            filter.sweep();
         }),
-        GONE((f, d) -> f.end(() -> {}));
+        GONE((filter, handler) -> filter.end(() -> {}));
 
-        private final BiConsumer<ClientFilter, Taking> step;
+        private final BiConsumer<ClientFilter, AcceptingHandler> step;
 
-        Cause(BiConsumer<ClientFilter, Taking> step) {
+        Cause(BiConsumer<ClientFilter, AcceptingHandler> step) {
             this.step = step;
         }
     }
 
-    private final Taking desk = new Taking();
+    private final AcceptingHandler handler = new AcceptingHandler();
     private final Limits limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
     private final CountDownLatch read = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
-    private volatile boolean holding;
+    private volatile boolean blocking;
     private Wire wire;
     private ClientFilter filter;
     private InetSocketAddress address;
@@ -82,14 +82,14 @@
     @BeforeEach
     void start() throws IOException {
         wire = new Wire(limits);
-        filter = new ClientFilter(limits, desk);
-        address = (InetSocketAddress)
-                wire.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Holding(), filter::stays)
-                        .getLocalAddress();
+        filter = new ClientFilter(limits, handler);
+        address = (InetSocketAddress) wire.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new BlockingFilter(), filter::stays)
+                .getLocalAddress();
     }
 
-    /** Passes all on, and can be held up between the reading of bytes and what is done with them. */
-    private final class Holding extends BaseFilter {
+    /** Delegates to the filter under test, and can block between reading bytes and passing them on. */
+    private final class BlockingFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
             return filter.handleAccept(ctx);
@@ -97,7 +97,7 @@
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            if (holding) {
+            if (blocking) {
                 read.countDown();
                 try {
                     released.await();
@@ -120,17 +120,17 @@
         wire.close();
     }
 
-    private static void ask(Socket s, String body) throws IOException {
-        s.getOutputStream()
+    private static void sendRequest(Socket socket, String body) throws IOException {
+        socket.getOutputStream()
                 .write(("POST /api HTTP/1.1\r\nRequest-Id: m\r\nRequest-Class: safe\r\n"
                                 + "Request-Timeout-Ms: 9000\r\nX-Addressing: dest=7\r\nContent-Length: 1\r\n\r\n"
                                 + body)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String answer(Socket s) throws IOException {
-        s.setSoTimeout(10_000);
-        InputStream in = s.getInputStream();
+    private static String response(Socket socket) throws IOException {
+        socket.setSoTimeout(10_000);
+        InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -142,32 +142,32 @@
         return head.toString();
     }
 
-    /** One request has been read and not looked at, two wait to be read, when their connections are given up. */
+    /** One request has been read and not parsed, two wait to be read, when their connections are ended. */
     @ParameterizedTest
     @EnumSource
-    void aRequestThatHasComeIsAnsweredBeforeItsConnectionEnds(Cause cause) throws Exception {
+    void aReceivedRequestIsAnsweredBeforeItsConnectionEnds(Cause cause) throws Exception {
         try (Socket first = new Socket();
                 Socket next = new Socket();
-                Socket quiet = new Socket();
+                Socket idle = new Socket();
                 Socket slow = new Socket()) {
-            for (Socket s : new Socket[] {first, next, quiet}) {
-                s.connect(address);
-                ask(s, "x");
-                assertThat(answer(s)).contains(" 202 ");
+            for (Socket socket : new Socket[] {first, next, idle}) {
+                socket.connect(address);
+                sendRequest(socket, "x");
+                assertThat(response(socket)).contains(" 202 ");
             }
             slow.connect(address);
-            ask(slow, "");
-            holding = true;
-            ask(first, "x");
+            sendRequest(slow, "");
+            blocking = true;
+            sendRequest(first, "x");
             read.await();
-            ask(next, "x");
+            sendRequest(next, "x");
             slow.getOutputStream().write('x');
-            cause.step.accept(filter, desk);
+            cause.step.accept(filter, handler);
             released.countDown();
-            for (Socket s : new Socket[] {first, next, slow}) {
-                assertThat(answer(s)).contains(" 202 ");
+            for (Socket socket : new Socket[] {first, next, slow}) {
+                assertThat(response(socket)).contains(" 202 ");
             }
-            assertThat(quiet.getInputStream().read()).isEqualTo(-1); // and one that says nothing just ends
+            assertThat(idle.getInputStream().read()).isEqualTo(-1); // an idle connection is just closed
         }
     }
 }
--- a/src/test/java/firstair/relay/clients/ClosingTest.java
+++ b/src/test/java/firstair/relay/clients/ClosingTest.java
@@ -36,20 +36,20 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that send, stop and leave while their connections are ended: each step is forced by a gate. */
+/** Clients that send, stop and disconnect while their connections are being ended, in an order forced by latches. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ClosingTest {
-    private static final int FEW = 4; // connections of clients at most; beyond half of them there is a crowd
-    private static final String ASK = "GET /other HTTP/1.1\r\n\r\n";
-    private static final String HEAD = "POST /api HTTP/1.1\r\nRequest-Id: m\r\nRequest-Class: safe\r\n"
+    private static final int MAX_CLIENTS = 4; // connections; the soft limit is half of that
+    private static final String UNKNOWN_PATH_REQUEST = "GET /other HTTP/1.1\r\n\r\n";
+    private static final String MESSAGE_HEAD = "POST /api HTTP/1.1\r\nRequest-Id: m\r\nRequest-Class: safe\r\n"
             + "Request-Timeout-Ms: 9000\r\nX-Addressing: dest=7\r\nContent-Length: 1\r\n\r\n";
-    private static final String WHOLE = HEAD + "x";
+    private static final String MESSAGE = MESSAGE_HEAD + "x";
 
-    /** Takes what comes, at once or when the test says so. */
-    private static final class Taking implements RequestHandler {
+    /** Accepts every message, at once or when the test answers it. */
+    private static final class RecordingHandler implements RequestHandler {
         final BlockingQueue<Submission> waiting = new LinkedBlockingQueue<>();
-        final AtomicInteger taken = new AtomicInteger();
-        volatile boolean holding;
+        final AtomicInteger submissions = new AtomicInteger();
+        volatile boolean deferring;
         volatile double now;
 
         @Override
@@ -74,8 +74,8 @@
 
         @Override
         public void handIn(Submission message) {
-            taken.incrementAndGet();
-            if (holding) {
+            submissions.incrementAndGet();
+            if (deferring) {
                 waiting.add(message);
             } else {
                 message.answer(202, 0);
@@ -83,13 +83,13 @@
         }
     }
 
-    private final Taking desk = new Taking();
+    private final RecordingHandler handler = new RecordingHandler();
     private final BlockingQueue<Connection<?>> accepted = new LinkedBlockingQueue<>();
     private final AtomicLong read = new AtomicLong();
     private final AtomicInteger closed = new AtomicInteger();
-    private final CountDownLatch held = new CountDownLatch(1);
+    private final CountDownLatch blocked = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
-    private volatile boolean holding;
+    private volatile boolean blocking;
     private Limits limits;
     private Wire wire;
     private ClientFilter filter;
@@ -97,21 +97,21 @@
     private InetSocketAddress address;
 
     private void serve(int clients) throws IOException {
-        // Half of the heap is for clients, each with a message of full size.
+        // Half of the heap is for clients, each with a message of maximum size.
         limits = Limits.of(0, 0, clients > 0 ? 2L * clients * 80 * 1024 : 64_000_000, 0, 0, 0);
         wire = new Wire(limits);
-        filter = new ClientFilter(limits, desk);
-        listener =
-                wire.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Holding(), filter::stays);
+        filter = new ClientFilter(limits, handler);
+        listener = wire.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new BlockingFilter(), filter::stays);
         address = (InetSocketAddress) listener.getLocalAddress();
     }
 
-    /** Passes all on, and can be held up between the accepting of a connection and what is done with it. */
-    private final class Holding extends BaseFilter {
+    /** Delegates to the filter under test, and can block between accepting a connection and handling it. */
+    private final class BlockingFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
-            if (holding) {
-                await();
+            if (blocking) {
+                blockUntilReleased();
             }
             NextAction next = filter.handleAccept(ctx);
             accepted.add(ctx.getConnection());
@@ -140,9 +140,9 @@
         }
     }
 
-    /** The selector's thread stands here until it is released. */
-    private void await() {
-        held.countDown();
+    /** Blocks the selector thread until {@link #released}. */
+    private void blockUntilReleased() {
+        blocked.countDown();
         try {
             released.await();
         } catch (InterruptedException e) {
@@ -150,32 +150,32 @@
         }
     }
 
-    /** From now on nothing is read, until it is released. */
-    private void hold() throws InterruptedException {
-        Wire.between(listener, this::await);
-        held.await();
+    /** Blocks the selector thread, so that nothing is read until {@link #released}. */
+    private void blockSelector() throws InterruptedException {
+        Wire.between(listener, this::blockUntilReleased);
+        blocked.await();
     }
 
     private Socket client() throws IOException, InterruptedException {
-        Socket s = new Socket();
-        s.connect(address);
+        Socket client = new Socket();
+        client.connect(address);
         accepted.take();
-        return s;
+        return client;
     }
 
-    private static void send(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket client, String text) throws IOException {
+        client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The status of the next answer, or "end". */
-    private static String answer(Socket s) throws IOException {
-        String head = head(s);
+    /** The status of the next response, or "end". */
+    private static String nextStatus(Socket client) throws IOException {
+        String head = head(client);
         return head.isEmpty() ? "end" : head.substring(9, 12);
     }
 
-    private static String head(Socket s) throws IOException {
-        s.setSoTimeout(10_000);
-        InputStream in = s.getInputStream();
+    private static String head(Socket client) throws IOException {
+        client.setSoTimeout(10_000);
+        InputStream in = client.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -187,12 +187,12 @@
         return head.toString();
     }
 
-    /** The statuses of all answers until the end, or a reset. */
-    private static List<String> answers(Socket s) throws IOException {
+    /** The statuses of all responses until the end, or a reset. */
+    private static List<String> statuses(Socket client) throws IOException {
         List<String> all = new ArrayList<>();
         try {
-            for (String one = answer(s); !one.equals("end"); one = answer(s)) {
-                all.add(one);
+            for (String status = nextStatus(client); !status.equals("end"); status = nextStatus(client)) {
+                all.add(status);
             }
         } catch (IOException e) {
             assertThat(e).hasMessageContaining("reset");
@@ -200,23 +200,23 @@
         return all;
     }
 
-    // ---- each end of a connection, against each part of a request ----
+    // ---- each way to end a connection, combined with each part of a request ----
 
-    private enum End {
-        TOLD_TO_END((f, d) -> f.drain()),
-        IDLE((f, d) -> {
-            d.now += 60_000;
-            f.sweep();
+    private enum Ending {
+        DRAINED((filter, handler) -> filter.drain()),
+        IDLE((filter, handler) -> {
+            handler.now += 60_000;
+            filter.sweep();
         }),
-        GONE((f, d) -> f.end(() -> {})),
-        GONE_AFTER_DRAIN((f, d) -> {
-            f.drain();
-            f.end(() -> {});
+        GONE((filter, handler) -> filter.end(() -> {})),
+        GONE_AFTER_DRAIN((filter, handler) -> {
+            filter.drain();
+            filter.end(() -> {});
         });
 
-        private final BiConsumer<ClientFilter, Taking> step;
+        private final BiConsumer<ClientFilter, RecordingHandler> step;
 
-        End(BiConsumer<ClientFilter, Taking> step) {
+        Ending(BiConsumer<ClientFilter, RecordingHandler> step) {
             this.step = step;
         }
     }
@@ -227,72 +227,74 @@
         SERVED
     }
 
-    private static final int[] PARTS = {0, 1, 20, HEAD.length() - 3, HEAD.length(), WHOLE.length()};
+    private static final int[] PART_LENGTHS = {
+        0, 1, 20, MESSAGE_HEAD.length() - 3, MESSAGE_HEAD.length(), MESSAGE.length()
+    };
 
     /**
-     * A part of a request waits unread when its connection is ended, the rest crosses the end. One final answer comes,
-     * and 202 only where the message was taken; with none nothing was taken, and that only on a connection that has
-     * been served before and was ended between two requests.
+     * A part of a request is unread when its connection is ended, and the rest crosses the end. The client gets one
+     * final response, 202 only if the message was accepted. It gets none only on a connection that has been served
+     * before and was ended between two requests, and then nothing was accepted.
      */
     @ParameterizedTest
     @EnumSource
-    void aRequestThatCrossesAnEndHasOneAnswerOrIsNotRead(End end) throws Exception {
+    void aRequestThatCrossesAnEndHasOneResponseOrIsNotRead(Ending end) throws Exception {
         for (Before before : Before.values()) {
-            for (int part : PARTS) {
-                crossing(end, before, part, false);
-                crossing(end, before, part, true);
+            for (int part : PART_LENGTHS) {
+                checkCrossing(end, before, part, false);
+                checkCrossing(end, before, part, true);
             }
         }
     }
 
-    /** @param after whether the rest comes surely behind the end, or at the same moment */
-    private void crossing(End end, Before before, int part, boolean after) throws Exception {
-        ClosingTest one = new ClosingTest();
-        one.serve(0);
-        try (Socket s = one.client()) {
+    /** @param after whether the rest is sent after the end, or concurrently with it */
+    private void checkCrossing(Ending end, Before before, int part, boolean after) throws Exception {
+        ClosingTest fixture = new ClosingTest();
+        fixture.serve(0);
+        try (Socket client = fixture.client()) {
             if (before == Before.SERVED) {
-                send(s, WHOLE);
-                assertThat(answer(s)).isEqualTo("202");
+                send(client, MESSAGE);
+                assertThat(nextStatus(client)).isEqualTo("202");
             } else if (before == Before.SILENT) {
-                one.desk.now += 2 * one.limits.firstMs();
+                fixture.handler.now += 2 * fixture.limits.firstMs();
             }
-            one.hold();
-            one.desk.taken.set(0);
-            send(s, WHOLE.substring(0, part));
-            end.step.accept(one.filter, one.desk);
+            fixture.blockSelector();
+            fixture.handler.submissions.set(0);
+            send(client, MESSAGE.substring(0, part));
+            end.step.accept(fixture.filter, fixture.handler);
             CountDownLatch done = new CountDownLatch(1);
-            Wire.between(one.listener, done::countDown);
-            one.released.countDown();
+            Wire.between(fixture.listener, done::countDown);
+            fixture.released.countDown();
             if (after) {
                 done.await();
             }
             try {
-                for (int i = part; i < WHOLE.length(); i++) { // one byte at a time
-                    send(s, WHOLE.substring(i, i + 1));
+                for (int i = part; i < MESSAGE.length(); i++) { // one byte at a time
+                    send(client, MESSAGE.substring(i, i + 1));
                 }
             } catch (IOException e) {
                 // ended by now
             }
             String what = end + ", " + before + ", " + part + " bytes" + (after ? ", then the rest" : "");
-            List<String> answers = one.untilTheEnd(s);
-            if (part == WHOLE.length()) {
-                assertThat(answers).as(what).containsExactly("202");
-            } else if (answers.isEmpty()) {
+            List<String> statuses = fixture.statusesUntilEnd(client);
+            if (part == MESSAGE.length()) {
+                assertThat(statuses).as(what).containsExactly("202");
+            } else if (statuses.isEmpty()) {
                 assertThat(before).as(what).isEqualTo(Before.SERVED);
                 assertThat(part).as(what).isZero();
             }
-            assertThat(answers).as(what).hasSizeLessThanOrEqualTo(1).isSubsetOf("202", "503", "408");
-            assertThat(one.desk.taken.get()).as(what).isEqualTo(answers.contains("202") ? 1 : 0);
+            assertThat(statuses).as(what).hasSizeLessThanOrEqualTo(1).isSubsetOf("202", "503", "408");
+            assertThat(fixture.handler.submissions.get()).as(what).isEqualTo(statuses.contains("202") ? 1 : 0);
         } finally {
-            one.stop();
+            fixture.stop();
         }
     }
 
-    /** One answer, or the end; where it stays open behind its answer it is told to end then. */
-    private List<String> untilTheEnd(Socket s) throws IOException {
+    /** One status, or none; a connection that stays open after its response is ended then. */
+    private List<String> statusesUntilEnd(Socket client) throws IOException {
         List<String> all = new ArrayList<>();
         try {
-            String head = head(s);
+            String head = head(client);
             if (head.isEmpty()) {
                 return all;
             }
@@ -303,127 +305,128 @@
         } catch (IOException e) {
             return all;
         }
-        all.addAll(answers(s));
+        all.addAll(statuses(client));
         return all;
     }
 
-    // ---- room for another one ----
+    // ---- eviction in favour of a new connection ----
 
-    /** Fills all places, and holds one client more up between its coming and the making of room for it. */
-    private List<Socket> full(Before before) throws Exception {
-        serve(FEW);
+    /** Opens all allowed connections, and one more that is accepted but not handled until {@link #released}. */
+    private List<Socket> openAllAndBlock(Before before) throws Exception {
+        serve(MAX_CLIENTS);
         List<Socket> all = new ArrayList<>();
-        for (int i = 0; i < FEW; i++) {
+        for (int i = 0; i < MAX_CLIENTS; i++) {
             all.add(client());
-            desk.now++;
+            handler.now++;
             if (i == 0 && before == Before.SERVED) {
-                send(all.get(0), WHOLE);
-                assertThat(answer(all.get(0))).isEqualTo("202");
+                send(all.get(0), MESSAGE);
+                assertThat(nextStatus(all.get(0))).isEqualTo("202");
             }
         }
         if (before == Before.SILENT) {
-            desk.now += 2 * limits.firstMs();
+            handler.now += 2 * limits.firstMs();
         }
-        desk.taken.set(0);
-        holding = true;
+        handler.submissions.set(0);
+        blocking = true;
         Socket more = new Socket();
         more.connect(address);
         all.add(more);
-        held.await();
+        blocked.await();
         return all;
     }
 
     private static void close(List<Socket> all) throws IOException {
-        for (Socket s : all) {
-            s.close();
+        for (Socket client : all) {
+            client.close();
         }
     }
 
-    /** Whoever would be closed to make room has just sent its request: it has not been read, and is answered. */
+    /** The client that would be evicted has just sent its request, which has not been read and is answered. */
     @ParameterizedTest
     @EnumSource
-    void aRequestThatCrossesTheMakingOfRoomIsAnswered(Before before) throws Exception {
-        List<Socket> all = full(before);
+    void aRequestThatCrossesAnEvictionIsAnswered(Before before) throws Exception {
+        List<Socket> all = openAllAndBlock(before);
         try {
-            for (Socket s : all) {
-                send(s, WHOLE);
+            for (Socket client : all) {
+                send(client, MESSAGE);
             }
             released.countDown();
-            for (Socket s : all) {
-                assertThat(answers(s)).containsExactly("202");
+            for (Socket client : all) {
+                assertThat(statuses(client)).containsExactly("202");
             }
-            assertThat(desk.taken).hasValue(FEW + 1);
+            assertThat(handler.submissions).hasValue(MAX_CLIENTS + 1);
         } finally {
             close(all);
         }
     }
 
-    /** All places are taken by clients whose requests have come and are not answered yet. */
+    /** All connections have requests that were received and not answered yet. */
     @Test
-    void noRoomIsMadeAtTheExpenseOfARequestThatIsOwedAnAnswer() throws Exception {
-        List<Socket> all = full(Before.SILENT);
+    void aConnectionWithAPendingRequestIsNotEvicted() throws Exception {
+        List<Socket> all = openAllAndBlock(Before.SILENT);
         try {
-            desk.holding = true;
-            for (Socket s : all.subList(0, FEW)) {
-                send(s, WHOLE);
+            handler.deferring = true;
+            for (Socket client : all.subList(0, MAX_CLIENTS)) {
+                send(client, MESSAGE);
             }
             released.countDown();
-            assertThat(answer(all.get(FEW))).isEqualTo("503");
-            for (int i = 0; i < FEW; i++) {
-                Submission h = desk.waiting.take();
-                assertThat(h.gone()).isFalse();
-                h.answer(202, 0);
+            assertThat(nextStatus(all.get(MAX_CLIENTS))).isEqualTo("503");
+            for (int i = 0; i < MAX_CLIENTS; i++) {
+                Submission submission = handler.waiting.take();
+                assertThat(submission.gone()).isFalse();
+                submission.answer(202, 0);
             }
-            for (Socket s : all.subList(0, FEW)) {
-                assertThat(answers(s)).containsExactly("202");
+            for (Socket client : all.subList(0, MAX_CLIENTS)) {
+                assertThat(statuses(client)).containsExactly("202");
             }
         } finally {
             close(all);
         }
     }
 
-    /** Where nothing or a part of a request has come, room is made with an answer; only who was served just ends. */
+    /** A client that was served before is just disconnected, others get a response. */
     @ParameterizedTest
     @CsvSource({"JUST_CONNECTED, 0, 503", "SILENT, 0, 503", "SILENT, 20, 503", "SERVED, 0, end"})
-    void whoMakesRoomIsTold(Before before, int part, String told) throws Exception {
-        List<Socket> all = full(before);
+    void anEvictedClientGetsAResponseUnlessItWasServedBefore(Before before, int part, String expected)
+            throws Exception {
+        List<Socket> all = openAllAndBlock(before);
         try {
-            for (Socket s : all.subList(0, FEW)) {
-                send(s, WHOLE.substring(0, part));
+            for (Socket client : all.subList(0, MAX_CLIENTS)) {
+                send(client, MESSAGE.substring(0, part));
             }
             released.countDown();
-            assertThat(answer(all.get(0))).isEqualTo(told);
-            assertThat(answers(all.get(0))).isEmpty();
-            send(all.get(FEW), WHOLE);
-            assertThat(answer(all.get(FEW))).isEqualTo("202");
+            assertThat(nextStatus(all.get(0))).isEqualTo(expected);
+            assertThat(statuses(all.get(0))).isEmpty();
+            send(all.get(MAX_CLIENTS), MESSAGE);
+            assertThat(nextStatus(all.get(MAX_CLIENTS))).isEqualTo("202");
         } finally {
             close(all);
         }
     }
 
-    /** It has been refused, and what it sends on is not read yet when its place is needed: its answer is not reset. */
+    /** A rejected client keeps sending and is evicted before that is read: its response is not lost by a reset. */
     @Test
-    void whoWasRefusedAndMakesRoomSeesItsAnswerAndAnEnd() throws Exception {
-        serve(FEW);
+    void aRejectedClientThatIsEvictedGetsItsResponseAndAnEnd() throws Exception {
+        serve(MAX_CLIENTS);
         List<Socket> all = new ArrayList<>();
         try {
-            for (int i = 0; i < FEW; i++) {
+            for (int i = 0; i < MAX_CLIENTS; i++) {
                 all.add(client());
             }
-            Socket refused = all.get(1);
-            send(refused, "nonsense\r\n");
-            Await.until("refused", () -> read.get() > 0);
-            holding = true;
+            Socket rejected = all.get(1);
+            send(rejected, "nonsense\r\n");
+            Await.until("the invalid request to be read", () -> read.get() > 0);
+            blocking = true;
             Socket more = new Socket();
             more.connect(address);
             all.add(more);
-            held.await();
-            send(refused, "and on");
+            blocked.await();
+            send(rejected, "and on");
             released.countDown();
-            send(more, ASK);
-            assertThat(answer(more)).isEqualTo("404"); // the place is free by now
-            assertThat(answer(refused)).isEqualTo("400");
-            assertThat(refused.getInputStream().read()).isEqualTo(-1);
+            send(more, UNKNOWN_PATH_REQUEST);
+            assertThat(nextStatus(more)).isEqualTo("404"); // admitted by now
+            assertThat(nextStatus(rejected)).isEqualTo("400");
+            assertThat(rejected.getInputStream().read()).isEqualTo(-1);
         } finally {
             close(all);
         }
@@ -431,220 +434,221 @@
 
     // ---- floods ----
 
-    /** It is read on while its request waits, far beyond what is kept of it: what is owed is answered all the same. */
+    /** It sends far more than is buffered while its request is pending; that request is answered all the same. */
     @Test
-    void whoSendsOnAndOnGetsTheAnswerThatIsOwed() throws Exception {
+    void aFloodingClientGetsTheResponseToItsPendingRequest() throws Exception {
         serve(0);
-        desk.holding = true;
-        try (Socket s = client()) {
-            String all = WHOLE + ASK.repeat(5 * limits.maxHead() / ASK.length());
-            send(s, all);
-            Await.until("all read", () -> read.get() >= all.length() || closed.get() > 0);
-            Submission h = desk.waiting.take();
-            assertThat(h.gone()).isFalse();
-            h.answer(202, 0);
-            assertThat(answers(s)).containsExactly("202");
+        handler.deferring = true;
+        try (Socket client = client()) {
+            String all = MESSAGE + UNKNOWN_PATH_REQUEST.repeat(5 * limits.maxHead() / UNKNOWN_PATH_REQUEST.length());
+            send(client, all);
+            Await.until("everything to be read", () -> read.get() >= all.length() || closed.get() > 0);
+            Submission submission = handler.waiting.take();
+            assertThat(submission.gone()).isFalse();
+            submission.answer(202, 0);
+            assertThat(statuses(client)).containsExactly("202");
         }
     }
 
-    /** Hundreds of small requests behind one that waits: while they are answered in one go, all others would wait. */
+    /** Hundreds of small requests follow a pending one; answering them all in one go would make other clients wait. */
     @Test
-    void whoSendsManyRequestsAtOnceIsAnsweredForAFewAndTold() throws Exception {
+    void onlyAFewOfManyPipelinedRequestsAreAnswered() throws Exception {
         serve(0);
-        desk.holding = true;
-        try (Socket s = client()) {
-            send(s, WHOLE + ASK.repeat(500));
-            desk.waiting.take().answer(202, 0);
-            int answers = 0;
+        handler.deferring = true;
+        try (Socket client = client()) {
+            send(client, MESSAGE + UNKNOWN_PATH_REQUEST.repeat(500));
+            handler.waiting.take().answer(202, 0);
+            int responses = 0;
             String head;
             do {
-                head = head(s);
-                answers++;
+                head = head(client);
+                responses++;
             } while (!head.isEmpty() && !head.contains("Connection: close"));
             assertThat(head).contains("Connection: close");
-            assertThat(answers).isLessThan(20);
-            assertThat(answers(s)).isEmpty();
+            assertThat(responses).isLessThan(20);
+            assertThat(statuses(client)).isEmpty();
         }
     }
 
-    /** Its answers would fill the memory, and its connection stay until it has read them. */
+    /** Its responses would fill the memory, and its connection would last until it has read them. */
     @Test
-    void whoAsksAndNeverReadsIsEnded() throws Exception {
+    void aClientThatNeverReadsIsDisconnected() throws Exception {
         serve(0);
-        try (Socket s = new Socket()) {
-            s.setReceiveBufferSize(4096);
-            s.connect(address);
-            NIOConnection c = (NIOConnection) accepted.take();
-            ((SocketChannel) c.getChannel()).setOption(StandardSocketOptions.SO_SNDBUF, 4096);
-            int most = 0;
+        try (Socket client = new Socket()) {
+            client.setReceiveBufferSize(4096);
+            client.connect(address);
+            NIOConnection connection = (NIOConnection) accepted.take();
+            ((SocketChannel) connection.getChannel()).setOption(StandardSocketOptions.SO_SNDBUF, 4096);
+            int maxQueuedBytes = 0;
             try {
                 for (int i = 1; i < 20_000 && closed.get() == 0; i++) {
-                    send(s, ASK);
-                    long sent = (long) i * ASK.length();
-                    Await.until("read", () -> read.get() == sent || closed.get() > 0);
-                    most = Math.max(most, c.getAsyncWriteQueue().size());
+                    send(client, UNKNOWN_PATH_REQUEST);
+                    long sent = (long) i * UNKNOWN_PATH_REQUEST.length();
+                    Await.until("the request to be read", () -> read.get() == sent || closed.get() > 0);
+                    maxQueuedBytes = Math.max(
+                            maxQueuedBytes, connection.getAsyncWriteQueue().size());
                 }
             } catch (IOException e) {
                 // ended by now
             }
             Await.until("ended", () -> closed.get() > 0);
-            assertThat(most).as("bytes of answers in memory").isLessThan(1000);
+            assertThat(maxQueuedBytes).as("bytes of responses in memory").isLessThan(1000);
         }
     }
 
-    /** Its connection is idle and about to be closed when it begins, and a last look finds ever more of it. */
+    /** It starts to send when its idle connection is about to be closed; the last read before that finds ever more. */
     @Test
-    void whoSendsForEverWhileItIsLookedAtHoldsUpNobody() throws Exception {
+    void anEndlessSenderDoesNotBlockOtherClients() throws Exception {
         serve(0);
         AtomicLong sent = new AtomicLong();
         try (Socket flood = new Socket();
                 Socket other = new Socket()) {
             flood.connect(address);
-            NIOConnection one = (NIOConnection) accepted.take();
-            send(flood, WHOLE);
-            assertThat(answer(flood)).isEqualTo("202");
-            // Much of it waits in the system at any moment, so that reading alone never catches up with it.
-            ((SocketChannel) one.getChannel()).setOption(StandardSocketOptions.SO_RCVBUF, 1 << 22);
-            hold();
+            NIOConnection connection = (NIOConnection) accepted.take();
+            send(flood, MESSAGE);
+            assertThat(nextStatus(flood)).isEqualTo("202");
+            // A large receive buffer, so that reading never catches up with the sender.
+            ((SocketChannel) connection.getChannel()).setOption(StandardSocketOptions.SO_RCVBUF, 1 << 22);
+            blockSelector();
             other.connect(address);
-            desk.now += 60_000;
+            handler.now += 60_000;
             filter.sweep();
             String chunk = "1;" + "x".repeat(limits.maxHead() - 100) + "\r\na\r\n";
-            CountDownLatch begun = new CountDownLatch(1);
-            Thread sending = new Thread(() -> {
+            CountDownLatch sending = new CountDownLatch(1);
+            Thread sender = new Thread(() -> {
                 try {
-                    send(flood, HEAD.replace("Content-Length: 1", "Transfer-Encoding: chunked"));
+                    send(flood, MESSAGE_HEAD.replace("Content-Length: 1", "Transfer-Encoding: chunked"));
                     for (int i = 0; i < limits.maxBody(); i++) {
                         send(flood, chunk);
                         sent.addAndGet(chunk.length());
-                        begun.countDown();
+                        sending.countDown();
                     }
                 } catch (IOException e) {
                     // ended by now
                 }
             });
-            sending.setDaemon(true); // it ends with its connection
-            sending.start();
-            begun.await();
-            send(other, ASK);
+            sender.setDaemon(true); // it ends with its connection
+            sender.start();
+            sending.await();
+            send(other, UNKNOWN_PATH_REQUEST);
             released.countDown();
-            assertThat(answer(other)).isEqualTo("404");
+            assertThat(nextStatus(other)).isEqualTo("404");
             assertThat(sent.get()).isLessThan(100_000_000);
         }
     }
 
-    // ---- leaving ----
+    // ---- clients that disconnect ----
 
-    private enum Leaving {
+    private enum Disconnect {
         CLOSES(Socket::close),
-        /** As a relay gives up a call by ending its sending, a client does a request. */
-        ENDS_ITS_SENDING(Socket::shutdownOutput),
-        RESETS(s -> {
-            s.setSoLinger(true, 0);
-            s.close();
+        /** Gives up a request by shutting down its output, as the relay gives up a call. */
+        SHUTS_DOWN_OUTPUT(Socket::shutdownOutput),
+        RESETS(socket -> {
+            socket.setSoLinger(true, 0);
+            socket.close();
         });
 
         private interface Step {
-            void of(Socket s) throws IOException;
+            void of(Socket socket) throws IOException;
         }
 
         private final Step step;
 
-        Leaving(Step step) {
+        Disconnect(Step step) {
             this.step = step;
         }
     }
 
     /**
-     * What it asked for can be seen to be void. Who has only ended its sending may listen still, and is told so; of
-     * one that has closed nothing else can be seen, so that it has its place until then.
+     * The submission reports that it is void. A client that has only shut down its output may still read and gets its
+     * response. A client that has closed looks the same to the relay, so its connection lasts until the response, too.
      */
     @ParameterizedTest
     @EnumSource
-    void whoLeavesBehindARequestIsSeenToHaveGone(Leaving leaving) throws Exception {
+    void aClientThatLeavesAfterItsRequestIsReportedAsGone(Disconnect disconnect) throws Exception {
         serve(0);
-        desk.holding = true;
-        Socket s = client();
-        try (s;
+        handler.deferring = true;
+        Socket client = client();
+        try (client;
                 Socket next = client()) {
-            send(s, WHOLE);
-            leaving.step.of(s);
-            Submission h = desk.waiting.take();
-            Await.until("gone", h::gone);
-            send(next, WHOLE);
-            Submission other = desk.waiting.take();
-            h.answer(503, 0);
+            send(client, MESSAGE);
+            disconnect.step.of(client);
+            Submission submission = handler.waiting.take();
+            Await.until("gone", submission::gone);
+            send(next, MESSAGE);
+            Submission other = handler.waiting.take();
+            submission.answer(503, 0);
             other.answer(503, 0);
-            assertThat(answer(next)).isEqualTo("503");
-            if (!s.isClosed()) {
-                assertThat(answers(s)).containsExactly("503");
+            assertThat(nextStatus(next)).isEqualTo("503");
+            if (!client.isClosed()) {
+                assertThat(statuses(client)).containsExactly("503");
             }
             Await.until("closed", () -> closed.get() >= 1);
         }
     }
 
-    /** Request and end come in one piece: what can be answered at once still is. */
+    /** Request and end arrive together: a request that can be answered at once still is. */
     @Test
-    void anAnswerThatNeedsNobodyIsWrittenAlthoughTheClientEndsItsSending() throws Exception {
+    void anImmediateResponseIsWrittenAlthoughTheClientShutsDownItsOutput() throws Exception {
         serve(0);
-        try (Socket s = client()) {
-            hold();
-            send(s, ASK);
-            s.shutdownOutput();
+        try (Socket client = client()) {
+            blockSelector();
+            send(client, UNKNOWN_PATH_REQUEST);
+            client.shutdownOutput();
             released.countDown();
-            assertThat(answers(s)).containsExactly("404");
+            assertThat(statuses(client)).containsExactly("404");
         }
     }
 
-    // ---- answers and their requests ----
+    // ---- responses and their requests ----
 
-    /** Refused in its turn, its request's late answer is not heard, and no second request is taken from it. */
+    /** After a refusal the late response to the same request is dropped, and the next request is not read. */
     @ParameterizedTest
     @ValueSource(ints = {202, 503, 504})
-    void aLateAnswerIsNoOtherRequestsAnswer(int status) throws Exception {
+    void aLateResponseIsNotSentForAnotherRequest(int status) throws Exception {
         serve(0);
-        desk.holding = true;
-        try (Socket s = client()) {
-            send(s, WHOLE + WHOLE);
-            Submission first = desk.waiting.take();
+        handler.deferring = true;
+        try (Socket client = client()) {
+            send(client, MESSAGE + MESSAGE);
+            Submission first = handler.waiting.take();
             filter.refuse();
             first.answer(status, 0);
-            assertThat(answers(s)).containsExactly("503");
+            assertThat(statuses(client)).containsExactly("503");
             assertThat(first.gone()).isTrue();
-            assertThat(desk.taken).hasValue(1);
+            assertThat(handler.submissions).hasValue(1);
         }
     }
 
-    /** The last moment: what waits for an answer, has begun or may be on its way is refused, who rests just ends. */
+    /** Requests that are pending, partly received or may be on their way are refused; an idle connection just ends. */
     @Test
-    void atTheVeryEndWhateverIsOwedAnAnswerHasOne() throws Exception {
+    void atTheEndEveryRequestThatNeedsAResponseIsRefused() throws Exception {
         serve(0);
-        try (Socket rests = client();
-                Socket waits = client();
-                Socket half = client();
+        try (Socket idle = client();
+                Socket pending = client();
+                Socket partial = client();
                 Socket silent = client()) {
-            send(rests, WHOLE);
-            assertThat(answer(rests)).isEqualTo("202");
-            desk.holding = true;
-            send(waits, WHOLE);
-            send(half, HEAD);
-            desk.waiting.take();
-            Await.until("all read", () -> read.get() == 2 * WHOLE.length() + HEAD.length());
+            send(idle, MESSAGE);
+            assertThat(nextStatus(idle)).isEqualTo("202");
+            handler.deferring = true;
+            send(pending, MESSAGE);
+            send(partial, MESSAGE_HEAD);
+            handler.waiting.take();
+            Await.until("everything to be read", () -> read.get() == 2 * MESSAGE.length() + MESSAGE_HEAD.length());
             filter.refuse();
             wire.close();
-            for (Socket s : Arrays.asList(waits, half, silent)) {
-                assertThat(answers(s)).containsExactly("503");
+            for (Socket client : Arrays.asList(pending, partial, silent)) {
+                assertThat(statuses(client)).containsExactly("503");
             }
-            assertThat(answers(rests)).isEmpty();
+            assertThat(statuses(idle)).isEmpty();
         }
     }
 
-    /** Small writes would wait for the other side's word on those before, and go with a reset. */
+    /** Without TCP_NODELAY a small write waits for the acknowledgement of the one before, and a reset discards it. */
     @Test
-    void answersDoNotWaitInTheSystem() throws Exception {
+    void responsesAreWrittenWithTcpNoDelay() throws Exception {
         serve(0);
-        try (Socket s = new Socket()) {
-            s.connect(address);
+        try (Socket client = new Socket()) {
+            client.connect(address);
             SocketChannel channel = (SocketChannel) ((NIOConnection) accepted.take()).getChannel();
             assertThat(channel.getOption(StandardSocketOptions.TCP_NODELAY)).isTrue();
         }
