--- a/src/test/java/firstair/relay/standin/FaultyDialer.java
+++ b/src/test/java/firstair/relay/standin/FaultyDialer.java
@@ -5,48 +5,49 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Opens connections as another does, but for the first few, which fail below in a given way. */
+/** Opens connections by another dialer, except the first few, which fail in a given way. */
 public final class FaultyDialer implements Dialer {
-    /** How. */
+    /** How connections fail. */
     public enum Fault {
-        /** Opening throws. */
+        /** {@link Dialer#open} throws. */
         THROWS,
-        /** Fails within the call that opens it. */
+        /** The exchange receives the failure before {@link Dialer#open} returns. */
         FAILS_AT_ONCE,
-        /** Nothing is ever told of it. */
+        /** The exchange is never called. */
         NEVER_CALLS_BACK
     }
 
     private final Dialer real;
     private final Fault fault;
-    private final AtomicInteger left;
+    private final AtomicInteger remaining;
 
-    /** @param times how many connections fail */
-    public FaultyDialer(Dialer real, Fault fault, int times) {
+    /** @param failures how many connections fail */
+    public FaultyDialer(Dialer real, Fault fault, int failures) {
         this.real = real;
         this.fault = fault;
-        this.left = new AtomicInteger(times);
+        this.remaining = new AtomicInteger(failures);
     }
 
     @Override
-    public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
-        if (left.getAndDecrement() <= 0) {
-            return real.open(to, maxBody, request, first, closedIdle);
+    public Link open(
+            InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose) {
+        if (remaining.getAndDecrement() <= 0) {
+            return real.open(to, maxBody, request, firstExchange, onIdleClose);
         }
         if (fault == Fault.THROWS) {
             throw new IllegalStateException("thrown by a test");
         }
         if (fault == Fault.FAILS_AT_ONCE) {
-            first.broken(false);
+            firstExchange.broken(false);
         }
         return deaf();
     }
 
-    /** A connection that does nothing. */
+    /** A connection that is never established and does nothing. */
     public static Link deaf() {
         return new Link() {
             @Override
-            public boolean send(byte[] again, Exchange next) {
+            public boolean send(byte[] request, Exchange next) {
                 return false;
             }
 
--- a/src/test/java/firstair/relay/standin/GateDialer.java
+++ b/src/test/java/firstair/relay/standin/GateDialer.java
@@ -8,38 +8,39 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Opens connections as another does, but tells that one is up only when a test lets it: it comes up late. */
+/** Opens connections by another dialer, and can delay the reports that they are established until a test allows it. */
 public final class GateDialer implements Dialer {
     private final Dialer real;
-    private final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
-    private volatile boolean open = true;
+    private final BlockingQueue<Runnable> delayedReports = new LinkedBlockingQueue<>();
+    private volatile boolean reportAtOnce = true;
 
-    /** Lets all through at first. */
+    /** Creates a dialer that delays nothing until {@link #shut}. */
     public GateDialer(Dialer real) {
         this.real = real;
     }
 
-    /** From now on connections come up late. */
+    /** From now on the reports are delayed. */
     public void shut() {
-        open = false;
+        reportAtOnce = false;
     }
 
-    /** Waits until the next one is there, and tells of it. */
+    /** Waits until the next connection is established, and reports it. */
     public void pass() throws InterruptedException {
-        Runnable up = held.poll(10, TimeUnit.SECONDS);
-        if (up == null) {
-            throw new AssertionError("no connection came up");
+        Runnable report = delayedReports.poll(10, TimeUnit.SECONDS);
+        if (report == null) {
+            throw new AssertionError("no connection was established");
         }
-        up.run();
+        report.run();
     }
 
-    /** Waits until one is there and still not told of. */
+    /** Waits until a connection is established and not reported yet. */
     public void awaitOne() {
-        Await.until("a connection", () -> !held.isEmpty());
+        Await.until("a connection to be established", () -> !delayedReports.isEmpty());
     }
 
     @Override
-    public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
+    public Link open(
+            InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose) {
         return real.open(
                 to,
                 maxBody,
@@ -47,48 +48,48 @@
                 new Link.Exchange() {
                     @Override
                     public void up() {
-                        if (open) {
-                            first.up();
+                        if (reportAtOnce) {
+                            firstExchange.up();
                         } else {
-                            held.add(first::up);
+                            delayedReports.add(firstExchange::up);
                         }
                     }
 
                     @Override
                     public void begun() {
-                        first.begun();
+                        firstExchange.begun();
                     }
 
                     @Override
                     public void first(int status) {
-                        first.first(status);
+                        firstExchange.first(status);
                     }
 
                     @Override
                     public void field(String name, String value) {
-                        first.field(name, value);
+                        firstExchange.field(name, value);
                     }
 
                     @Override
                     public void head(Head head) {
-                        first.head(head);
+                        firstExchange.head(head);
                     }
 
                     @Override
                     public void body(byte[] bytes, int offset, int length) {
-                        first.body(bytes, offset, length);
+                        firstExchange.body(bytes, offset, length);
                     }
 
                     @Override
                     public void done(boolean reusable, boolean alone) {
-                        first.done(reusable, alone);
+                        firstExchange.done(reusable, alone);
                     }
 
                     @Override
                     public void broken(boolean maybeArrived) {
-                        first.broken(maybeArrived);
+                        firstExchange.broken(maybeArrived);
                     }
                 },
-                closedIdle);
+                onIdleClose);
     }
 }
--- a/src/test/java/firstair/relay/standin/Kernel.java
+++ b/src/test/java/firstair/relay/standin/Kernel.java
@@ -7,35 +7,40 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What Linux tells of TCP connections of this machine. */
+/** The TCP connections of this machine, as reported by Linux. */
 public final class Kernel {
     private static final List<Path> TABLES = List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
-    // columns of a line
+    // Columns of a line of the tables
     private static final int LOCAL = 1;
     private static final int PEER = 2;
     private static final int STATE = 3;
-    private static final int QUEUES = 4;
+    private static final int QUEUE_SIZES = 4;
     private static final int ESTABLISHED = 1;
 
     private Kernel() {}
 
-    /** The other end of a connection of this process, which may be closed afterwards. */
-    public static End otherEnd(Socket here) {
-        return new End(here.getPort(), here.getLocalPort());
+    /** The peer's end of a connection of this process. The socket may be closed afterwards. */
+    public static End otherEnd(Socket local) {
+        return new End(local.getPort(), local.getLocalPort());
     }
 
-    /** One end of a connection: its port, and the one that it is connected to. */
+    /**
+     * One end of a connection.
+     *
+     * @param port its own port
+     * @param peer the port that it is connected to
+     */
     public record End(int port, int peer) {
-        /** Whether bytes, an end or a reset have come there; bytes and an end only while nobody has read them. */
+        /** Whether bytes, an end or a reset have arrived there; bytes and an end only until they are read. */
         public boolean waits() {
             String[] line = line(port, peer);
             return line == null
                     || Integer.parseInt(line[STATE], 16) != ESTABLISHED
-                    || Long.parseLong(line[QUEUES].split(":")[1], 16) > 0;
+                    || Long.parseLong(line[QUEUE_SIZES].split(":")[1], 16) > 0;
         }
     }
 
-    /** The line of the end that has one port and is connected to another; null if there is none. */
+    /** The columns of the line for an end; null if there is none. */
     private static String[] line(int port, int peer) {
         try {
             for (Path table : TABLES) {
--- a/src/test/java/firstair/relay/standin/LogLines.java
+++ b/src/test/java/firstair/relay/standin/LogLines.java
@@ -7,30 +7,30 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Lines that a class writes to the log while this is open. */
+/** Collects the messages that a class logs while this is open. */
 public final class LogLines extends Handler implements AutoCloseable {
     private final Queue<String> lines = new ConcurrentLinkedQueue<>();
-    private final Logger logger; // held, so that it is not collected with its handlers
+    private final Logger logger; // a strong reference, or it could be garbage-collected together with its handlers
 
-    /** @param of the class that logs */
-    public LogLines(Class<?> of) {
-        logger = Logger.getLogger(of.getName());
+    /** @param loggingClass the class whose logger is observed */
+    public LogLines(Class<?> loggingClass) {
+        logger = Logger.getLogger(loggingClass.getName());
         logger.addHandler(this);
     }
 
-    /** Those that begin so. */
+    /** The messages that begin with a text. */
     public List<String> beginning(String text) {
-        return lines.stream().filter(l -> l.startsWith(text)).toList();
+        return lines.stream().filter(line -> line.startsWith(text)).toList();
     }
 
     @Override
-    public void publish(LogRecord r) {
-        lines.add(r.getMessage());
+    public void publish(LogRecord logRecord) {
+        lines.add(logRecord.getMessage());
     }
 
     @Override
     public void flush() {
-        // nothing waits
+        // nothing is buffered
     }
 
     @Override
--- a/src/test/java/firstair/relay/standin/LoopThread.java
+++ b/src/test/java/firstair/relay/standin/LoopThread.java
@@ -2,14 +2,14 @@
 
 import firstair.relay.Loop;
 
-/** A loop on a thread of its own. */
+/** Starts loops on threads of their own. */
 public final class LoopThread {
     private LoopThread() {}
 
-    /** Starts one; {@code round} closes each round. */
+    /** Starts a loop that runs {@code round} at the end of each of its rounds. */
     public static Loop start(Runnable round) {
         Loop loop = new Loop(0, Double.POSITIVE_INFINITY, 0);
-        Thread t = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     try {
                         loop.run(round);
@@ -18,8 +18,8 @@
                     }
                 },
                 "loop");
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
         return loop;
     }
 }
--- a/src/test/java/firstair/relay/standin/Platform.java
+++ b/src/test/java/firstair/relay/standin/Platform.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Discovery and the place for notices, as the relay's protocol describes them. */
+/** A stand-in for the platform: discovery and the receiver of notices, according to the relay's protocol. */
 public final class Platform extends StandIn {
-    /** Notices that came, a JSON object each. */
+    /** The notices received, one JSON object each. */
     public final BlockingQueue<String> notices;
 
     private final State state;
@@ -23,45 +23,46 @@
         volatile int noticeStatus = 204;
         int silentPosts;
 
-        synchronized void handle(Request r) throws IOException {
-            if (r.target().equals("/status") && silentPosts > 0) {
+        synchronized void handle(Request request) throws IOException {
+            if (request.target().equals("/status") && silentPosts > 0) {
                 silentPosts--;
-            } else if (r.target().equals("/status")) {
-                for (String line : new String(r.body(), StandardCharsets.UTF_8).split("\n")) {
+            } else if (request.target().equals("/status")) {
+                for (String line : new String(request.body(), StandardCharsets.UTF_8).split("\n")) {
                     notices.add(line);
                 }
-                r.answer(noticeStatus);
+                request.answer(noticeStatus);
             } else if (down) {
-                r.answer(503);
-            } else if (r.target().contains("follow=1")) {
-                r.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                watches.add(r);
-                chunk(r, list);
+                request.answer(503);
+            } else if (request.target().contains("follow=1")) {
+                request.write(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                watches.add(request);
+                chunk(request, list);
             } else {
-                r.answer(200, list.getBytes(StandardCharsets.UTF_8));
+                request.answer(200, list.getBytes(StandardCharsets.UTF_8));
             }
         }
 
-        synchronized void tell(String changes) {
-            watches.removeIf(r -> {
+        synchronized void broadcast(String changes) {
+            watches.removeIf(watch -> {
                 try {
-                    chunk(r, changes);
+                    chunk(watch, changes);
                     return false;
                 } catch (IOException e) {
-                    return true; // its relay has left
+                    return true; // its relay has disconnected
                 }
             });
         }
 
-        private static void chunk(Request r, String line) throws IOException {
+        private static void chunk(Request watch, String line) throws IOException {
             byte[] text = (line + "\n").getBytes(StandardCharsets.UTF_8);
-            r.write((Integer.toHexString(text.length) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            r.write(text);
-            r.write("\r\n".getBytes(StandardCharsets.US_ASCII));
+            watch.write((Integer.toHexString(text.length) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+            watch.write(text);
+            watch.write("\r\n".getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    /** Begins with a list. */
+    /** Starts with a list of endpoints. */
     public Platform(String list) throws IOException {
         this(list, new State());
     }
@@ -73,60 +74,60 @@
         state.list = list;
     }
 
-    /** From now on calls for the list fail, or work again. */
+    /** Makes requests for the list fail from now on, or work again. */
     public void down(boolean down) {
         state.down = down;
     }
 
-    /** From now on it holds this list; who watches is not told. */
+    /** Replaces the list without sending it to the relays that watch it. */
     public void holds(String list) {
         state.list = list;
     }
 
-    /** Whether anybody watches, or has watched. */
+    /** Whether a relay watches the list or has watched it. */
     public boolean watched() {
         synchronized (state) {
             return !state.watches.isEmpty();
         }
     }
 
-    /** From now on notices are answered so. */
+    /** Sets the status that posts of notices are answered with. */
     public void noticeStatus(int status) {
         state.noticeStatus = status;
     }
 
-    /** So many posts of notices are read from now on, and neither counted nor answered. */
+    /** Makes the next {@code count} posts of notices be read but neither recorded nor answered. */
     public void silentPosts(int count) {
         synchronized (state) {
             state.silentPosts = count;
         }
     }
 
-    /** Writes changes to all that watch. */
+    /** Sends changes to all relays that watch the list. */
     public void tell(String changes) {
-        state.tell(changes);
+        state.broadcast(changes);
     }
 
-    /** A list of endpoints, {@code id destination address} each; a state, a kind and a zone may follow. */
+    /** A list of endpoints, each {@code id destination address}, optionally followed by state, kind and zone. */
     public static String list(long version, boolean full, String... endpoints) {
-        StringBuilder b = new StringBuilder("{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[");
+        StringBuilder json = new StringBuilder("{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[");
         for (int i = 0; i < endpoints.length; i++) {
-            String[] w = endpoints[i].split(" ");
-            b.append(i > 0 ? "," : "")
+            String[] fields = endpoints[i].split(" ");
+            json.append(i > 0 ? "," : "")
                     .append("{\"id\":\"")
-                    .append(w[0])
+                    .append(fields[0])
                     .append("\",\"addr\":\"")
-                    .append(w[2])
+                    .append(fields[2])
                     .append("\",\"zone\":\"")
-                    .append(w.length > 5 ? w[5] : "z")
+                    .append(fields.length > 5 ? fields[5] : "z")
                     .append("\",\"kind\":\"")
-                    .append(w.length > 4 ? w[4] : "one")
+                    .append(fields.length > 4 ? fields[4] : "one")
                     .append("\",\"cell\":")
-                    .append(w[1])
+                    .append(fields[1])
                     .append(",\"state\":\"")
-                    .append(w.length > 3 ? w[3] : "up")
+                    .append(fields.length > 3 ? fields[3] : "up")
                     .append("\",\"weight\":1.0,\"started_ms\":0}");
         }
-        return b + "]}";
+        return json + "]}";
     }
 }
--- a/src/test/java/firstair/relay/standin/SelectorGate.java
+++ b/src/test/java/firstair/relay/standin/SelectorGate.java
@@ -12,22 +12,22 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Holds up the selector's thread of a wire, as a process that gets no CPU would be: what comes meanwhile is with the
- * system and unread.
+ * Blocks the selector thread of a wire, as if the process got no CPU time: what arrives meanwhile is received by the
+ * system but not read.
  */
 public final class SelectorGate extends BaseFilter implements AutoCloseable {
-    private static final int PLENTY = 1000;
+    private static final int MORE_PERMITS_THAN_NEEDED = 1000;
 
     private final Semaphore reached = new Semaphore(0);
     private final Semaphore released = new Semaphore(0);
-    private final Socket knock = new Socket();
+    private final Socket trigger = new Socket();
 
-    /** Stands open at first. */
+    /** Creates a gate that does not block the thread until {@link #hold}. */
     public SelectorGate(Wire wire) throws IOException {
         Connection<?> listener =
                 wire.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this, c -> false);
-        knock.connect((InetSocketAddress) listener.getLocalAddress());
-        knock.setTcpNoDelay(true);
+        trigger.connect((InetSocketAddress) listener.getLocalAddress());
+        trigger.setTcpNoDelay(true);
     }
 
     @Override
@@ -38,20 +38,20 @@
         return ctx.getStopAction();
     }
 
-    /** Returns once the thread stands still. */
+    /** Blocks the thread; returns once it is blocked. */
     public void hold() throws IOException, InterruptedException {
-        knock.getOutputStream().write(1);
+        trigger.getOutputStream().write(1);
         reached.acquire();
     }
 
-    /** Lets it go on. */
+    /** Lets the thread continue. */
     public void release() {
         released.release();
     }
 
-    /** Returns once all that had come when it was called is with its filters. */
+    /** Returns once everything received before this call has been passed to its filters. */
     public void pass() throws IOException, InterruptedException {
-        for (int i = 0; i < 2; i++) { // what was found ready beside the first knock may come behind it
+        for (int i = 0; i < 2; i++) { // events selected together with the first trigger may be handled after it
             hold();
             release();
         }
@@ -59,7 +59,7 @@
 
     @Override
     public void close() throws IOException {
-        released.release(PLENTY);
-        knock.close();
+        released.release(MORE_PERMITS_THAN_NEEDED);
+        trigger.close();
     }
 }
--- a/src/test/java/firstair/relay/standin/ShortTimes.java
+++ b/src/test/java/firstair/relay/standin/ShortTimes.java
@@ -2,63 +2,63 @@
 
 import firstair.relay.Limits;
 
-/** Limits with times that a test can wait for. */
+/** Limits with timeouts that are short enough for tests. */
 public final class ShortTimes {
-    private static final long HEAP = 64_000_000;
+    private static final long HEAP_BYTES = 64_000_000;
 
     private ShortTimes() {}
 
-    /** Usual limits, but for these of calls. */
+    /** Default limits except for these limits of calls; times in milliseconds. */
     public static Limits ofCalls(double haltMs, double connectMs, double idleMs, int maxLinks) {
-        Limits l = Limits.of(0, 0, HEAP, 0, connectMs, 0);
-        return with(l, maxLinks, idleMs, haltMs, l.listAnswerMs());
+        Limits limits = Limits.of(0, 0, HEAP_BYTES, 0, connectMs, 0);
+        return with(limits, maxLinks, idleMs, haltMs, limits.listAnswerMs());
     }
 
-    /** Usual limits, but discovery is given up after so long without an answer or a line. */
+    /** Default limits, but a call to discovery is given up after {@code ms} without a response or a line. */
     public static Limits ofList(double ms) {
-        Limits l = Limits.of(0, 0, HEAP, 0, 0, 0);
-        return with(l, l.maxLinks(), l.idleMs(), l.haltMs(), ms);
+        Limits limits = Limits.of(0, 0, HEAP_BYTES, 0, 0, 0);
+        return with(limits, limits.maxLinks(), limits.idleMs(), limits.haltMs(), ms);
     }
 
-    private static Limits with(Limits l, int maxLinks, double idleMs, double haltMs, double listMs) {
+    private static Limits with(Limits limits, int maxLinks, double idleMs, double haltMs, double listMs) {
         return new Limits(
-                l.sockets(),
-                l.diskBytes(),
-                l.maxBody(),
-                l.maxHead(),
-                l.maxClients(),
-                l.crowd(),
+                limits.sockets(),
+                limits.diskBytes(),
+                limits.maxBody(),
+                limits.maxHead(),
+                limits.maxClients(),
+                limits.crowd(),
                 maxLinks,
-                l.readBuffer(),
-                l.backlog(),
-                l.roundMs(),
-                l.connectMs(),
+                limits.readBuffer(),
+                limits.backlog(),
+                limits.roundMs(),
+                limits.connectMs(),
                 idleMs,
                 haltMs,
-                l.sweepMs(),
-                l.lookMs(),
-                l.heldUpMs(),
-                l.catchUpMs(),
-                l.listenMs(),
-                l.handshakeMs(),
-                l.emptyMs(),
-                l.answerMs(),
-                l.restMs(),
-                l.firstMs(),
-                l.requestMs(),
-                l.crowdedMs(),
-                l.clientIdleMs(),
-                l.lingerMs(),
-                l.lingerBytes(),
+                limits.sweepMs(),
+                limits.lookMs(),
+                limits.heldUpMs(),
+                limits.catchUpMs(),
+                limits.listenMs(),
+                limits.handshakeMs(),
+                limits.emptyMs(),
+                limits.answerMs(),
+                limits.restMs(),
+                limits.firstMs(),
+                limits.requestMs(),
+                limits.crowdedMs(),
+                limits.clientIdleMs(),
+                limits.lingerMs(),
+                limits.lingerBytes(),
                 listMs,
                 listMs,
-                l.listLine(),
-                l.notices(),
-                l.overdueMs(),
-                l.reloadMs(),
-                l.openMs(),
-                l.drainAcceptMs(),
-                l.drainCallsMs(),
-                l.drainMs());
+                limits.listLine(),
+                limits.notices(),
+                limits.overdueMs(),
+                limits.reloadMs(),
+                limits.openMs(),
+                limits.drainAcceptMs(),
+                limits.drainCallsMs(),
+                limits.drainMs());
     }
 }
