--- a/src/main/java/firstair/Hangups.java
+++ b/src/main/java/firstair/Hangups.java
@@ -8,51 +8,52 @@
 import java.util.logging.Logger;
 
 /**
- * SIGHUP from the first moment of a process on. One that comes while the relay is still starting is kept until it
- * serves: the configuration may have been read just before it was changed, and nobody signals twice. Where the process
- * was started with SIGHUP ignored, changes of the files stand in for it. The deployment starts it so: until the virtual
- * machine has taken the signal over, some tenths of a second, its default would end the process.
+ * Triggers a reload of the configuration on SIGHUP, from the start of the process on. A signal that arrives while the
+ * relay is still starting takes effect once it serves: the configuration may have been read just before it was changed,
+ * and the sender does not repeat the signal. In a process that was started with SIGHUP ignored, the configuration files
+ * are polled for changes instead. The deployment starts relays that way: for some tenths of a second, until the virtual
+ * machine has installed its handler, the signal's default action would terminate the process.
  */
 final class Hangups {
-    private List<Path> files = List.of(); // that are looked at
-    private List<String> before = List.of();
+    private List<Path> polledFiles = List.of();
+    private List<String> lastStates = List.of();
     private Runnable reload;
-    private boolean missed;
+    private boolean signalledBeforeServing;
 
-    /** A signal has come; on its own thread. */
+    /** Handles a signal; runs the reload on the calling thread. */
     void signal() {
-        Runnable now;
+        Runnable task;
         synchronized (this) {
-            now = reload;
-            missed |= now == null;
+            task = reload;
+            signalledBeforeServing |= task == null;
         }
-        if (now != null) {
-            now.run();
+        if (task != null) {
+            task.run();
         }
     }
 
-    /** From now on a signal has something to act on; one that came before acts on a thread of its own. */
-    synchronized void serving(Runnable task) {
+    /** Sets the task that reloads the configuration; an earlier signal runs it at once, on a new thread. */
+    synchronized void startServing(Runnable task) {
         reload = task;
-        if (missed) {
+        if (signalledBeforeServing) {
             new Thread(task, "hangup").start();
         }
     }
 
-    /** From now on {@link #look} takes each change of a file for a signal. */
-    void watch(List<Path> changing) {
+    /** Makes {@link #poll} handle each change of one of these files as a signal. */
+    void startPolling(List<Path> files) {
         Logger.getLogger(Hangups.class.getName())
-                .fine("SIGHUP is ignored here: the configuration is looked at for changes instead");
-        before = states(changing);
-        files = changing;
+                .fine("SIGHUP is ignored by this process; polling the configuration files for changes instead");
+        lastStates = states(files);
+        polledFiles = files;
     }
 
-    /** Looks whether a file has changed; to be called several times a second, on one thread. */
-    void look() {
-        List<String> now = states(files);
-        if (!now.equals(before)) {
-            before = now;
-            new Thread(this::signal, "hangup").start(); // to read it may take a second
+    /** Checks whether a polled file has changed; to be called several times a second, on one thread. */
+    void poll() {
+        List<String> states = states(polledFiles);
+        if (!states.equals(lastStates)) {
+            lastStates = states;
+            new Thread(this::signal, "hangup").start(); // reading the configuration may take a second
         }
     }
 
@@ -60,11 +61,11 @@
         return files.stream().map(Hangups::state).toList();
     }
 
-    /** Differs once the file has been written or another one has taken its place. */
+    /** A text that changes when the file is written or replaced. */
     private static String state(Path file) {
         try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            return a.fileKey() + " " + a.lastModifiedTime() + " " + a.size();
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return attributes.fileKey() + " " + attributes.lastModifiedTime() + " " + attributes.size();
         } catch (IOException e) {
             return "none";
         }
--- a/src/main/java/firstair/Main.java
+++ b/src/main/java/firstair/Main.java
@@ -6,13 +6,13 @@
 import java.io.IOException;
 
 /**
- * Where the program starts. The two commands that deployments run are told apart by hand, so that a relay loads no
- * class of the command line; everything else is {@link Cli}'s.
+ * Entry point of the program. The two commands that deployments run without arguments are dispatched here, so that a
+ * relay loads no class of the command line; {@link Cli} handles everything else.
  */
 public final class Main {
     private Main() {}
 
-    /** Runs a command and ends with its status. */
+    /** Runs a command and exits with its status. */
     public static void main(String[] args) throws IOException, InterruptedException {
         int status = run(args);
         if (status != 0) {
@@ -22,8 +22,8 @@
 
     /** Runs a command and returns the exit status. */
     static int run(String[] args) throws IOException, InterruptedException {
-        String alone = args.length == 1 ? args[0] : "";
-        switch (alone) {
+        String command = args.length == 1 ? args[0] : "";
+        switch (command) {
             case "serve":
                 return Serve.run(System.getenv());
             case "simhost":
@@ -33,7 +33,12 @@
         }
     }
 
-    /** Hosts the decisions on the simulator's wire, over the standard streams; returns the exit status. */
+    /**
+     * Runs the controller behind the simulator's wire protocol, over the standard streams.
+     *
+     * @return the exit status: 0 at the end of the input, 1 after a violation of the protocol
+     * @throws IOException if the standard streams fail
+     */
     public static int simhost() throws IOException {
         try {
             new SimHost(System.in, System.out).run();
--- a/src/main/java/firstair/Serve.java
+++ b/src/main/java/firstair/Serve.java
@@ -11,21 +11,23 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Runs one relay in this process until it is told to end. */
+/** Runs one relay in this process until it is asked to stop. */
 public final class Serve {
     private Serve() {}
 
     /**
-     * Serves by the configuration that an environment names ({@code ROUTER_CONFIG}, {@code ROUTER_STATE}).
+     * Serves with the configuration that the environment names ({@code ROUTER_CONFIG}, {@code ROUTER_STATE}).
      *
-     * @return the exit status: 0 ended in order, 1 failed, 2 the configuration cannot be used
+     * @param env the environment's variables
+     * @return the exit status: 0 after an orderly stop, 1 after a failure, 2 if the configuration is invalid
+     * @throws InterruptedException if the calling thread is interrupted
      */
     public static int run(Map<String, String> env) throws InterruptedException {
         Logs.install();
         Hangups hangups = new Hangups();
-        // Before anything else: a relay that is still starting must not end by it, nor miss a change of its files.
+        // First of all: SIGHUP must neither terminate a relay that is still starting, nor be lost by it.
         if (!Signals.onHangup(hangups::signal)) {
-            hangups.watch(Stream.of("ROUTER_CONFIG", TunableSettings.FILE)
+            hangups.startPolling(Stream.of("ROUTER_CONFIG", TunableSettings.FILE)
                     .filter(env::containsKey)
                     .map(env::get)
                     .map(Path::of)
@@ -35,13 +37,13 @@
         try {
             relay = new Relay(Config.read(env).with(TunableSettings.read(env)));
         } catch (ConfigException e) {
-            e.lines().forEach(l -> System.err.println("firstair: " + l));
+            e.lines().forEach(line -> System.err.println("firstair: " + line));
             return 2;
         } catch (IOException e) {
-            return failed(e);
+            return reportFailure(e);
         }
-        relay.lookForChanges(hangups::look);
-        hangups.serving(() -> relay.reload(() -> Config.read(env), () -> TunableSettings.read(env)));
+        relay.lookForChanges(hangups::poll);
+        hangups.startServing(() -> relay.reload(() -> Config.read(env), () -> TunableSettings.read(env)));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -53,11 +55,11 @@
             relay.run();
             return 0;
         } catch (IOException e) {
-            return failed(e);
+            return reportFailure(e);
         }
     }
 
-    private static int failed(IOException e) {
+    private static int reportFailure(IOException e) {
         System.err.println("firstair: " + (e instanceof UnusableFolderException ? e.getMessage() : e));
         return 1;
     }
--- a/src/main/java/firstair/Signals.java
+++ b/src/main/java/firstair/Signals.java
@@ -3,36 +3,36 @@
 import java.lang.reflect.Proxy;
 import java.util.logging.Logger;
 
-/** The signals that the virtual machine would otherwise answer by ending. */
+/** Handles signals whose default action in the virtual machine is to exit. */
 final class Signals {
     private static final Logger LOG = Logger.getLogger(Signals.class.getName());
 
     private Signals() {}
 
     /**
-     * Runs a task at each SIGHUP, on a thread of its own, in place of the end that the virtual machine has for it.
-     * The only way to it is {@code sun.misc.Signal}, by reflection since the compiler warns of each use of that class.
+     * Runs a task at each SIGHUP, on a thread of its own, in place of the virtual machine's exit. The JDK offers this
+     * through {@code sun.misc.Signal} only, which is called by reflection because the compiler warns of each use.
      *
-     * @return false if none will ever come: a process that was started with SIGHUP ignored, as {@code nohup} and some
-     *         supervisors do, cannot take it back; the virtual machine leaves such a signal ignored without a word
+     * @return false if the signal is never delivered: in a process that was started with SIGHUP ignored, as by {@code
+     *         nohup} and some supervisors, the virtual machine leaves it ignored and reports no error
      */
     static boolean onHangup(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object run = Proxy.newProxyInstance(
-                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (self, method, args) -> {
+            Object signalHandler = Proxy.newProxyInstance(
+                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         if (!method.getName().equals("handle")) {
                             return method.invoke(task, args);
                         }
                         task.run();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), run);
-            return !handler.getField("SIG_IGN").get(null).equals(before);
+            Object previous = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), signalHandler);
+            return !handler.getField("SIG_IGN").get(null).equals(previous);
         } catch (ReflectiveOperationException e) {
-            LOG.warning("SIGHUP cannot be used here: " + e); // a system without it, or -Xrs
+            LOG.warning("cannot handle SIGHUP: " + e); // a system without the signal, or -Xrs
             return false;
         }
     }
--- a/src/test/java/firstair/HangupsTest.java
+++ b/src/test/java/firstair/HangupsTest.java
@@ -11,23 +11,23 @@
     private final BlockingQueue<Integer> reloads = new LinkedBlockingQueue<>();
 
     @Test
-    void oneThatComesDuringTheStartIsKeptUntilTheRelayServes() throws Exception {
-        Hangups h = new Hangups();
-        h.signal();
-        h.signal();
+    void aSignalDuringTheStartReloadsOnceTheRelayServes() throws Exception {
+        Hangups hangups = new Hangups();
+        hangups.signal();
+        hangups.signal();
         assertThat(reloads).isEmpty();
-        h.serving(() -> reloads.add(1));
+        hangups.startServing(() -> reloads.add(1));
         assertThat(reloads.poll(10, TimeUnit.SECONDS)).isEqualTo(1);
-        h.signal();
+        hangups.signal();
         assertThat(reloads).hasSize(1);
     }
 
     @Test
-    void withoutOneNothingIsReadAgain() {
-        Hangups h = new Hangups();
-        h.serving(() -> reloads.add(1));
+    void withoutASignalNothingIsReloaded() {
+        Hangups hangups = new Hangups();
+        hangups.startServing(() -> reloads.add(1));
         assertThat(reloads).isEmpty();
-        h.signal();
+        hangups.signal();
         assertThat(reloads).hasSize(1);
     }
 }
--- a/src/test/java/firstair/LayoutTest.java
+++ b/src/test/java/firstair/LayoutTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Who may know whom; docs/architecture.md says why. */
+/** Allowed dependencies between packages; docs/architecture.md gives the reasons. */
 @AnalyzeClasses(packages = "firstair", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayoutTest {
     private static final String CLIENTS = "firstair.relay.clients..";
@@ -18,7 +18,7 @@
     private static final String PLATFORM = "firstair.relay.platform..";
 
     @ArchTest
-    static final ArchRule DECISIONS_KNOW_THE_LANGUAGE_ALONE = classes()
+    static final ArchRule CONTROL_DEPENDS_ON_CORE_JAVA_PACKAGES_ONLY = classes()
             .that()
             .resideInAPackage("firstair.control..")
             .should()
@@ -44,9 +44,9 @@
             .dependOnClassesThat()
             .haveFullyQualifiedName("firstair.relay.Loop");
 
-    /** The ledger's engine brings its own futures; it runs on the thread that calls it all the same. */
+    /** {@code java.util.concurrent} is allowed: MicroRaft returns futures, though it runs on the calling thread. */
     @ArchTest
-    static final ArchRule FLEET_DECISIONS_DO_NO_IO = noClasses()
+    static final ArchRule FLEET_DOES_NO_IO = noClasses()
             .that()
             .resideInAPackage("firstair.fleet..")
             .should()
@@ -61,21 +61,21 @@
                     "firstair.cli.."));
 
     @ArchTest
-    static final ArchRule ONLY_THE_LEDGER_KNOWS_ITS_ENGINE = noClasses()
+    static final ArchRule ONLY_LEDGER_PACKAGES_DEPEND_ON_MICRORAFT = noClasses()
             .that()
             .resideOutsideOfPackages("firstair.fleet.ledger..", "firstair.relay.store..", "firstair.kit.fleet..")
             .should()
             .dependOnClassesThat(resideInAnyPackage("io.microraft.."));
 
     @ArchTest
-    static final ArchRule ONLY_BOOKINGS_KNOW_CALENDARS = noClasses()
+    static final ArchRule ONLY_BOOKINGS_DEPEND_ON_CALENDAR_LIBRARIES = noClasses()
             .that()
             .resideOutsideOfPackage("firstair.fleet.booking..")
             .should()
             .dependOnClassesThat(resideInAnyPackage("org.dmfs..", "de.focus_shift.."));
 
     @ArchTest
-    static final ArchRule THE_RELAY_KNOWS_NO_TOOL = noClasses()
+    static final ArchRule THE_RELAY_DEPENDS_ON_NO_TOOL = noClasses()
             .that()
             .resideInAnyPackage(
                     "firstair.relay..",
@@ -87,7 +87,7 @@
             .dependOnClassesThat(resideInAnyPackage("firstair.kit..", "firstair.cli..", "picocli.."));
 
     @ArchTest
-    static final ArchRule PROTOCOL_AND_STORE_KNOW_NO_SOCKET = noClasses()
+    static final ArchRule PROTOCOL_AND_STORE_DEPEND_ON_NO_SOCKET = noClasses()
             .that()
             .resideInAnyPackage("firstair.relay.http..", "firstair.relay.store..")
             .should()
@@ -95,25 +95,25 @@
                     "org.glassfish..", "java.net..", "firstair.relay.net..", CLIENTS, ENDPOINTS, DISCOVERY, PLATFORM));
 
     @ArchTest
-    static final ArchRule CLIENTS_KNOW_NO_OTHER_PEER = alone(CLIENTS, ENDPOINTS, DISCOVERY, PLATFORM);
+    static final ArchRule CLIENTS_DEPEND_ON_NO_OTHER_PEER = independentOf(CLIENTS, ENDPOINTS, DISCOVERY, PLATFORM);
 
     @ArchTest
-    static final ArchRule ENDPOINTS_KNOW_NO_OTHER_PEER = alone(ENDPOINTS, CLIENTS, DISCOVERY, PLATFORM);
+    static final ArchRule ENDPOINTS_DEPEND_ON_NO_OTHER_PEER = independentOf(ENDPOINTS, CLIENTS, DISCOVERY, PLATFORM);
 
     @ArchTest
-    static final ArchRule DISCOVERY_KNOWS_NO_OTHER_PEER = alone(DISCOVERY, CLIENTS, ENDPOINTS, PLATFORM);
+    static final ArchRule DISCOVERY_DEPENDS_ON_NO_OTHER_PEER = independentOf(DISCOVERY, CLIENTS, ENDPOINTS, PLATFORM);
 
     @ArchTest
-    static final ArchRule PLATFORM_KNOWS_NO_OTHER_PEER = alone(PLATFORM, CLIENTS, ENDPOINTS, DISCOVERY);
+    static final ArchRule PLATFORM_DEPENDS_ON_NO_OTHER_PEER = independentOf(PLATFORM, CLIENTS, ENDPOINTS, DISCOVERY);
 
     @ArchTest
-    static final ArchRule ONLY_NET_AND_CLIENTS_KNOW_GRIZZLY = noClasses()
+    static final ArchRule ONLY_NET_AND_CLIENTS_DEPEND_ON_GRIZZLY = noClasses()
             .that()
             .resideOutsideOfPackages("firstair.relay.net..", CLIENTS, "firstair.relay", "firstair.kit.run..")
             .should()
             .dependOnClassesThat(resideInAnyPackage("org.glassfish.."));
 
-    private static ArchRule alone(String peer, String... others) {
+    private static ArchRule independentOf(String peer, String... others) {
         return noClasses().that().resideInAPackage(peer).should().dependOnClassesThat(resideInAnyPackage(others));
     }
 }
--- a/src/test/java/firstair/MainTest.java
+++ b/src/test/java/firstair/MainTest.java
@@ -6,7 +6,7 @@
 
 class MainTest {
     @Test
-    void anUnknownSubcommandOrNoneIsAUsageError() throws Exception {
+    void aMissingOrUnknownCommandIsAUsageError() throws Exception {
         assertThat(Main.run(new String[0])).isEqualTo(2);
         assertThat(Main.run(new String[] {"served"})).isEqualTo(2);
     }
--- a/src/test/java/firstair/RunScriptTest.java
+++ b/src/test/java/firstair/RunScriptTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@code deploy/run.sh} where no other program can be started: the heap by the configuration, then Java. */
+/** Runs {@code deploy/run.sh} with no program but Java on the path: it derives the heap from the configuration. */
 class RunScriptTest {
     @TempDir
     Path folder;
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void aFileThatIsNotThereOrCannotBeReadEndsNothing() throws Exception {
+    void aMissingOrUnreadableFileGivesTheDefaultHeap() throws Exception {
         assertThat(run(folder.resolve("none.json"))).contains(" -Xmx80m ");
         assertThat(run(folder)).contains(" -Xmx80m ");
         assertThat(run(null)).contains(" -Xmx80m ");
     }
 
     @Test
-    void nothingIsStartedOnTheWay() throws Exception {
+    void theScriptStartsNoOtherProcess() throws Exception {
         String script = Files.readString(Path.of("deploy/run.sh"))
                 .replaceAll("(?m)^\\s*#.*$", "")
                 .replace("||", "")
@@ -51,7 +51,7 @@
         assertThat(script).doesNotContain("$(", "`", "|", " &\n");
     }
 
-    /** What Java would be started with; the only program there is, so any other ends in a complaint. */
+    /** Returns the arguments that Java gets; it is the only program on the path, so a call of any other fails. */
     private String run(Path config) throws Exception {
         Path bin = Files.createDirectories(folder.resolve("bin"));
         Path java = Files.writeString(bin.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
@@ -63,9 +63,9 @@
         if (config != null) {
             shell.environment().put("ROUTER_CONFIG", config.toString());
         }
-        Process started = shell.start();
-        String said = new String(started.getInputStream().readAllBytes());
-        assertThat(started.waitFor()).as(said).isZero();
-        return said;
+        Process process = shell.start();
+        String output = new String(process.getInputStream().readAllBytes());
+        assertThat(process.waitFor()).as(output).isZero();
+        return output;
     }
 }
