--- a/src/main/java/firstair/cli/Cli.java
+++ b/src/main/java/firstair/cli/Cli.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The program's commands and what they share: help, version, completion, exit statuses. */
+/** Root command: registers the subcommands and handles help, version, completion and exit statuses. */
 @Command(
         name = "firstair",
         mixinStandardHelpOptions = true,
@@ -30,38 +30,39 @@
             "firstair COMMAND --help tells more of a command."
         })
 public final class Cli implements Runnable {
-    private static final int FAILED = 1;
-    private static final int UNUSABLE = 2;
+    private static final int STATUS_FAILED = 1;
+    private static final int STATUS_INVALID = 2;
 
     @Spec
     private CommandSpec spec;
 
     private Cli() {}
 
-    /** Tells the version that the build has written into the program. */
+    /** Reads the version from the manifest of the jar. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
-            String built = Cli.class.getPackage().getImplementationVersion();
+            String version = Cli.class.getPackage().getImplementationVersion();
             return new String[] {
-                "firstair " + (built == null ? "(not from a jar)" : built) + ", Java " + Runtime.version()
+                "firstair " + (version == null ? "(not from a jar)" : version) + ", Java " + Runtime.version()
             };
         }
     }
 
-    /** Runs the command that the arguments name and returns its exit status. */
+    /** Runs the command that the arguments name; returns the exit status: 0 done, 1 failed, 2 invalid input. */
     public static int run(String... args) {
-        CommandLine line = new CommandLine(new Cli());
-        ServiceLoader.load(Part.class).forEach(line::addSubcommand);
-        line.setExecutionExceptionHandler((e, at, parsed) -> {
-            if (e instanceof ConfigException) {
-                ((ConfigException) e).lines().forEach(l -> at.getErr().println("firstair: " + l));
-                return UNUSABLE;
+        CommandLine commandLine = new CommandLine(new Cli());
+        ServiceLoader.load(Part.class).forEach(commandLine::addSubcommand);
+        commandLine.setExecutionExceptionHandler((exception, command, parsed) -> {
+            if (exception instanceof ConfigException) {
+                ((ConfigException) exception).lines().forEach(line -> command.getErr()
+                        .println("firstair: " + line));
+                return STATUS_INVALID;
             }
-            at.getErr().println("firstair: " + e);
-            return FAILED;
+            command.getErr().println("firstair: " + exception);
+            return STATUS_FAILED;
         });
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
     @Override
--- a/src/main/java/firstair/cli/ConfigCommand.java
+++ b/src/main/java/firstair/cli/ConfigCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Looks at a configuration without serving by it. */
+/** Checks, shows, documents or migrates a configuration without starting a relay. */
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
@@ -39,9 +39,9 @@
                 "Reads the configuration as serve would.",
                 "Status 0 if a relay could start with it; else status 2 and one line" + " that names the field."
             })
-    int check(@Mixin Files files) {
-        Config c = read(files);
-        spec.commandLine().getOut().println("relay " + c.name() + ": the configuration can be used");
+    int check(@Mixin FileOptions fileOptions) {
+        Config config = read(fileOptions);
+        spec.commandLine().getOut().println("relay " + config.name() + ": the configuration can be used");
         return 0;
     }
 
@@ -49,36 +49,42 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description = "Prints what a relay would serve by, a value a line, and where the files were named.")
-    int show(@Mixin Files files) throws ReflectiveOperationException {
-        Config c = read(files);
+    int show(@Mixin FileOptions fileOptions) throws ReflectiveOperationException {
+        Config config = read(fileOptions);
         PrintWriter out = spec.commandLine().getOut();
-        out.println("# ROUTER_CONFIG: " + files.origin("ROUTER_CONFIG") + ", ROUTER_STATE: "
-                + files.origin("ROUTER_STATE"));
-        out.println("name = " + c.name());
-        out.println("listen = " + HostPort.of(c.listen()));
-        out.println("discovery = " + HostPort.of(c.discovery()));
-        out.println("state = " + c.state());
+        out.println("# ROUTER_CONFIG: " + fileOptions.origin("ROUTER_CONFIG") + ", ROUTER_STATE: "
+                + fileOptions.origin("ROUTER_STATE"));
+        out.println("name = " + config.name());
+        out.println("listen = " + HostPort.of(config.listen()));
+        out.println("discovery = " + HostPort.of(config.discovery()));
+        out.println("state = " + config.state());
         out.println("known = "
-                + (c.known() == null
+                + (config.known() == null
                         ? "none"
-                        : c.known().entries().size() + " endpoints, version "
-                                + c.known().version()));
-        for (Item i : TunableSettings.schema().items()) {
-            Values.Value v = c.own().value(i.path());
-            out.println(i.path() + " = "
-                    + (v == null
-                            ? i.write(i.usually()) + "  # usual"
-                            : i.write(v) + "  # " + v.origin()
-                                    + (v.overrode().isEmpty() ? "" : ", not " + v.overrode())));
+                        : config.known().entries().size() + " endpoints, version "
+                                + config.known().version()));
+        for (Item item : TunableSettings.schema().items()) {
+            Values.Value value = config.own().value(item.path());
+            out.println(item.path() + " = "
+                    + (value == null
+                            ? item.write(item.usually()) + "  # usual"
+                            : item.write(value) + "  # " + value.origin()
+                                    + (value.overriddenOrigin().isEmpty() ? "" : ", not " + value.overriddenOrigin())));
         }
-        print(out, "limits.", c.limits().tuned(c.own()), Limits.class);
+        print(out, "limits.", config.limits().tuned(config.own()), Limits.class);
         print(
                 out,
                 "settings.limits.",
-                c.settings().limits(),
-                c.settings().limits().getClass());
-        print(out, "settings.rules.", c.settings().rules(), c.settings().rules().getClass());
-        c.settings().classes().forEach(k -> out.println("settings.classes." + k.name() + " = " + k));
+                config.settings().limits(),
+                config.settings().limits().getClass());
+        print(
+                out,
+                "settings.rules.",
+                config.settings().rules(),
+                config.settings().rules().getClass());
+        config.settings()
+                .classes()
+                .forEach(messageClass -> out.println("settings.classes." + messageClass.name() + " = " + messageClass));
         return 0;
     }
 
@@ -87,15 +93,15 @@
             mixinStandardHelpOptions = true,
             description = "Prints the reference of the settings that are ours, in Markdown.")
     int reference() {
-        spec.commandLine().getOut().print(page());
+        spec.commandLine().getOut().print(referencePage());
         spec.commandLine().getOut().flush();
         return 0;
     }
 
-    /** The reference page, {@code docs/configuration.md}. */
-    static String page() {
+    /** Renders the reference page, {@code docs/configuration.md}. */
+    static String referencePage() {
         return TunableSettings.schema()
-                .reference(
+                .referencePage(
                         """
                 # Settings of ours
 
@@ -114,21 +120,22 @@
                 """);
     }
 
-    private static Config read(Files files) {
-        Map<String, String> env = files.over(System.getenv());
-        Config c = Config.read(env).with(TunableSettings.read(env));
-        FleetConfig.of(c.own(), c); // as serve does: what cannot be used ends here
-        return c;
+    private static Config read(FileOptions fileOptions) {
+        Map<String, String> env = fileOptions.applyTo(System.getenv());
+        Config config = Config.read(env).with(TunableSettings.read(env));
+        FleetConfig.of(config.own(), config); // serve validates the fleet's settings as well
+        return config;
     }
 
-    private static void print(PrintWriter out, String before, Object of, Class<?> type)
+    /** Prints each component of a record on a line; components of nested records get the name of the outer one. */
+    private static void print(PrintWriter out, String prefix, Object object, Class<?> type)
             throws ReflectiveOperationException {
-        for (RecordComponent r : type.getRecordComponents()) {
-            Object value = r.getAccessor().invoke(of);
+        for (RecordComponent component : type.getRecordComponents()) {
+            Object value = component.getAccessor().invoke(object);
             if (value instanceof Record) {
-                print(out, before + r.getName() + ".", value, value.getClass());
+                print(out, prefix + component.getName() + ".", value, value.getClass());
             } else {
-                out.println(before + r.getName() + " = " + value);
+                out.println(prefix + component.getName() + " = " + value);
             }
         }
     }
--- a/src/main/java/firstair/cli/Files.java
+++ b/src/main/java/firstair/cli/FileOptions.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** The flags that name a relay's files; each goes before the variable of the environment that says the same. */
-final class Files {
+/** Flags that name a relay's files; each overrides the corresponding environment variable. */
+final class FileOptions {
     @Option(
             names = "--config",
             paramLabel = "FILE",
@@ -29,23 +29,23 @@
             description = "one setting of ours," + " such as platform.answer=500ms; goes before variables and the file")
     private Map<String, String> set = Map.of();
 
-    /** The environment as the flags have it. */
-    Map<String, String> over(Map<String, String> env) {
-        Map<String, String> all = new HashMap<>(env);
+    /** Returns a copy of the environment in which the flags override its variables. */
+    Map<String, String> applyTo(Map<String, String> env) {
+        Map<String, String> variables = new HashMap<>(env);
         if (config != null) {
-            all.put("ROUTER_CONFIG", config);
+            variables.put("ROUTER_CONFIG", config);
         }
         if (state != null) {
-            all.put("ROUTER_STATE", state);
+            variables.put("ROUTER_STATE", state);
         }
         if (settings != null) {
-            all.put(TunableSettings.FILE, settings);
+            variables.put(TunableSettings.FILE, settings);
         }
-        set.forEach((name, value) -> all.put(TunableSettings.FLAG + name, value));
-        return all;
+        set.forEach((name, value) -> variables.put(TunableSettings.FLAG + name, value));
+        return variables;
     }
 
-    /** Where what the variable says comes from. */
+    /** Where the value of {@code ROUTER_CONFIG} or {@code ROUTER_STATE} was set. */
     String origin(String variable) {
         return (variable.equals("ROUTER_CONFIG") ? config : state) != null
                 ? "flag"
--- a/src/main/java/firstair/cli/MigrateCommand.java
+++ b/src/main/java/firstair/cli/MigrateCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Writes the counterpart of an old configuration for a deployment of another shape. */
+/** Migrates a configuration to the form that states the properties of its deployment; see {@link Migration}. */
 @Command(
         name = "migrate",
         mixinStandardHelpOptions = true,
@@ -31,10 +31,10 @@
     private CommandSpec spec;
 
     @Parameters(paramLabel = "OLD", description = "the configuration to read, JSON; it is never written to")
-    private Path old;
+    private Path oldFile;
 
     @Option(names = "--out", paramLabel = "FILE", description = "where to write; as a whole or not at all")
-    private Path out;
+    private Path newFile;
 
     @Option(names = "--force", description = "write over a file that is there, but never over OLD")
     private boolean force;
@@ -59,7 +59,7 @@
 
     @Override
     public Integer call() throws IOException {
-        if (out == null && !dryRun) {
+        if (newFile == null && !dryRun) {
             throw new ConfigException("--out", "missing; --dry-run writes nothing");
         }
         if (drainGrace != null && !(drainGrace >= 0 && drainGrace < Double.POSITIVE_INFINITY)) {
@@ -68,45 +68,47 @@
         Map<String, String> env = new HashMap<>(
                 Map.of("ROUTER_STATE", ".", "ROUTER_LISTEN", "127.0.0.1:0", "ROUTER_DISCOVERY", "127.0.0.1:1"));
         env.putAll(System.getenv());
-        env.put("ROUTER_CONFIG", old.toString());
+        env.put("ROUTER_CONFIG", oldFile.toString());
         String text = Config.text(env);
-        Config.parse(text, env); // a file that no relay could use is told as serve would
-        Migration m = new Migration(
-                JsonParser.parseString(text).getAsJsonObject(), new Migration.Shape(reports, weights, drainGrace));
+        Config.parse(text, env); // reports an invalid file as serve does
+        Migration migration = new Migration(
+                JsonParser.parseString(text).getAsJsonObject(),
+                new Migration.TargetOptions(reports, weights, drainGrace));
         String migrated = new GsonBuilder()
                         .setPrettyPrinting()
                         .disableHtmlEscaping()
                         .serializeNulls()
                         .create()
-                        .toJson(m.migrated())
+                        .toJson(migration.migrated())
                 + "\n";
         Config.parse(migrated, env);
-        PrintWriter tell = spec.commandLine().getOut();
+        PrintWriter out = spec.commandLine().getOut();
         if (dryRun) {
-            tell.print(migrated);
+            out.print(migrated);
         } else {
             write(migrated);
         }
-        m.changes().forEach(l -> tell.println("# written: " + l));
-        m.open().forEach(l -> tell.println("# not carried over: " + l));
-        tell.flush();
+        migration.changes().forEach(line -> out.println("# written: " + line));
+        migration.notCarriedOver().forEach(line -> out.println("# not carried over: " + line));
+        out.flush();
         return 0;
     }
 
-    /** A reader sees the old file of that name or the new one; what fails leaves nothing behind. */
+    /** Replaces the file atomically: readers see the previous or the complete new one; a failure leaves no draft. */
     private void write(String text) throws IOException {
-        if (Files.exists(out)) {
-            if (Files.isSameFile(out, old)) {
-                throw new ConfigException("--out", "is the file that is read: " + out);
+        if (Files.exists(newFile)) {
+            if (Files.isSameFile(newFile, oldFile)) {
+                throw new ConfigException("--out", "is the file that is read: " + newFile);
             }
-            if (!force || Files.isDirectory(out)) {
-                throw new ConfigException("--out", "is there already" + (force ? ": " : ", without --force: ") + out);
+            if (!force || Files.isDirectory(newFile)) {
+                throw new ConfigException(
+                        "--out", "is there already" + (force ? ": " : ", without --force: ") + newFile);
             }
         }
-        Path draft = out.resolveSibling("." + out.getFileName() + ".new"); // with the rights that files have here
+        Path draft = newFile.resolveSibling("." + newFile.getFileName() + ".new"); // with default permissions
         try {
             Files.writeString(draft, text);
-            Files.move(draft, out, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(draft, newFile, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             throw new ConfigException("--out", "cannot be written: " + e);
         } finally {
--- a/src/main/java/firstair/cli/Migration.java
+++ b/src/main/java/firstair/cli/Migration.java
@@ -9,19 +9,20 @@
 import java.util.Set;
 
 /**
- * Turns a configuration that leaves the shape of its deployment to be taken for granted into one that says it. What
- * the file says stays as it is; what it leaves out is written as a relay reads it today. No I/O.
+ * Migrates a configuration that leaves properties of its deployment implicit to one that states them. Fields that the
+ * file sets keep their values; missing ones get the default that a relay uses today. Does no I/O.
  */
 final class Migration {
-    /** What a relay of the new shape goes by and no old file can hold; the reason stands beside each. */
-    private static final String[][] NOT_HELD = {
+    /** Settings of the new form that cannot be derived from an old file, each with the reason. */
+    private static final String[][] NOT_DERIVABLE = {
         {"accounts", "shares and quotas of accounts are the operator's to add; a relay needs none to serve"},
         {"overShareWorth", "goes with the accounts"},
         {"familyInfo.refusedPrice", "the platform sets it; a relay does not read it"}
     };
 
-    private static final Set<String> TOP = Set.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
-    private static final Set<String> SETTINGS = Set.of(
+    private static final Set<String> TOP_LEVEL_FIELDS =
+            Set.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
+    private static final Set<String> SETTINGS_FIELDS = Set.of(
             "groupSize",
             "classes",
             "clients",
@@ -47,17 +48,21 @@
 
     private final JsonObject root;
     private final List<String> changes = new ArrayList<>();
-    private final List<String> open = new ArrayList<>();
+    private final List<String> notCarriedOver = new ArrayList<>();
 
-    /** What the operator says of the new deployment; null leaves the file's own, or today's usual, value. */
-    record Shape(String reports, String weights, Double drainGraceMs) {}
+    /** The operator's options for the new deployment; null keeps the file's value, or sets the default. */
+    record TargetOptions(String reports, String weights, Double drainGraceMs) {}
 
-    /** Reads an old configuration; it is not changed itself. */
-    Migration(JsonObject old, Shape shape) {
+    /**
+     * Migrates a copy of the old configuration.
+     *
+     * @throws ConfigException if a field that the migration reads is not an object
+     */
+    Migration(JsonObject old, TargetOptions options) {
         root = old.deepCopy();
         JsonObject settings = root.getAsJsonObject("settings");
-        JsonObject report = child(settings, "loadReport");
-        put(report, "settings.loadReport.", "how", shape.reports(), "answers");
+        JsonObject report = childObject(settings, "loadReport");
+        set(report, "settings.loadReport.", "how", options.reports(), "answers");
         if (!report.has("names")) {
             JsonArray names = new JsonArray();
             if (!report.get("how").getAsString().equals("none")) {
@@ -67,90 +72,90 @@
             report.add("names", names);
             changes.add("settings.loadReport.names = " + names);
         }
-        put(settings, "settings.", "weightKind", shape.weights(), "none");
+        set(settings, "settings.", "weightKind", options.weights(), "none");
         JsonElement classes = settings.get("classes");
         for (int i = 0;
                 classes != null
                         && classes.isJsonArray()
                         && i < classes.getAsJsonArray().size();
                 i++) {
-            put(
-                    object("classes." + i, classes.getAsJsonArray().get(i)),
+            set(
+                    asObject("classes." + i, classes.getAsJsonArray().get(i)),
                     "settings.classes." + i + ".",
                     "semantics",
                     null,
                     "retryable");
         }
-        if (shape.drainGraceMs() != null) {
-            JsonObject safety = child(settings, "safety");
-            JsonElement before = safety.get("drainGrace");
-            if (before == null || before.getAsDouble() != shape.drainGraceMs()) {
-                safety.addProperty("drainGrace", shape.drainGraceMs());
-                changes.add("settings.safety.drainGrace = " + shape.drainGraceMs());
+        if (options.drainGraceMs() != null) {
+            JsonObject safety = childObject(settings, "safety");
+            JsonElement previous = safety.get("drainGrace");
+            if (previous == null || previous.getAsDouble() != options.drainGraceMs()) {
+                safety.addProperty("drainGrace", options.drainGraceMs());
+                changes.add("settings.safety.drainGrace = " + options.drainGraceMs());
             }
         }
         if (report.get("how").getAsString().equals("none")
                 && settings.get("weightKind").getAsString().equals("none")) {
-            open.add("settings.weightKind: neither reports nor weights tell a limit; refusals alone will");
+            notCarriedOver.add("settings.weightKind: neither reports nor weights tell a limit; refusals alone will");
         }
-        for (String[] one : NOT_HELD) {
-            if (!has(settings, one[0])) {
-                open.add("settings." + one[0] + ": " + one[1]);
+        for (String[] setting : NOT_DERIVABLE) {
+            if (!has(settings, setting[0])) {
+                notCarriedOver.add("settings." + setting[0] + ": " + setting[1]);
             }
         }
-        unknown(root, "", TOP);
-        unknown(settings, "settings.", SETTINGS);
+        reportUnknownFields(root, "", TOP_LEVEL_FIELDS);
+        reportUnknownFields(settings, "settings.", SETTINGS_FIELDS);
     }
 
-    /** The configuration for the new shape. */
+    /** The configuration in the new form. */
     JsonObject migrated() {
         return root;
     }
 
-    /** What was written that the old file left out or had otherwise, a line each. */
+    /** Fields that were added or changed, a line each. */
     List<String> changes() {
         return changes;
     }
 
-    /** What could not be carried over or is not known, a line each. */
-    List<String> open() {
-        return open;
+    /** Settings that could not be derived and fields that are not known, a line each. */
+    List<String> notCarriedOver() {
+        return notCarriedOver;
     }
 
-    private void put(JsonObject at, String path, String name, String told, String usual) {
-        JsonElement before = at.get(name);
-        String value = told != null ? told : before != null ? before.getAsString() : usual;
-        if (before == null || !before.getAsString().equals(value)) {
-            at.addProperty(name, value);
+    private void set(JsonObject parent, String path, String name, String option, String defaultValue) {
+        JsonElement previous = parent.get(name);
+        String value = option != null ? option : previous != null ? previous.getAsString() : defaultValue;
+        if (previous == null || !previous.getAsString().equals(value)) {
+            parent.addProperty(name, value);
             changes.add(path + name + " = " + value);
         }
     }
 
-    private static JsonObject child(JsonObject at, String name) {
-        if (!at.has(name)) {
-            at.add(name, new JsonObject());
+    private static JsonObject childObject(JsonObject parent, String name) {
+        if (!parent.has(name)) {
+            parent.add(name, new JsonObject());
         }
-        return object(name, at.get(name));
+        return asObject(name, parent.get(name));
     }
 
-    private static JsonObject object(String path, JsonElement e) {
-        if (!e.isJsonObject()) {
+    private static JsonObject asObject(String path, JsonElement element) {
+        if (!element.isJsonObject()) {
             throw new ConfigException("settings." + path, "not an object");
         }
-        return e.getAsJsonObject();
+        return element.getAsJsonObject();
     }
 
-    private static boolean has(JsonObject at, String path) {
+    private static boolean has(JsonObject parent, String path) {
         int dot = path.indexOf('.');
         return dot < 0
-                ? at.has(path)
-                : at.has(path.substring(0, dot))
-                        && at.getAsJsonObject(path.substring(0, dot)).has(path.substring(dot + 1));
+                ? parent.has(path)
+                : parent.has(path.substring(0, dot))
+                        && parent.getAsJsonObject(path.substring(0, dot)).has(path.substring(dot + 1));
     }
 
-    private void unknown(JsonObject at, String path, Set<String> known) {
-        at.keySet().stream()
-                .filter(k -> !known.contains(k))
-                .forEach(k -> open.add(path + k + ": not known here; kept as it is"));
+    private void reportUnknownFields(JsonObject object, String path, Set<String> known) {
+        object.keySet().stream()
+                .filter(field -> !known.contains(field))
+                .forEach(field -> notCarriedOver.add(path + field + ": not known here; kept as it is"));
     }
 }
--- a/src/main/java/firstair/cli/Part.java
+++ b/src/main/java/firstair/cli/Part.java
@@ -2,5 +2,5 @@
 
 import java.util.concurrent.Callable;
 
-/** A command of the program: an object with picocli's annotations, whose call returns the exit status. */
+/** A subcommand, described by picocli's annotations; {@link #call} returns the exit status. */
 public interface Part extends Callable<Integer> {}
--- a/src/main/java/firstair/cli/ServeCommand.java
+++ b/src/main/java/firstair/cli/ServeCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs a relay, with flags in place of variables. */
+/** Runs a relay; flags override environment variables. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -14,10 +14,10 @@
         })
 public final class ServeCommand implements Part {
     @Mixin
-    private Files files;
+    private FileOptions fileOptions;
 
     @Override
     public Integer call() throws InterruptedException {
-        return Serve.run(files.over(System.getenv()));
+        return Serve.run(fileOptions.applyTo(System.getenv()));
     }
 }
--- a/src/main/java/firstair/cli/SimhostCommand.java
+++ b/src/main/java/firstair/cli/SimhostCommand.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import picocli.CommandLine.Command;
 
-/** Hosts the decisions on the simulator's wire. */
+/** Runs the controller behind the simulator's wire protocol. */
 @Command(
         name = "simhost",
         mixinStandardHelpOptions = true,
--- a/src/main/java/firstair/cli/package-info.java
+++ b/src/main/java/firstair/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line. Each command is a class of its own that {@code META-INF/services/firstair.cli.Part} names, so
- * that a new one joins without touching the others; a relay that serves loads none of them.
+ * The command line. Each command is a class that {@code META-INF/services/firstair.cli.Part} lists, so that adding one
+ * changes no other; a relay started by {@code firstair serve} without flags loads none of them.
  */
 package firstair.cli;
--- a/src/main/java/firstair/config/Fault.java
+++ b/src/main/java/firstair/config/Fault.java
@@ -1,20 +1,21 @@
 package firstair.config;
 
 /**
- * One thing that is wrong with a configuration: where it stands, what was found there, what is allowed.
+ * An error in a configuration: its position, what was found there and what is allowed.
  *
  * @param source the file, variable or flag
- * @param line   line in a file from 1 on, 0 where there is none
- * @param column column in that line from 1 on, 0 where there is none
+ * @param line   line in the file, counted from 1; 0 if there is none
+ * @param column column in that line, counted from 1; 0 if there is none
+ * @param what   description, kept to one line of limited length
  */
 public record Fault(String source, int line, int column, String what) {
-    private static final int LONGEST = 200;
+    private static final int MAX_LENGTH = 200;
 
-    /** Cuts what is long and makes one line of it: a file must not forge lines of our log. */
+    /** Shortens the description and removes its line breaks, so that a file cannot forge lines of our log. */
     public Fault {
         StringBuilder clean = new StringBuilder();
         what.codePoints()
-                .limit(LONGEST)
+                .limit(MAX_LENGTH)
                 .forEach(c -> clean.appendCodePoint(Character.isISOControl(c) || c == 0x2028 || c == 0x2029 ? ' ' : c));
         what = clean.toString();
     }
--- a/src/main/java/firstair/config/Item.java
+++ b/src/main/java/firstair/config/Item.java
@@ -1,49 +1,55 @@
 package firstair.config;
 
 /**
- * One value that can be set.
+ * Definition of one setting.
  *
- * @param path     its table and name, with a dot between them
- * @param kind     what it is
- * @param usual    what holds where nobody sets it, as people write it
- * @param least    the least that is allowed, in the kind's unit; of texts, letters or how many
- * @param most     the most that is allowed
- * @param atReload whether a running program takes it over, or waits for its next start
- * @param meaning  what it does, a sentence without its full stop
+ * @param path        its table and name, separated by a dot
+ * @param kind        type of its values
+ * @param usual       default value, written as in a file
+ * @param min         minimum, in the unit of the kind; for a text its length, for a list the number of its elements
+ * @param max         maximum, counted likewise
+ * @param atReload    whether a reload applies a new value; otherwise it applies at the next start
+ * @param description what it controls, a sentence without the full stop
  */
-public record Item(String path, Kind kind, String usual, double least, double most, boolean atReload, String meaning) {
-    /** An item must hold its own usual value. */
+public record Item(String path, Kind kind, String usual, double min, double max, boolean atReload, String description) {
+    /**
+     * Checks the default value.
+     *
+     * @throws IllegalArgumentException if it is not within the limits
+     */
     public Item {
-        double value = kind.read(usual);
-        if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(path + ": usual value " + usual + " is not allowed");
+        double value = kind.parse(usual);
+        if (!(value >= min && value <= max)) {
+            throw new IllegalArgumentException(path + ": default value " + usual + " is not allowed");
         }
     }
 
-    /** What may be written there, for people. */
+    /** Describes the allowed values, for error messages and the reference page. */
     public String allowed() {
         return switch (kind) {
-            case FLAG -> kind.form();
-            case TEXT, NAMES -> kind.form() + ", " + (long) most + (kind == Kind.TEXT ? " letters" : "") + " at most";
-            default -> kind.form() + " from " + kind.write(least) + " to " + kind.write(most);
+            case FLAG -> kind.description();
+            case TEXT, NAMES ->
+                kind.description() + ", " + (long) max + (kind == Kind.TEXT ? " letters" : "") + " at most";
+            default -> kind.description() + " from " + kind.format(min) + " to " + kind.format(max);
         };
     }
 
-    /** What holds where nobody sets it. */
+    /** The default value. */
     public Values.Value usually() {
         return value(usual, "", "");
     }
 
-    /** What a text sets; its number is NaN if the text is none of this kind. */
-    Values.Value value(String text, String origin, String overrode) {
-        String kept = kind == Kind.TEXT ? text.strip() : kind == Kind.NAMES ? String.join(",", Kind.names(text)) : "";
-        return new Values.Value(kind.read(text), kept, origin, overrode);
+    /** Parses a text; the value's number is NaN if the text does not denote a value of this kind. */
+    Values.Value value(String text, String origin, String overriddenOrigin) {
+        String normalized =
+                kind == Kind.TEXT ? text.strip() : kind == Kind.NAMES ? String.join(",", Kind.names(text)) : "";
+        return new Values.Value(kind.parse(text), normalized, origin, overriddenOrigin);
     }
 
-    /** A value as people write it: in its unit, or as a text in quotes. */
+    /** Formats a value as in a file: a number with its unit, a text in quotes. */
     public String write(Values.Value value) {
         return kind.isText()
                 ? '"' + value.text().replace("\\", "\\\\").replace("\"", "\\\"") + '"'
-                : kind.write(value.value());
+                : kind.format(value.value());
     }
 }
--- a/src/main/java/firstair/config/Read.java
+++ b/src/main/java/firstair/config/Read.java
@@ -18,24 +18,28 @@
 import org.tomlj.TomlTable;
 
 /**
- * What a source of configuration brings: its values, and everything that is wrong with it. Any bytes end in one or the
- * other, never in an exception.
+ * The settings from one source: their values and all errors. Any input gives values or errors, never an exception.
  *
- * @param values what could be read; to be used only if there are no faults
+ * @param values the valid values; to be used only if there are no errors
+ * @param faults all errors of the source
  */
 public record Read(Values values, List<Fault> faults) {
-    private static final int MOST_BYTES = 1 << 20;
-    private static final int DEEPEST = 64; // brackets within brackets: a parser's stack is not endless
+    private static final int MAX_BYTES = 1 << 20;
+    private static final int MAX_BRACKET_DEPTH = 64; // limits the recursion of the parser
 
-    /** Reads a file in TOML. */
+    /**
+     * Reads a file in TOML.
+     *
+     * @param source name of the file, for errors and origins
+     */
     public static Read toml(String source, byte[] bytes, Schema schema) {
         List<Fault> faults = new ArrayList<>();
-        if (bytes.length > MOST_BYTES) {
-            faults.add(new Fault(source, 0, 0, "holds " + bytes.length + " bytes, " + MOST_BYTES + " at most"));
+        if (bytes.length > MAX_BYTES) {
+            faults.add(new Fault(source, 0, 0, "holds " + bytes.length + " bytes, " + MAX_BYTES + " at most"));
             return new Read(Values.NONE, faults);
         }
-        String text = decoded(source, bytes, faults);
-        if (text == null || deep(source, text, faults)) {
+        String text = decodeUtf8(source, bytes, faults);
+        if (text == null || exceedsBracketDepth(source, text, faults)) {
             return new Read(Values.NONE, faults);
         }
         Map<String, Values.Value> set = new LinkedHashMap<>();
@@ -46,15 +50,15 @@
                         new Fault(source, e.position().line(), e.position().column(), String.valueOf(e.getMessage())));
             }
             if (!parsed.hasErrors()) {
-                walk(source, parsed, "", schema, set, faults);
+                readTable(source, parsed, "", schema, set, faults);
             }
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            faults.add(new Fault(source, 0, 0, "cannot be read as TOML: " + e)); // the parser gave up on it
+            faults.add(new Fault(source, 0, 0, "cannot be read as TOML: " + e)); // failures inside the parser
         }
         return new Read(Values.of(set), faults);
     }
 
-    private static String decoded(String source, byte[] bytes, List<Fault> faults) {
+    private static String decodeUtf8(String source, byte[] bytes, List<Fault> faults) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             String text = StandardCharsets.UTF_8
@@ -76,44 +80,44 @@
         }
     }
 
-    private static boolean deep(String source, String text, List<Fault> faults) {
+    private static boolean exceedsBracketDepth(String source, String text, List<Fault> faults) {
         int depth = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             depth += c == '[' || c == '{' ? 1 : (c == ']' || c == '}') && depth > 0 ? -1 : 0;
-            if (depth > DEEPEST) {
-                faults.add(new Fault(source, 0, 0, "more than " + DEEPEST + " brackets within each other"));
+            if (depth > MAX_BRACKET_DEPTH) {
+                faults.add(new Fault(source, 0, 0, "more than " + MAX_BRACKET_DEPTH + " brackets within each other"));
                 return true;
             }
         }
         return false;
     }
 
-    private static void walk(
+    private static void readTable(
             String source,
             TomlTable table,
-            String before,
+            String prefix,
             Schema schema,
             Map<String, Values.Value> set,
             List<Fault> faults) {
         for (String key : table.keySet()) {
-            List<String> one = List.of(key);
-            String path = before + key;
-            Object found = table.get(one);
-            TomlPosition at = table.inputPositionOf(one);
-            int line = at == null ? 0 : at.line();
-            int column = at == null ? 0 : at.column();
+            List<String> keyPath = List.of(key); // a key that contains a dot stays one key
+            String path = prefix + key;
+            Object found = table.get(keyPath);
+            TomlPosition position = table.inputPositionOf(keyPath);
+            int line = position == null ? 0 : position.line();
+            int column = position == null ? 0 : position.column();
             Item item = schema.item(path);
-            boolean known = schema.tables().containsKey(path) || item == null && near(schema, path);
-            if (found instanceof TomlTable && known) {
-                walk(source, (TomlTable) found, path + ".", schema, set, faults);
+            boolean isTable = schema.tables().containsKey(path) || item == null && hasTableBelow(schema, path);
+            if (found instanceof TomlTable && isTable) {
+                readTable(source, (TomlTable) found, path + ".", schema, set, faults);
             } else {
-                check(
+                readValue(
                         source + (line > 0 ? ":" + line : ""),
-                        new Fault(source, line, column, shown(found)),
+                        new Fault(source, line, column, describe(found)),
                         path,
                         item,
-                        written(found, item),
+                        asText(found, item),
                         schema,
                         set,
                         faults);
@@ -121,35 +125,40 @@
         }
     }
 
-    private static String shown(Object found) {
+    private static String describe(Object found) {
         return found instanceof TomlTable ? "a table" : found instanceof TomlArray ? "a list" : String.valueOf(found);
     }
 
-    /** What was found as a text; null where the item is a text and this is something else. */
-    private static String written(Object found, Item item) {
+    /** Returns the value that was found as a text, or null if the setting is a text or list and the value is not. */
+    private static String asText(Object found, Item item) {
         if (item == null || !item.kind().isText() || found instanceof String) {
-            return shown(found);
+            return describe(found);
         }
         if (item.kind() == Kind.NAMES && found instanceof TomlArray) {
-            List<Object> each = ((TomlArray) found).toList();
-            // A comma within a text would make two of it.
-            if (each.stream()
+            List<Object> elements = ((TomlArray) found).toList();
+            // A comma within an element would split it in two.
+            if (elements.stream()
                     .allMatch(e -> e instanceof String && !((String) e).contains(",") && !((String) e).isBlank())) {
-                return each.stream().map(String::valueOf).collect(Collectors.joining(","));
+                return elements.stream().map(String::valueOf).collect(Collectors.joining(","));
             }
         }
         return null;
     }
 
-    private static boolean near(Schema schema, String path) {
+    private static boolean hasTableBelow(Schema schema, String path) {
         return schema.tables().keySet().stream().anyMatch(t -> t.startsWith(path + "."));
     }
 
-    /** Reads single values from flags or variables: path and text, with where each was set. */
+    /**
+     * Reads single values from flags or variables.
+     *
+     * @param texts   value of each path
+     * @param origins where each path was set, for errors
+     */
     public static Read texts(Map<String, String> texts, Map<String, String> origins, Schema schema) {
         List<Fault> faults = new ArrayList<>();
         Map<String, Values.Value> set = new LinkedHashMap<>();
-        texts.forEach((path, text) -> check(
+        texts.forEach((path, text) -> readValue(
                 origins.get(path),
                 new Fault(origins.get(path), 0, 0, text),
                 path,
@@ -161,13 +170,13 @@
         return new Read(Values.of(set), faults);
     }
 
-    /** The variable of the environment that sets an item. */
+    /** Name of the environment variable that sets an item. */
     public static String variable(String prefix, String path) {
         return prefix + path.replace('.', '_').toUpperCase(Locale.ROOT);
     }
 
-    /** Takes a text for an item, or tells what is wrong with it; {@code found} holds what stood there and where. */
-    private static void check(
+    /** Adds an item's value, or an error; {@code found} holds the position and the text found there. */
+    private static void readValue(
             String origin,
             Fault found,
             String path,
@@ -178,17 +187,17 @@
             List<Fault> faults) {
         String what;
         if (item == null) {
-            String nearest = schema.nearest(path);
-            what = path + ": no such name" + (nearest == null ? "" : "; did you mean " + nearest + "?");
+            String closest = schema.closestPath(path);
+            what = path + ": no such name" + (closest == null ? "" : "; did you mean " + closest + "?");
         } else {
             Values.Value value = text == null ? null : item.value(text, origin, "");
-            if (value != null && value.value() >= item.least() && value.value() <= item.most()) {
+            if (value != null && value.value() >= item.min() && value.value() <= item.max()) {
                 set.put(path, value);
                 return;
             }
-            String shown = found.what();
-            String cut = shown.length() > 60 ? shown.substring(0, 60) + "..." : shown;
-            what = path + ": found " + (cut.isEmpty() ? "nothing" : cut) + ", allowed is " + item.allowed();
+            String foundText = found.what();
+            String shortened = foundText.length() > 60 ? foundText.substring(0, 60) + "..." : foundText;
+            what = path + ": found " + (shortened.isEmpty() ? "nothing" : shortened) + ", allowed is " + item.allowed();
         }
         faults.add(new Fault(found.source(), found.line(), found.column(), what));
     }
--- a/src/main/java/firstair/config/Schema.java
+++ b/src/main/java/firstair/config/Schema.java
@@ -5,100 +5,104 @@
 import java.util.List;
 import java.util.Map;
 
-/** What can be set: items by their paths, in the order in which they are told, and what their tables are about. */
+/** The settings that exist: items by path, in the order of the reference page, and descriptions of their tables. */
 public final class Schema {
-    private static final int FAR = 4; // letters by which a misspelt name differs at most
+    private static final int MAX_EDIT_DISTANCE = 4; // between a misspelt path and the one suggested for it
 
     private final Map<String, Item> items = new LinkedHashMap<>();
     private final Map<String, String> tables = new LinkedHashMap<>();
 
-    /** Adds a table; items that follow belong to it. */
-    public Schema table(String name, String about) {
-        tables.put(name, about);
+    /** Adds a table; items that are added next belong to it. */
+    public Schema table(String name, String description) {
+        tables.put(name, description);
         return this;
     }
 
-    /** Adds an item to the table added last. */
+    /** Adds an item to the table added last; see {@link Item} for the parameters. */
     public Schema item(
-            String name, Kind kind, String usual, double least, double most, boolean atReload, String meaning) {
-        List<String> all = new ArrayList<>(tables.keySet());
-        String path = all.get(all.size() - 1) + "." + name;
-        items.put(path, new Item(path, kind, usual, least, most, atReload, meaning));
+            String name, Kind kind, String usual, double min, double max, boolean atReload, String description) {
+        List<String> tableNames = new ArrayList<>(tables.keySet());
+        String path = tableNames.get(tableNames.size() - 1) + "." + name;
+        items.put(path, new Item(path, kind, usual, min, max, atReload, description));
         return this;
     }
 
-    /** All items. */
+    /** All items, in the order in which they were added. */
     public List<Item> items() {
         return List.copyOf(items.values());
     }
 
-    /** Tables by name, with what they are about. */
+    /** Descriptions of the tables, by name. */
     public Map<String, String> tables() {
         return tables;
     }
 
-    /** The item of a path, or null. */
+    /** Returns the item of a path, or null if there is none. */
     public Item item(String path) {
         return items.get(path);
     }
 
-    /** The known path that a misspelt one most likely stands for, or null if none is near. */
-    public String nearest(String path) {
-        String best = null;
-        int least = FAR + 1;
-        List<String> names = new ArrayList<>(items.keySet());
-        names.addAll(tables.keySet());
-        for (String known : names) {
-            int far = distance(path, known);
-            if (far < least) {
-                least = far;
-                best = known;
+    /** Returns the item or table with the smallest edit distance to a misspelt path, or null if none is close. */
+    public String closestPath(String path) {
+        String closest = null;
+        int smallest = MAX_EDIT_DISTANCE + 1;
+        List<String> paths = new ArrayList<>(items.keySet());
+        paths.addAll(tables.keySet());
+        for (String known : paths) {
+            int distance = editDistance(path, known);
+            if (distance < smallest) {
+                smallest = distance;
+                closest = known;
             }
         }
-        return best;
+        return closest;
     }
 
-    /** Letters to be added, dropped or changed between two words. */
-    private static int distance(String a, String b) {
+    /** Levenshtein distance of two texts. */
+    private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
                 int above = row[j];
-                int same = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                row[j] = Math.min(same, Math.min(above, row[j - 1]) + 1);
-                corner = above;
+                int substituted = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                row[j] = Math.min(substituted, Math.min(above, row[j - 1]) + 1);
+                diagonal = above;
             }
         }
         return row[b.length()];
     }
 
-    /** The page that tells of every item, in Markdown; {@code docs/configuration.md} is made by it. */
-    public String reference(String head) {
-        StringBuilder page = new StringBuilder(head);
-        tables.forEach((table, about) -> {
+    /**
+     * Renders the reference page of all items in Markdown, from which {@code docs/configuration.md} is generated.
+     *
+     * @param introduction text that the page begins with
+     */
+    public String referencePage(String introduction) {
+        StringBuilder page = new StringBuilder(introduction);
+        tables.forEach((table, description) -> {
             page.append("\n## [")
                     .append(table)
                     .append("]\n\n")
-                    .append(about)
+                    .append(description)
                     .append(".\n\n")
                     .append("| name | usual | allowed | at SIGHUP | meaning |\n| --- | --- | --- | --- | --- |\n");
             items.values().stream()
-                    .filter(i -> i.path().startsWith(table + "."))
-                    .forEach(i -> page.append("| `")
-                            .append(i.path().substring(table.length() + 1))
+                    .filter(item -> item.path().startsWith(table + "."))
+                    .forEach(item -> page.append("| `")
+                            .append(item.path().substring(table.length() + 1))
                             .append("` | ")
-                            .append(i.usual().isEmpty() ? "empty" : '`' + i.usual() + '`')
+                            .append(item.usual().isEmpty() ? "empty" : '`' + item.usual() + '`')
                             .append(" | ")
-                            .append(i.allowed())
+                            .append(item.allowed())
                             .append(" | ")
-                            .append(i.atReload() ? "taken over" : "waits for the next start")
+                            .append(item.atReload() ? "taken over" : "waits for the next start")
                             .append(" | ")
-                            .append(i.meaning())
+                            .append(item.description())
                             .append(" |\n"));
         });
         return page.toString();
--- a/src/main/java/firstair/config/Values.java
+++ b/src/main/java/firstair/config/Values.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Values that were set, by their paths; what nobody set is not here. */
+/** Values that were set, by path; items that keep their default are absent. */
 public final class Values {
     /** No value is set. */
     public static final Values NONE = new Values(Map.of());
 
     /**
-     * A value, in its kind's unit.
+     * A value of one item.
      *
-     * @param value    the number; of a text its letters, of a list of texts how many they are
-     * @param text     the text, or the texts with commas between them; empty for what is a number
-     * @param origin   where it was set
-     * @param overrode where it was set as well and did not count, empty if nowhere
+     * @param value            the number, in the unit of its kind; for a text its length, for a list its size
+     * @param text             the text, or the elements of a list separated by commas; empty for a number
+     * @param origin           where it was set
+     * @param overriddenOrigin where a value that this one overrides was set, or empty
      */
-    public record Value(double value, String text, String origin, String overrode) {}
+    public record Value(double value, String text, String origin, String overriddenOrigin) {}
 
     private final Map<String, Value> set;
 
@@ -30,52 +30,56 @@
         return set.isEmpty() ? NONE : new Values(new LinkedHashMap<>(set));
     }
 
-    /** These values, and where both set one, those of {@code first}. */
-    public Values under(Values first) {
-        Map<String, Value> all = new LinkedHashMap<>(set);
-        first.set.forEach((path, v) -> {
-            Value lost = set.get(path);
-            all.put(path, lost == null ? v : new Value(v.value(), v.text(), v.origin(), lost.origin()));
+    /** Merges two sets of values; where both set a path, the value of {@code overriding} applies. */
+    public Values under(Values overriding) {
+        Map<String, Value> merged = new LinkedHashMap<>(set);
+        overriding.set.forEach((path, value) -> {
+            Value overridden = set.get(path);
+            merged.put(
+                    path,
+                    overridden == null
+                            ? value
+                            : new Value(value.value(), value.text(), value.origin(), overridden.origin()));
         });
-        return of(all);
+        return of(merged);
     }
 
-    /** Whether nothing is set. */
+    /** Whether no value is set. */
     public boolean isEmpty() {
         return set.isEmpty();
     }
 
-    /** A value, or null where nobody set it. */
+    /** Returns the value of a path, or null if it was not set. */
     public Value value(String path) {
         return set.get(path);
     }
 
-    /** A number: what was set, or else {@code otherwise}. */
-    public double number(String path, double otherwise) {
-        Value v = set.get(path);
-        return v == null ? otherwise : v.value();
+    /** Returns the number of a path in the unit of its kind, or the default if it was not set. */
+    public double number(String path, double defaultValue) {
+        Value value = set.get(path);
+        return value == null ? defaultValue : value.value();
     }
 
-    /** Whether something is on: what was set, or else {@code otherwise}. */
-    public boolean flag(String path, boolean otherwise) {
-        Value v = set.get(path);
-        return v == null ? otherwise : v.value() != 0;
+    /** Returns the switch of a path, or the default if it was not set. */
+    public boolean flag(String path, boolean defaultValue) {
+        Value value = set.get(path);
+        return value == null ? defaultValue : value.value() != 0;
     }
 
-    /** A text: what was set, or else {@code otherwise}. */
-    public String text(String path, String otherwise) {
-        Value v = set.get(path);
-        return v == null ? otherwise : v.text();
+    /** Returns the text of a path, or the default if it was not set. */
+    public String text(String path, String defaultValue) {
+        Value value = set.get(path);
+        return value == null ? defaultValue : value.text();
     }
 
-    /** Texts of a list: what was set, or else none. */
+    /** Returns the elements of a list; an empty list if it was not set. */
     public List<String> names(String path) {
         return Kind.names(text(path, ""));
     }
 
-    /** A whole number: what was set, or else {@code otherwise}. */
-    public int whole(String path, int otherwise) {
-        Value v = set.get(path);
-        return v == null ? otherwise : (int) v.value();
+    /** Returns the number of a path without its fraction, or the default if it was not set. */
+    public int whole(String path, int defaultValue) {
+        Value value = set.get(path);
+        return value == null ? defaultValue : (int) value.value();
     }
 }
--- a/src/main/java/firstair/config/package-info.java
+++ b/src/main/java/firstair/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Configuration that is ours: a schema in code, from which files in TOML are read and checked, values are shown with
- * where they came from, and the reference page is made. Knows neither the relay nor its tools.
+ * Reads our own settings by a schema defined in code: parses and validates TOML files, variables and flags, records the
+ * origin of each value, and renders the reference page. Does not depend on the relay or the command line.
  */
 package firstair.config;
--- a/src/test/java/firstair/cli/CliTest.java
+++ b/src/test/java/firstair/cli/CliTest.java
@@ -23,20 +23,20 @@
 class CliTest {
     private final PrintStream out = System.out;
     private final PrintStream err = System.err;
-    private final ByteArrayOutputStream told = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream wrong = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream standardOutput = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream standardError = new ByteArrayOutputStream();
 
     @BeforeEach
-    void listen() {
-        // The log's handler keeps the stream that stands when it is made, with the first line that is logged: a test
-        // that is the first of its process would find its lines among those of the command.
+    void captureOutput() {
+        // The log handler is created with the first log line and keeps the stream of that moment. Without this,
+        // the first test of a process would find log lines in the output of the command.
         assertThat(Logger.getLogger("").getHandlers()).isNotEmpty();
-        System.setOut(new PrintStream(told, true, StandardCharsets.UTF_8));
-        System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
+        System.setOut(new PrintStream(standardOutput, true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(standardError, true, StandardCharsets.UTF_8));
     }
 
     @AfterEach
-    void leave() {
+    void restoreOutput() {
         System.setOut(out);
         System.setErr(err);
     }
@@ -56,10 +56,10 @@
             })
     void everyCommandHasHelp(String command) {
         assertThat(Cli.run((command + " --help").trim().split(" "))).isZero();
-        assertThat(told.toString(StandardCharsets.UTF_8))
+        assertThat(standardOutput.toString(StandardCharsets.UTF_8))
                 .contains("Usage: firstair")
                 .contains(command);
-        assertThat(wrong.size()).isZero();
+        assertThat(standardError.size()).isZero();
     }
 
     @ParameterizedTest
@@ -72,66 +72,68 @@
                 "fleet --seeds many",
                 "config"
             })
-    void whatCannotBeUsedIsStatusTwo(String line) {
-        assertThat(Cli.run(line.split(" "))).isEqualTo(2);
-        assertThat(wrong.size()).isPositive();
+    void aUsageErrorIsStatusTwo(String arguments) {
+        assertThat(Cli.run(arguments.split(" "))).isEqualTo(2);
+        assertThat(standardError.size()).isPositive();
     }
 
     @Test
-    void aConfigurationIsCheckedAndShownByItsFlags(@TempDir Path folder) throws Exception {
+    void checkAndShowReadTheFilesThatFlagsName(@TempDir Path folder) throws Exception {
         String[] flags = {"config", "check", "--config", "examples/config.json", "--state", folder.toString()};
         assertThat(Cli.run(flags)).isZero();
         flags[1] = "show";
         assertThat(Cli.run(flags)).isZero();
-        assertThat(told.toString(StandardCharsets.UTF_8))
+        assertThat(standardOutput.toString(StandardCharsets.UTF_8))
                 .contains(
                         "can be used",
                         "ROUTER_CONFIG: flag",
                         "limits.maxBody = 65536",
                         "limits.notices.dueMs = 300.0",
                         "fleet.peers = \"\"  # usual");
-        List<String> own = new ArrayList<>(List.of(flags));
-        own.addAll(List.of("--set", "fleet.name=f", "--set", "fleet.peers=a=x:1, b=x:2"));
-        assertThat(Cli.run(own.toArray(new String[0]))).isZero();
-        assertThat(told.toString(StandardCharsets.UTF_8))
+        List<String> withSettings = new ArrayList<>(List.of(flags));
+        withSettings.addAll(List.of("--set", "fleet.name=f", "--set", "fleet.peers=a=x:1, b=x:2"));
+        assertThat(Cli.run(withSettings.toArray(new String[0]))).isZero();
+        assertThat(standardOutput.toString(StandardCharsets.UTF_8))
                 .contains("fleet.name = \"f\"  # flag --set", "fleet.peers = \"a=x:1,b=x:2\"  # flag --set");
-        Path bad = folder.resolve("bad.json");
+        Path invalid = folder.resolve("bad.json");
         Files.writeString(
-                bad, Files.readString(Path.of("examples", "config.json")).replace("127.0.0.1:9000", "x"));
-        assertThat(Cli.run("config", "check", "--config", bad.toString(), "--state", folder.toString()))
+                invalid, Files.readString(Path.of("examples", "config.json")).replace("127.0.0.1:9000", "x"));
+        assertThat(Cli.run("config", "check", "--config", invalid.toString(), "--state", folder.toString()))
                 .isEqualTo(2);
-        assertThat(wrong.toString(StandardCharsets.UTF_8).lines())
+        assertThat(standardError.toString(StandardCharsets.UTF_8).lines())
                 .singleElement()
                 .asString()
                 .startsWith("firstair: config: field listen");
     }
 
     @Test
-    void versionAndCompletion() {
+    void versionAndCompletionArePrinted() {
         assertThat(Cli.run("--version")).isZero();
         assertThat(Cli.run("generate-completion")).isZero();
-        assertThat(told.toString(StandardCharsets.UTF_8)).contains("firstair ").contains("_complete_firstair");
+        assertThat(standardOutput.toString(StandardCharsets.UTF_8))
+                .contains("firstair ")
+                .contains("_complete_firstair");
     }
 
-    private int migrate(Object... words) {
-        told.reset();
-        wrong.reset();
+    private int migrate(Object... arguments) {
+        standardOutput.reset();
+        standardError.reset();
         return Cli.run(
-                ("config migrate " + Stream.of(words).map(Object::toString).collect(joining(" "))).split(" "));
+                ("config migrate " + Stream.of(arguments).map(Object::toString).collect(joining(" "))).split(" "));
     }
 
     @Test
-    void aMigratedConfigurationSaysWhatTheOldOneLeftOutAndNothingIsOverwritten(@TempDir Path folder) throws Exception {
+    void migrationWritesMissingFieldsAndOverwritesNothingUnlessForced(@TempDir Path folder) throws Exception {
         String text = Files.readString(Path.of("examples", "config.json")).replaceFirst("\\{", "{\"ours\": 7,");
         Path old = Files.writeString(folder.resolve("old.json"), text);
         Path out = folder.resolve("new.json");
         Path twice = folder.resolve("twice.json");
         assertThat(migrate(old, "--dry-run", "--out", out)).isZero();
-        assertThat(told.toString()).contains("\"loadReport\"", "# written:");
+        assertThat(standardOutput.toString()).contains("\"loadReport\"", "# written:");
         assertThat(out).doesNotExist();
         assertThat(migrate(old, "--out", out, "--reports", "none", "--weights", "rough", "--drain-grace", 9))
                 .isZero();
-        assertThat(told.toString())
+        assertThat(standardOutput.toString())
                 .contains(
                         "loadReport.how = none",
                         "weightKind = rough",
@@ -140,7 +142,7 @@
                         "ours: not known");
         assertThat(Files.readString(out)).contains("\"how\": \"none\"", "\"ours\": 7", "\"lateValue\": 0.1");
         assertThat(migrate(out, "--out", twice)).isZero();
-        assertThat(told.toString()).doesNotContain("written:");
+        assertThat(standardOutput.toString()).doesNotContain("written:");
         assertThat(twice).hasSameTextualContentAs(out);
         assertThat(migrate(old, "--out", twice) + migrate(old, "--out", old, "--force"))
                 .isEqualTo(4);
@@ -158,13 +160,13 @@
         "'{\"settings\":{\"classes\":[7]}}',classes.0: not an object",
         ",cannot be read"
     })
-    void whatCannotBeMigratedIsOneLine(String text, String fault, @TempDir Path folder) throws Exception {
+    void aMigrationThatFailsReportsOneLine(String text, String error, @TempDir Path folder) throws Exception {
         Path old = text == null ? folder : Files.writeString(folder.resolve("old.json"), text);
         assertThat(migrate(old, "--out", folder.resolve("new.json"))).isEqualTo(2);
-        assertThat(wrong.toString().lines()).singleElement().asString().contains(fault);
+        assertThat(standardError.toString().lines()).singleElement().asString().contains(error);
         assertThat(migrate(
                         "examples/config.json", "--out", folder.resolve("none").resolve("new.json")))
                 .isEqualTo(2);
-        assertThat(wrong.toString().lines()).singleElement().asString().contains("cannot be written");
+        assertThat(standardError.toString().lines()).singleElement().asString().contains("cannot be written");
     }
 }
--- a/src/test/java/firstair/cli/ReferenceTest.java
+++ b/src/test/java/firstair/cli/ReferenceTest.java
@@ -15,45 +15,47 @@
 
 class ReferenceTest {
     @Test
-    void thePageIsWhatTheSchemaSays() throws Exception {
-        assertThat(Files.readString(Path.of("docs", "configuration.md"))).isEqualTo(ConfigCommand.page());
+    void theReferencePageMatchesTheSchema() throws Exception {
+        assertThat(Files.readString(Path.of("docs", "configuration.md"))).isEqualTo(ConfigCommand.referencePage());
     }
 
-    /** On a heap that is large enough for them: {@code LimitsTest} has a small one. */
+    /** On a heap large enough for the defaults; {@code LimitsTest} covers a small one. */
     @Test
-    void usualValuesAreWhatHoldsWithoutThem() {
-        Map<String, String> usual = new HashMap<>();
+    void setToTheirDefaultsTheSettingsChangeNoLimit() {
+        Map<String, String> defaults = new HashMap<>();
         Map<String, String> origins = new HashMap<>();
-        for (Item i : TunableSettings.schema().items()) {
-            usual.put(i.path(), i.usual());
-            origins.put(i.path(), "test");
+        for (Item item : TunableSettings.schema().items()) {
+            defaults.put(item.path(), item.usual());
+            origins.put(item.path(), "test");
         }
-        Values all = Read.texts(usual, origins, TunableSettings.schema()).values();
-        Limits l = Limits.of(0, 0, 256_000_000, 0, 0, 0);
-        assertThat(l.tuned(all)).isEqualTo(l);
-        assertThat(l.tuned(Values.NONE)).isSameAs(l);
+        Values values = Read.texts(defaults, origins, TunableSettings.schema()).values();
+        Limits limits = Limits.of(0, 0, 256_000_000, 0, 0, 0);
+        assertThat(limits.tuned(values)).isEqualTo(limits);
+        assertThat(limits.tuned(Values.NONE)).isSameAs(limits);
     }
 
     @Test
-    void everyItemReachesALimit() {
-        Limits l = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-        for (Item i : TunableSettings.schema().items()) {
-            if (i.path().startsWith("fleet.")) {
-                continue; // FleetConfigTest has these
+    void everyItemChangesALimit() {
+        Limits limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
+        for (Item item : TunableSettings.schema().items()) {
+            if (item.path().startsWith("fleet.")) {
+                continue; // FleetConfigTest covers these
             }
-            String other = i.kind().write(i.kind().read(i.usual()) == i.most() ? i.least() : i.most());
-            Values one = Read.texts(Map.of(i.path(), other), Map.of(i.path(), "test"), TunableSettings.schema())
+            String changed =
+                    item.kind().format(item.kind().parse(item.usual()) == item.max() ? item.min() : item.max());
+            Values single = Read.texts(
+                            Map.of(item.path(), changed), Map.of(item.path(), "test"), TunableSettings.schema())
                     .values();
-            assertThat(l.tuned(one)).as(i.path()).isNotEqualTo(l);
+            assertThat(limits.tuned(single)).as(item.path()).isNotEqualTo(limits);
         }
     }
 
     @Test
-    void theFileUnderDeployCanBeUsedAndChangesNothing() throws Exception {
+    void theFileUnderDeployIsValidAndHoldsTheDefaults() throws Exception {
         Path file = Path.of("deploy", "settings.toml");
-        Read r = Read.toml("settings.toml", Files.readAllBytes(file), TunableSettings.schema());
-        assertThat(r.faults()).isEmpty();
-        Limits l = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-        assertThat(l.tuned(r.values())).isEqualTo(l);
+        Read result = Read.toml("settings.toml", Files.readAllBytes(file), TunableSettings.schema());
+        assertThat(result.faults()).isEmpty();
+        Limits limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
+        assertThat(limits.tuned(result.values())).isEqualTo(limits);
     }
 }
--- a/src/test/java/firstair/config/ReadTest.java
+++ b/src/test/java/firstair/config/ReadTest.java
@@ -35,20 +35,20 @@
     }
 
     @Test
-    void everyKindIsReadInItsUnit() {
-        Read r = read("\uFEFF[a]\r\nwait = \"1.5s\"\r\nroom = \"2KiB\"\r\n"
+    void everyKindIsParsedIntoItsUnit() {
+        Read result = read("\uFEFF[a]\r\nwait = \"1.5s\"\r\nroom = \"2KiB\"\r\n"
                 + "[b.c]\r\nmany = 7\r\npart = \"12.5%\"\r\non = false\r\n");
-        assertThat(r.faults()).isEmpty();
-        assertThat(r.values().number("a.wait", 0)).isEqualTo(1500);
-        assertThat(r.values().whole("a.room", 0)).isEqualTo(2048);
-        assertThat(r.values().whole("b.c.many", 0)).isEqualTo(7);
-        assertThat(r.values().number("b.c.part", 0)).isEqualTo(0.125);
-        assertThat(r.values().number("b.c.on", 9)).isZero();
-        assertThat(r.values().value("a.wait").origin()).isEqualTo("f:2");
+        assertThat(result.faults()).isEmpty();
+        assertThat(result.values().number("a.wait", 0)).isEqualTo(1500);
+        assertThat(result.values().whole("a.room", 0)).isEqualTo(2048);
+        assertThat(result.values().whole("b.c.many", 0)).isEqualTo(7);
+        assertThat(result.values().number("b.c.part", 0)).isEqualTo(0.125);
+        assertThat(result.values().number("b.c.on", 9)).isZero();
+        assertThat(result.values().value("a.wait").origin()).isEqualTo("f:2");
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithTheirPlaces() {
+    void allErrorsAreReportedAtOnceWithTheirPositions() {
         assertThat(faults("[a]\nwiat = \"1s\"\nroom = \"2MB\"\n[b.c]\nmany = 0\non = 1\npart = 3\n"))
                 .containsExactly(
                         "f:2:1: a.wiat: no such name; did you mean a.wait?",
@@ -60,14 +60,14 @@
     }
 
     @Test
-    void textsAreKeptAsTheyAreAndListsMayBeWrittenInTwoWays() {
-        Values v =
+    void textsAreStrippedAndListsHaveTwoForms() {
+        Values values =
                 read("[d]\nword = \" 5 # x \"\nsome = [\"a=1:2\",\n  \" b\"]\n").values();
-        assertThat(v.text("d.word", "")).isEqualTo("5 # x");
-        assertThat(v.names("d.some")).containsExactly("a=1:2", "b");
-        assertThat(v.value("d.some").origin()).isEqualTo("f:3");
+        assertThat(values.text("d.word", "")).isEqualTo("5 # x");
+        assertThat(values.names("d.some")).containsExactly("a=1:2", "b");
+        assertThat(values.value("d.some").origin()).isEqualTo("f:3");
         assertThat(read("[d]\nsome = 'a , b'\n").values().names("d.some")).containsExactly("a", "b");
-        assertThat(v.under(Read.texts(Map.of("d.some", "c"), Map.of("d.some", "flag"), SCHEMA)
+        assertThat(values.under(Read.texts(Map.of("d.some", "c"), Map.of("d.some", "flag"), SCHEMA)
                                 .values())
                         .value("d.some"))
                 .isEqualTo(new Values.Value(1, "c", "flag", "f:3"));
@@ -76,30 +76,30 @@
     }
 
     @Test
-    void whatIsNoTextOrNoListIsToldWithItsPlace() {
-        String some = ", allowed is a list of texts, 3 at most";
+    void aValueOfTheWrongTypeIsReportedWithItsPosition() {
+        String allowed = ", allowed is a list of texts, 3 at most";
         assertThat(faults("[d]\nword = 5\nsome = [1]\n"))
                 .containsExactly(
                         "f:2:1: d.word: found 5, allowed is a text, 8 letters at most",
-                        "f:3:1: d.some: found a list" + some);
+                        "f:3:1: d.some: found a list" + allowed);
         assertThat(faults("[d]\nword = \"a\\nb\"\nsome = [\"a,b\"]\n"))
                 .containsExactly(
                         "f:2:1: d.word: found a b, allowed is a text, 8 letters at most",
-                        "f:3:1: d.some: found a list" + some);
-        for (String bad : List.of("[]", "'a,,b'", "'a,'", "[\"\"]", "'a,b,c,d'", "true", "{}")) {
-            assertThat(faults("[d]\nsome = " + bad + "\n"))
-                    .as(bad)
+                        "f:3:1: d.some: found a list" + allowed);
+        for (String invalid : List.of("[]", "'a,,b'", "'a,'", "[\"\"]", "'a,b,c,d'", "true", "{}")) {
+            assertThat(faults("[d]\nsome = " + invalid + "\n"))
+                    .as(invalid)
                     .singleElement()
                     .asString()
                     .startsWith("f:2:1: d.some: found ")
-                    .endsWith(some);
+                    .endsWith(allowed);
         }
         assertThat(faults("[d.word]\nx = 1\n")).singleElement().asString().contains("d.word: found a table");
         assertThat(faults("[d]\nword = '123456789'\n")).hasSize(1);
     }
 
     @Test
-    void whatIsNoTomlOrNoTextHasAPlace() {
+    void invalidTomlAndInvalidUtf8AreReportedWithTheirPosition() {
         assertThat(faults("[a]\nwait = \"1s\"\n[a]\nroom = \"1B\"\n"))
                 .singleElement()
                 .asString()
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void whatAFileSaysForgesNoLineOfOurs() {
+    void aKeyWithALineBreakCannotForgeALogLine() {
         assertThat(faults("\"x\\n14:00 INFO all is well\" = 1\n"))
                 .singleElement()
                 .asString()
@@ -127,19 +127,19 @@
     }
 
     @Test
-    void oneSourceGoesBeforeTheOtherAndBothAreTold() {
+    void oneSourceOverridesTheOtherAndBothOriginsAreKnown() {
         Values file = read("[a]\nwait = \"1s\"\nroom = \"1B\"\n").values();
         Values flags = Read.texts(Map.of("a.wait", "2s"), Map.of("a.wait", "flag"), SCHEMA)
                 .values();
-        Values all = file.under(flags);
-        assertThat(all.number("a.wait", 0)).isEqualTo(2000);
-        assertThat(all.value("a.wait").overrode()).isEqualTo("f:2");
-        assertThat(all.whole("a.room", 0)).isEqualTo(1);
+        Values merged = file.under(flags);
+        assertThat(merged.number("a.wait", 0)).isEqualTo(2000);
+        assertThat(merged.value("a.wait").overriddenOrigin()).isEqualTo("f:2");
+        assertThat(merged.whole("a.room", 0)).isEqualTo(1);
     }
 
     @Provide
-    Arbitrary<String> nearlyRight() {
-        Arbitrary<String> piece = Arbitraries.of(
+    Arbitrary<String> almostValidFiles() {
+        Arbitrary<String> fragments = Arbitraries.of(
                 "[a]",
                 "[b.c]",
                 "[[a]]",
@@ -175,27 +175,27 @@
                 "nan",
                 "0x",
                 "_");
-        return piece.list().ofMaxSize(30).map(l -> String.join("", l));
+        return fragments.list().ofMaxSize(30).map(parts -> String.join("", parts));
     }
 
     @Property(tries = 2000)
-    void anyNearlyRightFileEndsInValuesOrInPlacedFaults(@ForAll("nearlyRight") String text) {
-        Read r = read(text);
-        for (Fault f : r.faults()) {
-            assertThat(f.toString()).startsWith("f").doesNotContain("\n");
+    void anyAlmostValidFileGivesValuesOrErrorsOfOneLine(@ForAll("almostValidFiles") String text) {
+        Read result = read(text);
+        for (Fault fault : result.faults()) {
+            assertThat(fault.toString()).startsWith("f").doesNotContain("\n");
         }
     }
 
     @Property(tries = 2000)
-    void anyBytesEndInValuesOrFaults(@ForAll byte[] bytes) {
+    void anyBytesGiveValuesOrErrors(@ForAll byte[] bytes) {
         assertThat(Read.toml("f", bytes, SCHEMA)).isNotNull();
     }
 
     @Property
-    void whatIsWrittenIsReadAgain(@ForAll Kind kind, @ForAll("amounts") int n) {
+    void aFormattedValueParsesToItself(@ForAll Kind kind, @ForAll("amounts") int amount) {
         Assume.that(!kind.isText());
-        double value = kind == Kind.FLAG ? n % 2 : kind == Kind.SHARE ? n % 101 / 100.0 : n;
-        assertThat(kind.read(kind.write(value))).isCloseTo(value, org.assertj.core.data.Offset.offset(1e-6));
+        double value = kind == Kind.FLAG ? amount % 2 : kind == Kind.SHARE ? amount % 101 / 100.0 : amount;
+        assertThat(kind.parse(kind.format(value))).isCloseTo(value, org.assertj.core.data.Offset.offset(1e-6));
     }
 
     @Provide
