--- a/src/test/java/firstair/relay/faults/ClockStepTest.java
+++ b/src/test/java/firstair/relay/faults/ClockStepTest.java
@@ -7,84 +7,84 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wall clock is stepped by seconds or an hour; deadlines and windows are spans of real time (rows C1 to C5). */
+/** Deadlines and windows are unaffected by steps of the wall clock by seconds or an hour (rows C1 to C5). */
 class ClockStepTest extends FaultTest {
-    private static final double DOWN_MS = 600; // a restart comes so long behind the kill
-    private static final double NOTICE_MS = 350; // a notice is in time so long behind its message's time
+    private static final double DOWN_MS = 600; // from the kill to the restart
+    private static final double NOTICE_MS = 350; // a notice is in time this long after its message's deadline
 
     private Preload preload;
 
     @BeforeEach
     void start() throws Exception {
-        preload = new Preload(stage.node, folder);
-        stage.node.start();
+        preload = new Preload(fixture.node, folder);
+        fixture.node.start();
     }
 
-    private void restart(long step) throws Exception {
-        stage.node.kill();
-        double killed = stage.now();
-        preload.step(step);
-        stage.until(killed + DOWN_MS);
-        stage.node.start();
+    private void restartWithStep(long seconds) throws Exception {
+        fixture.node.kill();
+        double killedAt = fixture.now();
+        preload.step(seconds);
+        fixture.sleepUntil(killedAt + DOWN_MS);
+        fixture.node.start();
     }
 
-    /** It has never run: it goes on being called, and is handed back in the last three tenths of its time. */
-    private void endsInTime(String id, double taken, double timeoutMs) throws Exception {
-        Stage.Notice n = stage.notice(id, taken + timeoutMs + 2000);
-        assertThat(n.outcome()).isEqualTo("handed_back");
-        assertThat(n.atMs() - taken).isBetween(0.7 * timeoutMs, timeoutMs + NOTICE_MS);
-        assertThat(stage.callsOf(id))
-                .allSatisfy(c -> assertThat(c.atMs() - taken).isLessThan(timeoutMs));
+    /** A message that never ran is called until it is handed back, in the last three tenths of its time. */
+    private void assertHandedBackInTime(String id, double submittedAt, double timeoutMs) throws Exception {
+        RelayFixture.Notice notice = fixture.awaitNotice(id, submittedAt + timeoutMs + 2000);
+        assertThat(notice.outcome()).isEqualTo("handed_back");
+        assertThat(notice.atMs() - submittedAt).isBetween(0.7 * timeoutMs, timeoutMs + NOTICE_MS);
+        assertThat(fixture.callsOf(id))
+                .allSatisfy(call -> assertThat(call.atMs() - submittedAt).isLessThan(timeoutMs));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 3600, -5, -3600})
-    void aStepWhileItIsDownMovesNoDeadline(long step) throws Exception {
-        stage.behaviour = r -> r.answer(503);
-        double taken = stage.take("m1", "keyed", 5000);
-        stage.until(taken + 700);
-        restart(step);
-        endsInTime("m1", taken, 5000);
+    void aStepWhileTheRelayIsDownMovesNoDeadline(long seconds) throws Exception {
+        fixture.behaviour = r -> r.answer(503);
+        double submittedAt = fixture.submitAccepted("m1", "keyed", 5000);
+        fixture.sleepUntil(submittedAt + 700);
+        restartWithStep(seconds);
+        assertHandedBackInTime("m1", submittedAt, 5000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {3600, -3600})
-    void aStepWhileItRunsMovesNoDeadline(long step) throws Exception {
-        stage.behaviour = r -> r.answer(503);
-        double taken = stage.take("m1", "keyed", 3000);
-        stage.until(taken + 500);
-        preload.step(step);
-        endsInTime("m1", taken, 3000);
+    void aStepWhileTheRelayRunsMovesNoDeadline(long seconds) throws Exception {
+        fixture.behaviour = r -> r.answer(503);
+        double submittedAt = fixture.submitAccepted("m1", "keyed", 3000);
+        fixture.sleepUntil(submittedAt + 500);
+        preload.step(seconds);
+        assertHandedBackInTime("m1", submittedAt, 3000);
     }
 
     @Test
     void twoRestartsWithStepsOfBothSignsMoveNoDeadline() throws Exception {
-        stage.behaviour = r -> r.answer(503);
-        double taken = stage.take("m1", "keyed", 6000);
-        stage.until(taken + 500);
-        restart(3600);
-        restart(-3600);
-        endsInTime("m1", taken, 6000);
+        fixture.behaviour = r -> r.answer(503);
+        double submittedAt = fixture.submitAccepted("m1", "keyed", 6000);
+        fixture.sleepUntil(submittedAt + 500);
+        restartWithStep(3600);
+        restartWithStep(-3600);
+        assertHandedBackInTime("m1", submittedAt, 6000);
     }
 
-    /** What may have run is repeated inside its window, which runs on while no process does. */
+    /** A message that may have run is repeated only inside its window, which includes the relay's downtime. */
     @ParameterizedTest
     @ValueSource(longs = {0, 3600, -3600})
-    void aWindowRunsOnOverARestart(long step) throws Exception {
+    void aWindowIncludesTheTimeOfARestart(long seconds) throws Exception {
         double window = 4000;
-        stage.node.kill();
-        stage.node.adjust(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
-        stage.node.start();
-        stage.behaviour = r -> {};
-        double taken = stage.take("m1", "keyed", 20_000);
-        stage.called("m1", 1, taken + 1000);
-        double first = stage.callsOf("m1").get(0).atMs();
-        stage.behaviour = r -> r.answer(503);
-        restart(step);
-        Stage.Notice n = stage.notice("m1", first + window + 2000);
-        assertThat(n.outcome()).isEqualTo("given_up");
-        assertThat(stage.callsOf("m1")).hasSizeGreaterThan(1).allSatisfy(c -> assertThat(c.atMs() - first)
+        fixture.node.kill();
+        fixture.node.adjust(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
+        fixture.node.start();
+        fixture.behaviour = r -> {};
+        double submittedAt = fixture.submitAccepted("m1", "keyed", 20_000);
+        fixture.awaitCalls("m1", 1, submittedAt + 1000);
+        double firstCallAt = fixture.callsOf("m1").get(0).atMs();
+        fixture.behaviour = r -> r.answer(503);
+        restartWithStep(seconds);
+        RelayFixture.Notice notice = fixture.awaitNotice("m1", firstCallAt + window + 2000);
+        assertThat(notice.outcome()).isEqualTo("given_up");
+        assertThat(fixture.callsOf("m1")).hasSizeGreaterThan(1).allSatisfy(call -> assertThat(call.atMs() - firstCallAt)
                 .isLessThan(window));
-        assertThat(n.atMs() - first).isLessThan(window + NOTICE_MS);
+        assertThat(notice.atMs() - firstCallAt).isLessThan(window + NOTICE_MS);
     }
 }
--- a/src/test/java/firstair/relay/faults/FaultTest.java
+++ b/src/test/java/firstair/relay/faults/FaultTest.java
@@ -6,26 +6,26 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What tests of faults share: a relay as a process, beside one partner and the platform, in a folder of its own. */
+/** Base of the fault tests: a relay in its own process and folder, one endpoint and the platform. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class FaultTest {
     @TempDir
     Path folder;
 
-    Stage stage;
+    RelayFixture fixture;
 
     @BeforeEach
-    void openStage() throws Exception {
-        stage = new Stage(folder);
+    void openFixture() throws Exception {
+        fixture = new RelayFixture(folder);
     }
 
     @AfterEach
-    void closeStage() throws Exception {
-        stage.close();
+    void closeFixture() throws Exception {
+        fixture.close();
     }
 
-    /** The partner as rules of {@link Preload} name it. */
-    String partnerPort() {
-        return ":" + stage.partner.address().getPort();
+    /** Matches the endpoint's address in a rule of {@link Preload}. */
+    String endpointPort() {
+        return ":" + fixture.endpoint.address().getPort();
     }
 }
--- a/src/test/java/firstair/relay/faults/HangupAtStartTest.java
+++ b/src/test/java/firstair/relay/faults/HangupAtStartTest.java
@@ -9,25 +9,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A new configuration that crosses a start ends no process (rows S11, D1). */
+/** A SIGHUP that arrives while a relay starts does not terminate it (rows S11, D1). */
 class HangupAtStartTest extends FaultTest {
     @ParameterizedTest
     @ValueSource(longs = {20, 50, 100, 150, 200, 300, 400})
-    void aSignalInTheFirstMomentsEndsNothing(long afterMs) throws Exception {
-        double launched = stage.now();
-        stage.node.launch();
-        stage.until(launched + afterMs);
-        stage.node.signalHangUp();
-        stage.node.line("ready at");
-        assertThat(stage.node.ended(50)).isFalse();
+    void aSignalDuringTheStartDoesNotEndTheRelay(long afterMs) throws Exception {
+        double launchedAt = fixture.now();
+        fixture.node.launch();
+        fixture.sleepUntil(launchedAt + afterMs);
+        fixture.node.signalHangUp();
+        fixture.node.line("ready at");
+        assertThat(fixture.node.ended(50)).isFalse();
     }
 
-    /** The operators' own line covers the moments before the script as well. */
+    /** The command in deploy/balancer.toml covers the time before the script runs as well. */
     @Test
-    void theDeploymentsLineIgnoresTheSignalBeforeAnythingElse() throws Exception {
-        List<String> run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = "))
+    void theDeploymentIgnoresTheSignalBeforeItRunsTheScript() throws Exception {
+        List<String> runLines = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                .filter(line -> line.startsWith("run = "))
                 .toList();
-        assertThat(run).singleElement().asString().startsWith("run = \"trap '' HUP; exec sh deploy/run.sh ");
+        assertThat(runLines).singleElement().asString().startsWith("run = \"trap '' HUP; exec sh deploy/run.sh ");
     }
 }
--- a/src/test/java/firstair/relay/faults/ListenerCloseTest.java
+++ b/src/test/java/firstair/relay/faults/ListenerCloseTest.java
@@ -13,20 +13,20 @@
 import org.junit.jupiter.api.RepeatedTest;
 
 /**
- * Rows R4 and R5. A relay that is told to end accepts what waits, finds nothing more, and closes its listener. The
- * system goes on completing connections between that last look and the close, and resets them with the close: their
- * clients have connected, have written a request, and get no answer. The gap is a few microseconds long, but a thread
- * that is put aside in it stays there for milliseconds.
+ * Rows R4 and R5. On SIGTERM a relay accepts the waiting connections until there are no more, then closes its listener.
+ * The kernel completes connections between the last accept and the close, and resets them at the close: their clients
+ * have connected, have written a request, and get no answer. The gap is a few microseconds long, but lasts milliseconds
+ * if the thread is preempted in it.
  *
- * <p>What showed it: clients that connect for each request lost 17 of them in 24 ends on a machine with eight cores,
- * 470 to 495 ms behind SIGTERM, in two bursts and two single ones, and none elsewhere. Here the close of the listener
- * takes {@value #GAP_MS} ms, so that the gap is there in each end.
+ * <p>On a machine with eight cores, clients that connect for each request lost 17 requests in 24 stops, all 470 to
+ * 495 ms after SIGTERM, in two bursts and two single ones. Here closing the listener takes {@value #GAP_MS} ms, so that
+ * every stop has the gap.
  */
 class ListenerCloseTest extends FaultTest {
     private static final int GAP_MS = 60;
-    private static final int CLIENTS_MS = 900; // from before the signal until long behind the close
-    private static final int EVERY_MS = 4; // a client comes, whatever becomes of those before it
-    private static final int ANSWER_MS = 400;
+    private static final int CLIENTS_MS = 900; // from the signal until long after the close
+    private static final int INTERVAL_MS = 4; // between the starts of two clients
+    private static final int ANSWER_TIMEOUT_MS = 400;
     private static final byte[] REQUEST =
             "GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -34,16 +34,16 @@
     private final List<String> unanswered = new CopyOnWriteArrayList<>();
 
     @RepeatedTest(3)
-    void noConnectionIsResetThoughTheListenerTakesLongToClose() throws Exception {
-        Preload preload = new Preload(stage.node, folder);
-        stage.node.start();
+    void noConnectionIsResetWhenTheListenerClosesSlowly() throws Exception {
+        Preload preload = new Preload(fixture.node, folder);
+        fixture.node.start();
         preload.rules(rule("listener_close", 0, 1, -GAP_MS, ""));
-        double told = stage.now();
-        stage.node.terminate();
+        double terminatedAt = fixture.now();
+        fixture.node.terminate();
         List<Thread> clients = new ArrayList<>();
-        for (int ms = 0; ms < CLIENTS_MS; ms += EVERY_MS) {
-            stage.until(told + ms);
-            Thread client = new Thread(this::connectAndAsk);
+        for (int ms = 0; ms < CLIENTS_MS; ms += INTERVAL_MS) {
+            fixture.sleepUntil(terminatedAt + ms);
+            Thread client = new Thread(this::connectAndRequest);
             client.start();
             clients.add(client);
         }
@@ -51,28 +51,28 @@
             client.join();
         }
         assertThat(answered).hasPositiveValue();
-        assertThat(unanswered).as("told to end at %.0f ms", told).isEmpty();
+        assertThat(unanswered).as("SIGTERM at %.0f ms", terminatedAt).isEmpty();
     }
 
-    private void connectAndAsk() {
-        try (Socket s = new Socket()) {
-            s.connect(stage.node.address(), ANSWER_MS);
-            s.setSoTimeout(ANSWER_MS);
-            double connected = stage.now();
-            if (isAnswered(s)) {
+    private void connectAndRequest() {
+        try (Socket socket = new Socket()) {
+            socket.connect(fixture.node.address(), ANSWER_TIMEOUT_MS);
+            socket.setSoTimeout(ANSWER_TIMEOUT_MS);
+            double connectedAt = fixture.now();
+            if (isAnswered(socket)) {
                 answered.incrementAndGet();
             } else {
-                unanswered.add(String.format("port %d, connected at %.0f ms", s.getLocalPort(), connected));
+                unanswered.add(String.format("port %d, connected at %.0f ms", socket.getLocalPort(), connectedAt));
             }
         } catch (IOException e) {
-            // refused: it goes to another relay
+            // refused: a real client connects to another relay
         }
     }
 
-    private static boolean isAnswered(Socket s) {
+    private static boolean isAnswered(Socket socket) {
         try {
-            s.getOutputStream().write(REQUEST);
-            return s.getInputStream().read() >= 0;
+            socket.getOutputStream().write(REQUEST);
+            return socket.getInputStream().read() >= 0;
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/firstair/relay/faults/Preload.java
+++ b/src/test/java/firstair/relay/faults/Preload.java
@@ -10,11 +10,11 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * Failing system calls and a stepped wall clock in a relay's own process, by the library of {@code src/test/native},
- * which is built with gcc when the first test wants it.
+ * Injects failing system calls and steps of the wall clock into a relay's process, with a preloaded library. Its source
+ * is in {@code src/test/native}; the first test that uses it builds it with gcc.
  */
 public final class Preload {
-    // Errors of Linux, by their numbers there.
+    // Error numbers of Linux.
     static final int EINTR = 4;
     static final int EIO = 5;
     static final int ENFILE = 23;
@@ -26,30 +26,34 @@
     static final int ENOBUFS = 105;
     static final int ETIMEDOUT = 110;
     static final int EHOSTUNREACH = 113;
-    /** A read or write moves less than it could. */
+    /** In place of an error number: a read or write transfers fewer bytes than requested. */
     static final int SHORT = 0;
-    /** As often as it is called. */
+    /** In place of a count: every call. */
     static final int ALWAYS = 1_000_000_000;
 
     private static Path library;
 
-    private final Path rules;
-    private final Path step;
+    private final Path rulesFile;
+    private final Path stepFile;
 
-    /** Loads the library into the node's process from its next start on; {@code folder} takes what controls it. */
+    /**
+     * Loads the library into the node's process from its next start on.
+     *
+     * @param folder for the files that control the library
+     */
     public Preload(Node node, Path folder) throws Exception {
-        rules = folder.resolve("rules");
-        step = folder.resolve("step");
+        rulesFile = folder.resolve("rules");
+        stepFile = folder.resolve("step");
         node.environment("LD_PRELOAD", library().toString());
-        node.environment("FAULT_RULES", rules.toString());
-        node.environment("WALL_STEP", step.toString());
+        node.environment("FAULT_RULES", rulesFile.toString());
+        node.environment("WALL_STEP", stepFile.toString());
     }
 
     private static synchronized Path library() throws Exception {
         if (library == null) {
             Path folder = Path.of("target", "native").toAbsolutePath();
             Files.createDirectories(folder);
-            Path made = Files.createTempFile(folder, "faults", ".so"); // tests of other virtual machines make their own
+            Path built = Files.createTempFile(folder, "faults", ".so"); // one for each virtual machine that runs tests
             Process gcc = new ProcessBuilder(
                             "gcc",
                             "-shared",
@@ -57,32 +61,40 @@
                             "-O2",
                             "-Wall",
                             "-o",
-                            made.toString(),
+                            built.toString(),
                             Path.of("src", "test", "native", "faults.c").toString(),
                             "-ldl",
                             "-lpthread")
                     .redirectErrorStream(true)
                     .start();
-            String said = new String(gcc.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertThat(gcc.waitFor()).as(said).isZero();
-            library = made;
+            String output = new String(gcc.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertThat(gcc.waitFor()).as(output).isZero();
+            library = built;
         }
         return library;
     }
 
-    /** One rule: the calls of a name to a part of an address or path fail, behind {@code skip} that go through. */
+    /**
+     * Formats a rule.
+     *
+     * @param call  name of the system call, as {@code faults.c} lists them
+     * @param skip  number of matching calls that succeed first
+     * @param count number of calls after those that fail
+     * @param error error number, {@link #SHORT}, or a delay in milliseconds as a negative number
+     * @param part  part of the address or path that the call has to contain; empty for all calls
+     */
     static String rule(String call, int skip, int count, int error, String part) {
         return call + " " + skip + " " + count + " " + error + " " + part;
     }
 
-    /** From now on these rules hold and no others; calls are counted anew. */
+    /** Replaces all rules; the counts of calls start again. */
     void rules(String... lines) throws IOException {
-        replace(rules, String.join("\n", lines) + "\n");
+        replace(rulesFile, String.join("\n", lines) + "\n");
     }
 
-    /** The wall clock is off by so many seconds from now on. */
+    /** Sets how many seconds the wall clock is ahead of the true time; negative if it is behind. */
     public void step(long seconds) throws IOException {
-        replace(step, seconds + "\n");
+        replace(stepFile, seconds + "\n");
     }
 
     private static void replace(Path file, String text) throws IOException {
--- a/src/test/native/faults.c
+++ b/src/test/native/faults.c
@@ -1,12 +1,12 @@
 /*
- * Loaded into a relay's process by tests (LD_PRELOAD): lets system calls fail, stop short or take their time, and steps
- * the wall clock. The monotonic clock runs on.
+ * Fault injection for a relay's process, loaded by tests with LD_PRELOAD: system calls fail, transfer too few bytes or
+ * are delayed, and the wall clock is stepped. The monotonic clock is unaffected.
  *
- * FAULT_RULES names a file with a rule a line: CALL SKIP COUNT ERROR [PART]. From the moment the file has been written
- * the calls of that name whose address or path contains PART are counted; SKIP of them go through, the COUNT behind
- * them fail with the errno ERROR. An ERROR below 0 delays the call by so many milliseconds instead; 0 lets a read or
- * write of a socket move one byte, and one of a file all but one byte. "listener_close" is the close of a socket that
- * listens, and can only be delayed. WALL_STEP names a file with the seconds by which the wall clock is off.
+ * FAULT_RULES names a file with one rule on each line: CALL SKIP COUNT ERROR [PART]. Once the file has been written,
+ * calls of that name whose address or path contains PART are counted: the first SKIP succeed, the next COUNT fail with
+ * the errno ERROR. A negative ERROR delays the call by that many milliseconds instead; with 0, a read or write of a
+ * socket transfers one byte, and one of a file all bytes but one. "listener_close" is the close of a listening socket,
+ * and can only be delayed. WALL_STEP names a file with the seconds by which the wall clock is ahead.
  */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
@@ -68,7 +68,7 @@
     fclose(f);
 }
 
-/* The error that a call is to fail with; -1 for none, 0 for a short one. */
+/* Returns the errno that a call has to fail with, 0 for a short transfer, -1 for no fault; delays the call itself. */
 static long fault(const char *call, const char *what) {
     if (!in_java()) return -1;
     long error = -1;
@@ -115,7 +115,7 @@
     return !fstat(fd, &st) && S_ISSOCK(st.st_mode);
 }
 
-/* What a descriptor is of: the peer of a socket, the path of a file. */
+/* Describes a descriptor: the peer address of a socket, or the path of a file. */
 static const char *what(int fd, char *to, size_t size, int socket) {
     to[0] = 0;
     if (socket) {
@@ -186,7 +186,7 @@
     return real(fd, bytes, e == 0 && n > 1 ? shorter(fd, n) : n);
 }
 
-/* ---- the folder ---- */
+/* ---- files and folders ---- */
 
 static int opened(const char *path, long *e) { *e = fault("open", path); return *e > 0; }
 #define MODE(flags, mode) mode_t mode = 0; if ((flags) & (O_CREAT | O_TMPFILE)) { \
