--- a/src/main/java/firstair/kit/fleet/Clock.java
+++ b/src/main/java/firstair/kit/fleet/Clock.java
@@ -1,43 +1,43 @@
 package firstair.kit.fleet;
 
-/** Clocks of one process: one that only advances, faster or slower than time does, and one on the wall that jumps. */
+/** Clocks of one process: a monotonic one that runs faster or slower than virtual time, and a wall clock that jumps. */
 final class Clock {
-    private double at; // virtual time at which the rate last changed
-    private double own; // what the clock read then
+    private double rateSetAt; // virtual time at which the rate last changed, ms
+    private double readingThen; // of the monotonic clock at that moment, ms
     private double rate;
-    private double ahead; // of the clock on the wall
+    private double wallOffset; // how far the wall clock is ahead of the true time, ms
 
-    Clock(double at, double own, double rate, double ahead) {
-        this.at = at;
-        this.own = own;
+    Clock(double rateSetAt, double readingThen, double rate, double wallOffset) {
+        this.rateSetAt = rateSetAt;
+        this.readingThen = readingThen;
         this.rate = rate;
-        this.ahead = ahead;
+        this.wallOffset = wallOffset;
     }
 
-    /** The advancing clock, ms. */
+    /** The monotonic clock at a virtual time, ms. */
     double read(double time) {
-        return own + (time - at) * rate;
+        return readingThen + (time - rateSetAt) * rate;
     }
 
-    /** How far the clock on the wall is ahead of the true one, ms. */
-    double ahead() {
-        return ahead;
+    /** How far the wall clock is ahead of the true time, ms. */
+    double wallOffset() {
+        return wallOffset;
     }
 
-    /** From now on the advancing clock runs so fast. */
-    void run(double time, double faster) {
-        own = read(time);
-        at = time;
-        rate = faster;
+    /** Sets the rate of the monotonic clock from a virtual time on; 1 is the rate of virtual time. */
+    void setRate(double time, double newRate) {
+        readingThen = read(time);
+        rateSetAt = time;
+        rate = newRate;
     }
 
-    /** Somebody sets the clock on the wall. */
-    void set(double aheadMs) {
-        ahead = aheadMs;
+    /** Sets how far the wall clock is ahead of the true time, ms. */
+    void setWallOffset(double offsetMs) {
+        wallOffset = offsetMs;
     }
 
-    /** How long the advancing clock takes for {@code ms} of its own. */
-    double span(double ms) {
+    /** Virtual time in which the monotonic clock advances by {@code ms}, ms. */
+    double virtualDuration(double ms) {
         return ms / rate;
     }
 }
--- a/src/main/java/firstair/kit/fleet/Demand.java
+++ b/src/main/java/firstair/kit/fleet/Demand.java
@@ -8,159 +8,166 @@
 import java.util.TreeMap;
 
 /**
- * Calls that wait at relays and are sent as far as each relay's share of the limit goes: a bucket of tokens for each
- * process and destination, filled at its share of the limit by its own clock, shortened by how far that may be wrong.
- * A bucket holds one call and what comes in between two looks.
+ * Calls that queue at relays and are sent as each relay's share of the limit allows: each process has a token bucket
+ * for each destination, filled at its share of the limit by its own clock, less the largest drift of that clock. A
+ * bucket holds one call plus the tokens of one poll interval.
  */
-public final class Demand implements PlayedFleet.Watcher {
-    private static final double LOOK_MS = 50;
+public final class Demand implements SimulatedFleet.ProcessListener {
+    private static final double POLL_MS = 50;
     private static final double SECOND = 1000;
 
-    /** A bucket holds what comes in so long, s, and one call. */
-    static final double BURST_S = LOOK_MS / SECOND;
+    /** A bucket holds the tokens of this time, s, plus one call. */
+    static final double BURST_S = POLL_MS / SECOND;
 
-    /** Calls that come. */
-    public interface Coming {
-        /** Calls a second for a destination at a relay. */
-        double rate(String name, int destination, double time);
+    /** Rate at which calls arrive. */
+    public interface ArrivalRate {
+        /** Calls a second for a destination at a relay at a virtual time, ms. */
+        double rate(String relay, int destination, double time);
     }
 
-    /** Hears of each call sent. */
-    interface Sent {
-        /** A call went out at this moment of virtual time. */
-        void sent(Life life, int destination, double time);
+    /** Is notified of each call sent. */
+    interface CallListener {
+        /** A process sent a call at a virtual time, ms. */
+        void sent(SimulatedProcess process, int destination, double time);
     }
 
     private static final class Queue {
         private final Deque<Double> waiting = new ArrayDeque<>();
-        private double due; // arrivals that have not summed up to a whole call
+        private double partialCall; // fraction of a call that has arrived so far
         private double tokens;
-        private double settledAt; // own clock
+        private double tokensAddedAt; // when tokens were last added, ms of the process's own clock
     }
 
-    private static final class Bench {
+    private static final class ProcessQueues {
         private final Map<Integer, Queue> queues = new TreeMap<>();
-        private double lookedAt;
+        private double polledAt;
     }
 
-    private final PlayedFleet fleet;
+    private final SimulatedFleet fleet;
     private final Map<Integer, Double> limits;
-    private final Coming coming;
-    private final double patienceMs;
-    private final Sent watch;
+    private final ArrivalRate arrivalRate;
+    private final double maxWaitMs;
+    private final CallListener callListener;
     private final Random random;
-    private final IdentityHashMap<Life, Bench> benches = new IdentityHashMap<>(); // asked by key only, never iterated
-    private final Map<Integer, Long> asked = new TreeMap<>();
+    private final IdentityHashMap<SimulatedProcess, ProcessQueues> queuesByProcess =
+            new IdentityHashMap<>(); // never iterated: no fixed order
+    private final Map<Integer, Long> arrived = new TreeMap<>();
     private final Map<Integer, Long> served = new TreeMap<>();
 
     /**
-     * Calls for a fleet whose processes begin later.
+     * Creates demand for a fleet that hasn't been started yet.
      *
-     * @param limits     calls a second that each destination takes, as all relays know them
-     * @param patienceMs a call waits so long at most
+     * @param limits    limit of each destination, calls a second, known to all relays
+     * @param maxWaitMs how long a call waits before it is dropped
      */
-    public Demand(PlayedFleet fleet, Map<Integer, Double> limits, Coming coming, double patienceMs, Sent watch) {
+    public Demand(
+            SimulatedFleet fleet,
+            Map<Integer, Double> limits,
+            ArrivalRate arrivalRate,
+            double maxWaitMs,
+            CallListener callListener) {
         this.fleet = fleet;
         this.limits = new TreeMap<>(limits);
-        this.coming = coming;
-        this.patienceMs = patienceMs;
-        this.watch = watch;
+        this.arrivalRate = arrivalRate;
+        this.maxWaitMs = maxWaitMs;
+        this.callListener = callListener;
         this.random = new Random(fleet.seed() ^ 0x5EEDL);
-        fleet.watched(this);
+        fleet.addListener(this);
     }
 
-    /** Calls that came for a destination. */
-    public long asked(int destination) {
-        return asked.getOrDefault(destination, 0L);
+    /** Number of calls that arrived for a destination. */
+    public long arrived(int destination) {
+        return arrived.getOrDefault(destination, 0L);
     }
 
-    /** Calls for a destination that were sent in time. */
+    /** Number of calls for a destination that were sent in time. */
     public long served(int destination) {
         return served.getOrDefault(destination, 0L);
     }
 
-    /** Share of all calls that were sent in time. */
-    public double service() {
-        double of = asked.values().stream().mapToLong(n -> n).sum();
-        return of == 0 ? 1 : served.values().stream().mapToLong(n -> n).sum() / of;
+    /** Share of all calls that were sent in time, 0 to 1. */
+    public double servedShare() {
+        double total = arrived.values().stream().mapToLong(n -> n).sum();
+        return total == 0 ? 1 : served.values().stream().mapToLong(n -> n).sum() / total;
     }
 
-    /** Counts anew from now on. */
-    public void recount() {
-        asked.clear();
+    /** Resets the numbers of calls to 0. */
+    public void resetCounts() {
+        arrived.clear();
         served.clear();
     }
 
-    /** A limit is another one from now on, for all relays. */
+    /** Changes a limit for all relays. */
     public void limit(int destination, double calls) {
         limits.put(destination, calls);
     }
 
-    /** Calls a second that a destination takes. */
+    /** Limit of a destination, calls a second. */
     public double limit(int destination) {
         return limits.get(destination);
     }
 
     @Override
-    public void begun(Life life) {
-        Bench bench = new Bench();
-        benches.put(life, bench);
-        bench.lookedAt = life.now();
-        limits.keySet().forEach(d -> {
+    public void processStarted(SimulatedProcess process) {
+        ProcessQueues processQueues = new ProcessQueues();
+        queuesByProcess.put(process, processQueues);
+        processQueues.polledAt = process.now();
+        limits.keySet().forEach(destination -> {
             Queue queue = new Queue();
-            queue.settledAt = life.now();
-            bench.queues.put(d, queue);
+            queue.tokensAddedAt = process.now();
+            processQueues.queues.put(destination, queue);
         });
-        fleet.later(life, fleet.now() + random.nextDouble() * LOOK_MS, "looks", () -> look(life, bench));
+        fleet.schedule(
+                process, fleet.now() + random.nextDouble() * POLL_MS, "looks", () -> poll(process, processQueues));
     }
 
     @Override
-    public void shared(Life life, int destination, Life.Share before) {
-        Queue queue = benches.get(life).queues.get(destination);
+    public void shareChanged(SimulatedProcess process, int destination, SimulatedProcess.Share before) {
+        Queue queue = queuesByProcess.get(process).queues.get(destination);
         if (queue != null) {
-            settle(life, destination, queue, before);
+            addTokens(process, destination, queue, before);
         }
     }
 
-    private void settle(Life life, int destination, Queue queue, Life.Share share) {
-        double now = life.now();
-        double from = queue.settledAt;
-        queue.settledAt = now;
+    private void addTokens(SimulatedProcess process, int destination, Queue queue, SimulatedProcess.Share share) {
+        double now = process.now();
+        double since = queue.tokensAddedAt;
+        queue.tokensAddedAt = now;
         if (share == null) {
             return;
         }
-        double full = Math.max(0, Math.min(now, share.until()) - from);
-        double parts = full * share.part() + (now - from - full) * share.sure();
-        double perMs = limits.get(destination) / SECOND / (1 + life.setup().drift());
-        double most = 1 + LOOK_MS * perMs * share.at(now);
-        queue.tokens = Math.min(most, queue.tokens + parts * perMs);
+        double beforeUntilMs = Math.max(0, Math.min(now, share.until()) - since);
+        double shareMs = beforeUntilMs * share.part() + (now - since - beforeUntilMs) * share.guaranteed();
+        double perMs = limits.get(destination) / SECOND / (1 + process.setup().drift());
+        double maxTokens = 1 + POLL_MS * perMs * share.at(now);
+        queue.tokens = Math.min(maxTokens, queue.tokens + shareMs * perMs);
     }
 
-    private void look(Life life, Bench bench) {
-        double now = life.now();
+    private void poll(SimulatedProcess process, ProcessQueues processQueues) {
+        double now = process.now();
         double time = fleet.now();
-        double since = now - bench.lookedAt;
-        bench.lookedAt = now;
-        life.played().refresh(now);
-        bench.queues.forEach((d, queue) -> {
-            double rate = coming.rate(life.name(), d, time);
-            queue.due += rate * since / SECOND;
-            for (; queue.due >= 1; queue.due--) {
+        double elapsed = now - processQueues.polledAt;
+        processQueues.polledAt = now;
+        process.logic().refresh(now);
+        processQueues.queues.forEach((destination, queue) -> {
+            double rate = arrivalRate.rate(process.name(), destination, time);
+            queue.partialCall += rate * elapsed / SECOND;
+            for (; queue.partialCall >= 1; queue.partialCall--) {
                 queue.waiting.add(time);
-                asked.merge(d, 1L, Long::sum);
-                life.played().asked(now, d);
+                arrived.merge(destination, 1L, Long::sum);
+                process.logic().callRequested(now, destination);
             }
-            while (!queue.waiting.isEmpty() && time - queue.waiting.peek() > patienceMs) {
+            while (!queue.waiting.isEmpty() && time - queue.waiting.peek() > maxWaitMs) {
                 queue.waiting.remove();
             }
-            settle(life, d, queue, life.share(d));
+            addTokens(process, destination, queue, process.share(destination));
             for (; queue.tokens >= 1 && !queue.waiting.isEmpty(); queue.tokens--) {
                 queue.waiting.remove();
-                served.merge(d, 1L, Long::sum);
-                watch.sent(life, d, time);
-                life.played().sent(now, d, limits.get(d));
+                served.merge(destination, 1L, Long::sum);
+                callListener.sent(process, destination, time);
+                process.logic().callSent(now, destination, limits.get(destination));
             }
         });
-        fleet.later(life, time + LOOK_MS, "looks", () -> look(life, bench));
+        fleet.schedule(process, time + POLL_MS, "looks", () -> poll(process, processQueues));
     }
 }
--- a/src/main/java/firstair/kit/fleet/FaultyLink.java
+++ b/src/main/java/firstair/kit/fleet/FaultyLink.java
@@ -17,17 +17,20 @@
 import java.util.Random;
 import java.util.concurrent.atomic.LongAdder;
 
-/** The way from one relay to another; all but what is volatile or counts is on the thread of {@link FaultyLinks}. */
+/**
+ * The link from one relay to another. Everything but the volatile field and the counters is only used by the thread of
+ * {@link FaultyLinks}.
+ */
 final class FaultyLink {
-    private static final int MOST_DATAGRAMS = 4096; // under way, and bytes of a connection below
-    private static final int MOST_BYTES = 1 << 18;
-    private static final int MOST_CONNECTIONS = 16;
-    private static final int AT_ONCE = 64;
-    private static final int PIECE = 1 << 16;
-    private static final double AGAIN_MS = 200; // what a sender takes to send a lost piece again
+    private static final int MAX_DATAGRAMS = 4096; // in transit
+    private static final int MAX_BYTES = 1 << 18; // in transit, of one direction of a connection
+    private static final int MAX_CONNECTIONS = 16;
+    private static final int MAX_DATAGRAMS_PER_READ = 64;
+    private static final int BUFFER_BYTES = 1 << 16;
+    private static final double RETRANSMIT_MS = 200; // delay until a sender retransmits a lost segment
 
-    /** Something that a selector calls once it can go on. */
-    interface Ready {
+    /** Handles a channel that the selector reports as ready; the attachment of its key. */
+    interface ReadyHandler {
         void run(double now) throws IOException;
     }
 
@@ -35,161 +38,162 @@
 
     private record Piece(double due, ByteBuffer bytes) {}
 
-    volatile Trouble trouble = Trouble.NONE;
+    volatile Trouble faults = Trouble.NONE;
 
     private final Random random;
-    private final Random chances; // of its own: how bytes are cut up differs from run to run
+    private final Random connectionRandom; // separate: the number of reads from connections differs from run to run
     private final Selector selector;
     private final DatagramChannel udp;
     private final ServerSocketChannel tcp;
-    private final InetSocketAddress from;
+    private final InetSocketAddress address;
     private final InetSocketAddress to;
-    private final PriorityQueue<Datagram> underWay =
+    private final PriorityQueue<Datagram> inTransit =
             new PriorityQueue<>(Comparator.comparingDouble(Datagram::due).thenComparingLong(Datagram::number));
     private final List<Tunnel> tunnels = new ArrayList<>();
-    private final ByteBuffer buffer = ByteBuffer.allocate(PIECE);
-    private final LongAdder came = new LongAdder();
-    private final LongAdder went = new LongAdder();
+    private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+    private final LongAdder received = new LongAdder();
+    private final LongAdder forwarded = new LongAdder();
     private final LongAdder lost = new LongAdder();
     private final LongAdder bytes = new LongAdder();
-    private final LongAdder connected = new LongAdder();
-    private long numbers;
+    private final LongAdder connections = new LongAdder();
+    private long nextNumber;
 
     FaultyLink(long seed, Selector selector, DatagramChannel udp, ServerSocketChannel tcp, InetSocketAddress to)
             throws IOException {
         this.random = new Random(seed);
-        this.chances = new Random(seed);
+        this.connectionRandom = new Random(seed);
         this.selector = selector;
         this.udp = udp;
         this.tcp = tcp;
-        this.from = (InetSocketAddress) tcp.getLocalAddress();
+        this.address = (InetSocketAddress) tcp.getLocalAddress();
         this.to = to;
     }
 
     InetSocketAddress address() {
-        return from;
+        return address;
     }
 
     FaultyLinks.Counts counts() {
-        return new FaultyLinks.Counts(came.sum(), went.sum(), lost.sum(), bytes.sum(), connected.sum());
+        return new FaultyLinks.Counts(received.sum(), forwarded.sum(), lost.sum(), bytes.sum(), connections.sum());
     }
 
-    /** Takes datagrams that have come. */
-    void datagrams(double now) throws IOException {
-        for (int i = 0; i < AT_ONCE; i++) {
+    /** Receives the datagrams that have arrived. */
+    void receiveDatagrams(double now) throws IOException {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
             buffer.clear();
             if (udp.receive(buffer) == null) {
                 return;
             }
-            byte[] one = new byte[buffer.flip().remaining()];
-            buffer.get(one);
-            came.increment();
-            Trouble t = trouble;
-            // Drawn for each in the same order whatever the trouble is, so that a seed means the same.
-            double fate = random.nextDouble();
-            double twice = random.nextDouble();
-            double first = delay(t, random);
-            double second = delay(t, random);
-            if (t.cut() || fate < t.loss()) {
+            byte[] datagram = new byte[buffer.flip().remaining()];
+            buffer.get(datagram);
+            received.increment();
+            Trouble current = faults;
+            // The same random draws for each datagram whatever the faults are, so that a seed gives the same results.
+            double lossDraw = random.nextDouble();
+            double duplicateDraw = random.nextDouble();
+            double first = delay(current, random);
+            double second = delay(current, random);
+            if (current.cut() || lossDraw < current.loss()) {
                 lost.increment();
                 continue;
             }
-            put(now + first, one);
-            if (twice < t.doubled()) {
-                put(now + second, one);
+            enqueue(now + first, datagram);
+            if (duplicateDraw < current.duplicated()) {
+                enqueue(now + second, datagram);
             }
         }
     }
 
-    private static double delay(Trouble t, Random random) {
-        return t.leastDelayMs() + random.nextDouble() * (t.mostDelayMs() - t.leastDelayMs());
+    private static double delay(Trouble faults, Random random) {
+        return faults.minDelayMs() + random.nextDouble() * (faults.maxDelayMs() - faults.minDelayMs());
     }
 
-    private void put(double due, byte[] one) {
-        if (underWay.size() >= MOST_DATAGRAMS) {
+    private void enqueue(double due, byte[] datagram) {
+        if (inTransit.size() >= MAX_DATAGRAMS) {
             lost.increment();
         } else {
-            underWay.add(new Datagram(due, numbers++, one));
+            inTransit.add(new Datagram(due, nextNumber++, datagram));
         }
     }
 
-    /** Takes a connection and opens the one that goes on from it. */
+    /** Accepts a connection and opens the one to which it is forwarded. */
     void accept(double now) throws IOException {
-        SocketChannel near = tcp.accept();
-        if (near == null) {
+        SocketChannel accepted = tcp.accept();
+        if (accepted == null) {
             return;
         }
-        if (tunnels.size() >= MOST_CONNECTIONS) {
-            near.close();
+        if (tunnels.size() >= MAX_CONNECTIONS) {
+            accepted.close();
             return;
         }
-        connected.increment();
-        tunnels.add(new Tunnel(near));
+        connections.increment();
+        tunnels.add(new Tunnel(accepted));
     }
 
-    /** Hands on what is due, and tells when to do so again. */
-    double move(double now) {
-        for (Datagram d = underWay.peek(); d != null && d.due() <= now; d = underWay.peek()) {
-            underWay.remove();
-            if (!trouble.cut() && sent(d.bytes())) {
-                went.increment();
+    /** Forwards what is due; returns when the next datagram or piece is due, infinity if none is. */
+    double forwardDue(double now) {
+        for (Datagram head = inTransit.peek(); head != null && head.due() <= now; head = inTransit.peek()) {
+            inTransit.remove();
+            if (!faults.cut() && send(head.bytes())) {
+                forwarded.increment();
             } else {
                 lost.increment();
             }
         }
-        double next =
-                underWay.isEmpty() ? Double.POSITIVE_INFINITY : underWay.peek().due();
-        for (Tunnel t : List.copyOf(tunnels)) {
-            next = Math.min(next, t.move(now));
+        double next = inTransit.isEmpty()
+                ? Double.POSITIVE_INFINITY
+                : inTransit.peek().due();
+        for (Tunnel tunnel : List.copyOf(tunnels)) {
+            next = Math.min(next, tunnel.forwardDue(now));
         }
         return next;
     }
 
-    private boolean sent(byte[] one) {
+    private boolean send(byte[] datagram) {
         try {
-            return udp.send(ByteBuffer.wrap(one), to) == one.length;
+            return udp.send(ByteBuffer.wrap(datagram), to) == datagram.length;
         } catch (IOException e) {
-            return false; // nobody is there: a datagram that is lost as any other
+            return false; // no process listens there: the datagram is lost
         }
     }
 
-    /** A connection and the one that goes on from it. */
+    /** A connection and the one to which it is forwarded. */
     private final class Tunnel {
-        private final SocketChannel near;
-        private final SocketChannel far;
-        private final Flow there;
-        private final Flow back;
+        private final SocketChannel accepted;
+        private final SocketChannel outgoing;
+        private final Flow toTarget;
+        private final Flow fromTarget;
 
-        Tunnel(SocketChannel near) throws IOException {
-            this.near = near;
-            this.far = SocketChannel.open();
-            there = new Flow(near, far);
-            back = new Flow(far, near);
-            near.configureBlocking(false);
-            far.configureBlocking(false);
-            near.register(selector, 0, (Ready) this::near);
-            far.register(selector, SelectionKey.OP_CONNECT, (Ready) this::far);
+        Tunnel(SocketChannel accepted) throws IOException {
+            this.accepted = accepted;
+            this.outgoing = SocketChannel.open();
+            toTarget = new Flow(accepted, outgoing);
+            fromTarget = new Flow(outgoing, accepted);
+            accepted.configureBlocking(false);
+            outgoing.configureBlocking(false);
+            accepted.register(selector, 0, (ReadyHandler) this::acceptedReady);
+            outgoing.register(selector, SelectionKey.OP_CONNECT, (ReadyHandler) this::outgoingReady);
             try {
-                far.connect(to);
+                outgoing.connect(to);
             } catch (IOException e) {
-                end();
+                close();
             }
         }
 
-        private void near(double now) {
-            ready(near, there, now);
+        private void acceptedReady(double now) {
+            ready(accepted, toTarget, now);
         }
 
-        private void far(double now) {
+        private void outgoingReady(double now) {
             try {
-                if (far.isConnectionPending() && !far.finishConnect()) {
+                if (outgoing.isConnectionPending() && !outgoing.finishConnect()) {
                     return;
                 }
             } catch (IOException e) {
-                end();
+                close();
                 return;
             }
-            ready(far, back, now);
+            ready(outgoing, fromTarget, now);
         }
 
         private void ready(SocketChannel channel, Flow in, double now) {
@@ -199,41 +203,41 @@
             }
         }
 
-        double move(double now) {
-            if (!near.isOpen() || !far.isOpen()) {
-                end();
+        double forwardDue(double now) {
+            if (!accepted.isOpen() || !outgoing.isOpen()) {
+                close();
                 return Double.POSITIVE_INFINITY;
             }
-            if (!far.isConnected()) {
+            if (!outgoing.isConnected()) {
                 return Double.POSITIVE_INFINITY;
             }
-            double next = Math.min(there.write(now), back.write(now));
-            if (!near.isOpen() || there.over() || back.over()) {
-                end();
+            double next = Math.min(toTarget.write(now), fromTarget.write(now));
+            if (!accepted.isOpen() || toTarget.finished() || fromTarget.finished()) {
+                close();
                 return Double.POSITIVE_INFINITY;
             }
-            near.keyFor(selector).interestOps(there.reading() | back.writing());
-            far.keyFor(selector).interestOps(back.reading() | there.writing());
+            accepted.keyFor(selector).interestOps(toTarget.readInterest() | fromTarget.writeInterest());
+            outgoing.keyFor(selector).interestOps(fromTarget.readInterest() | toTarget.writeInterest());
             return next;
         }
 
-        private void end() {
+        private void close() {
             tunnels.remove(this);
-            for (SocketChannel c : List.of(near, far)) {
+            for (SocketChannel channel : List.of(accepted, outgoing)) {
                 try {
-                    c.close();
+                    channel.close();
                 } catch (IOException e) {
-                    // it is no longer used
+                    // the channel is no longer used
                 }
             }
         }
 
-        /** One direction of it. */
+        /** One direction of a tunnel. */
         private final class Flow {
             private final SocketChannel in;
             private final SocketChannel out;
             private final Deque<Piece> pieces = new ArrayDeque<>();
-            private int held;
+            private int heldBytes;
             private double lastDue;
             private boolean ended;
             private boolean full;
@@ -250,52 +254,52 @@
                     if (n < 0) {
                         ended = true;
                     } else if (n > 0) {
-                        Trouble t = trouble;
-                        double again = chances.nextDouble() < t.loss() ? AGAIN_MS : 0;
-                        lastDue = Math.max(lastDue, now + delay(t, chances) + again);
+                        Trouble current = faults;
+                        double retransmitMs = connectionRandom.nextDouble() < current.loss() ? RETRANSMIT_MS : 0;
+                        lastDue = Math.max(lastDue, now + delay(current, connectionRandom) + retransmitMs);
                         pieces.add(new Piece(
                                 lastDue,
                                 ByteBuffer.allocate(n).put(buffer.flip()).flip()));
-                        held += n;
+                        heldBytes += n;
                     }
                 } catch (IOException e) {
-                    end();
+                    close();
                 }
             }
 
-            /** Writes what is due; when the next piece is. */
+            /** Writes what is due; returns when the next piece is due, infinity if none is. */
             double write(double now) {
                 full = false;
                 try {
-                    while (!pieces.isEmpty() && !trouble.cut() && !full) {
-                        Piece p = pieces.peek();
-                        if (p.due() > now) {
-                            return p.due();
+                    while (!pieces.isEmpty() && !faults.cut() && !full) {
+                        Piece piece = pieces.peek();
+                        if (piece.due() > now) {
+                            return piece.due();
                         }
-                        int n = out.write(p.bytes());
-                        held -= n;
+                        int n = out.write(piece.bytes());
+                        heldBytes -= n;
                         bytes.add(n);
-                        if (p.bytes().hasRemaining()) {
+                        if (piece.bytes().hasRemaining()) {
                             full = true;
                         } else {
                             pieces.remove();
                         }
                     }
                 } catch (IOException e) {
-                    end();
+                    close();
                 }
                 return Double.POSITIVE_INFINITY;
             }
 
-            boolean over() {
+            boolean finished() {
                 return ended && pieces.isEmpty();
             }
 
-            int reading() {
-                return !ended && !trouble.cut() && held < MOST_BYTES ? SelectionKey.OP_READ : 0;
+            int readInterest() {
+                return !ended && !faults.cut() && heldBytes < MAX_BYTES ? SelectionKey.OP_READ : 0;
             }
 
-            int writing() {
+            int writeInterest() {
                 return full ? SelectionKey.OP_WRITE : 0;
             }
         }
--- a/src/main/java/firstair/kit/fleet/FaultyLinks.java
+++ b/src/main/java/firstair/kit/fleet/FaultyLinks.java
@@ -15,26 +15,27 @@
 import java.util.logging.Logger;
 
 /**
- * The ways between relays that run as processes: each relay is told a port of ours in place of each other relay, by
- * which its datagrams and connections go on to that one, as well or as badly as {@link #set} says. All on loopback, on
- * one thread, until {@link #close}. The fate of the n-th datagram of a way depends on the seed and its trouble alone.
+ * Forwards the traffic between relays that run as processes, with faults. Each relay is configured with a proxy port in
+ * place of each other relay; datagrams and connections to the port are forwarded to that relay with the faults given by
+ * {@link #set}. Everything runs on loopback and on one thread, until {@link #close}. What happens to the n-th datagram
+ * of a link depends only on the seed and on the link's faults.
  */
 public final class FaultyLinks implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(FaultyLinks.class.getName());
-    private static final int MOST_RELAYS = 32;
+    private static final int MAX_RELAYS = 32;
     private static final double NS_PER_MS = 1e6;
-    private static final long END_MS = 5000;
+    private static final long CLOSE_TIMEOUT_MS = 5000;
 
     /**
-     * What a way has carried.
+     * Traffic of one link.
      *
-     * @param came      datagrams that came to it
-     * @param went      datagrams that it handed on, doubled ones twice
-     * @param lost      datagrams that it lost, by its trouble or because too many were under way
-     * @param bytes     bytes of connections that it handed on
-     * @param connected connections that it took
+     * @param received    datagrams received
+     * @param forwarded   datagrams forwarded, duplicated ones counted twice
+     * @param lost        datagrams lost, through the link's faults or because too many were in transit
+     * @param bytes       bytes of connections forwarded
+     * @param connections connections accepted
      */
-    public record Counts(long came, long went, long lost, long bytes, long connected) {}
+    public record Counts(long received, long forwarded, long lost, long bytes, long connections) {}
 
     private final Selector selector = Selector.open();
     private final Map<String, InetSocketAddress> relays;
@@ -43,14 +44,14 @@
     private volatile boolean closed;
 
     /**
-     * Opens all ways.
+     * Opens the links between all relays, in both directions.
      *
-     * @param relays where the relays themselves listen, by name; see {@link #places}
-     * @throws IOException if the ports cannot be had
+     * @param relays addresses at which the relays themselves listen, by name; see {@link #places}
+     * @throws IOException if the ports cannot be bound
      */
     public FaultyLinks(long seed, Map<String, InetSocketAddress> relays) throws IOException {
-        if (relays.size() > MOST_RELAYS) {
-            throw new IllegalArgumentException(relays.size() + " relays, " + MOST_RELAYS + " at most");
+        if (relays.size() > MAX_RELAYS) {
+            throw new IllegalArgumentException(relays.size() + " relays, " + MAX_RELAYS + " at most");
         }
         this.relays = new LinkedHashMap<>(relays);
         try {
@@ -59,19 +60,19 @@
                 for (String to : relays.keySet()) {
                     number++;
                     if (!from.equals(to)) {
-                        links.put(way(from, to), link(seed + number, relays.get(to)));
+                        links.put(name(from, to), link(seed + number, relays.get(to)));
                     }
                 }
             }
         } catch (IOException | RuntimeException e) {
-            end();
+            closeAll();
             throw e;
         }
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static String way(String from, String to) {
+    private static String name(String from, String to) {
         return from + " to " + to;
     }
 
@@ -88,12 +89,12 @@
             throw e;
         }
         FaultyLink link = new FaultyLink(seed, selector, udp, tcp, to);
-        udp.register(selector, SelectionKey.OP_READ, (FaultyLink.Ready) link::datagrams);
-        tcp.register(selector, SelectionKey.OP_ACCEPT, (FaultyLink.Ready) link::accept);
+        udp.register(selector, SelectionKey.OP_READ, (FaultyLink.ReadyHandler) link::receiveDatagrams);
+        tcp.register(selector, SelectionKey.OP_ACCEPT, (FaultyLink.ReadyHandler) link::accept);
         return link;
     }
 
-    /** Addresses on loopback for relays that are started later: see {@link LoopbackPorts}. */
+    /** Free addresses on loopback for relays that are started later; see {@link LoopbackPorts}. */
     public static Map<String, InetSocketAddress> places(List<String> names) throws IOException {
         Map<String, InetSocketAddress> all = new LinkedHashMap<>();
         for (String name : names) {
@@ -102,12 +103,12 @@
         return all;
     }
 
-    /** Where {@code from} finds {@code to}, by UDP and TCP. */
+    /** UDP and TCP address of the link from one relay to another. */
     public InetSocketAddress between(String from, String to) {
         return link(from, to).address();
     }
 
-    /** What {@code fleet.peers} says at one relay: its own address, and ours in place of all others. */
+    /** Value of {@code fleet.peers} for one relay: its own address, and the links in place of the other relays. */
     public String peers(String self) {
         StringJoiner all = new StringJoiner(",");
         relays.forEach((name, own) -> {
@@ -117,38 +118,38 @@
         return all.toString();
     }
 
-    /** From now on so much goes wrong on one way; the other direction stays as it is. */
-    public void set(String from, String to, Trouble trouble) {
-        link(from, to).trouble = trouble;
-        selector.wakeup(); // what stood still goes on
+    /** Sets the faults of one link; the opposite direction is unchanged. */
+    public void set(String from, String to, Trouble faults) {
+        link(from, to).faults = faults;
+        selector.wakeup(); // resumes stalled connections
     }
 
-    /** So much goes wrong between some and all others, in both directions; not among themselves. */
-    public void around(List<String> some, Trouble trouble) {
-        for (String a : relays.keySet()) {
-            for (String b : relays.keySet()) {
-                if (some.contains(a) != some.contains(b)) {
-                    set(a, b, trouble);
+    /** Sets the faults between some relays and all others, in both directions, but not among themselves. */
+    public void around(List<String> group, Trouble faults) {
+        for (String from : relays.keySet()) {
+            for (String to : relays.keySet()) {
+                if (group.contains(from) != group.contains(to)) {
+                    set(from, to, faults);
                 }
             }
         }
     }
 
-    /** So much goes wrong everywhere. */
-    public void everywhere(Trouble trouble) {
-        links.values().forEach(l -> l.trouble = trouble);
+    /** Sets the faults of all links. */
+    public void everywhere(Trouble faults) {
+        links.values().forEach(link -> link.faults = faults);
         selector.wakeup();
     }
 
-    /** What one way has carried so far. */
+    /** Traffic of one link so far. */
     public Counts counts(String from, String to) {
         return link(from, to).counts();
     }
 
     private FaultyLink link(String from, String to) {
-        FaultyLink link = links.get(way(from, to));
+        FaultyLink link = links.get(name(from, to));
         if (link == null) {
-            throw new IllegalArgumentException("no way from " + way(from, to));
+            throw new IllegalArgumentException("no link from " + name(from, to));
         }
         return link;
     }
@@ -161,8 +162,8 @@
         try {
             while (!closed) {
                 double next = Double.POSITIVE_INFINITY;
-                for (FaultyLink l : links.values()) {
-                    next = Math.min(next, l.move(now()));
+                for (FaultyLink link : links.values()) {
+                    next = Math.min(next, link.forwardDue(now()));
                 }
                 double wait = next - now();
                 if (wait <= 0) {
@@ -172,36 +173,36 @@
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
                     if (key.isValid()) {
-                        ((FaultyLink.Ready) key.attachment()).run(now());
+                        ((FaultyLink.ReadyHandler) key.attachment()).run(now());
                     }
                 }
                 selector.selectedKeys().clear();
             }
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.SEVERE, "fault in the links between relays", e);
+            LOG.log(Level.SEVERE, "links between relays failed", e);
         } finally {
-            end();
+            closeAll();
         }
     }
 
-    private void end() {
+    private void closeAll() {
         try {
             for (SelectionKey key : selector.keys()) {
                 key.channel().close();
             }
             selector.close();
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "links did not close in order", e);
+            LOG.log(Level.WARNING, "cannot close the links between relays", e);
         }
     }
 
-    /** Ends all ways; what is under way is lost. */
+    /** Closes all links; everything in transit is lost. */
     @Override
     public void close() {
         closed = true;
         selector.wakeup();
         try {
-            thread.join(END_MS);
+            thread.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/firstair/kit/fleet/FleetCommand.java
+++ b/src/main/java/firstair/kit/fleet/FleetCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Plays fleets in memory. */
+/** Simulates fleets in memory. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -22,7 +22,7 @@
             "Without seeds: measures what sharing brings and costs. Status 0 if every history kept every invariant."
         })
 public final class FleetCommand implements Part {
-    private static final long MEASURED = 1;
+    private static final long MEASUREMENT_SEED = 1;
 
     @Option(names = "--seeds", defaultValue = "0", description = "histories to play, from seed 1 on")
     private long seeds;
@@ -34,26 +34,29 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         if (seeds == 0) {
-            new Measures(Fleets.sharing(), Fleets.wire(), MEASURED).table().forEach(out::println);
+            new Measurements(FleetDefaults.limitsOnly(), FleetDefaults.wire(), MEASUREMENT_SEED)
+                    .table()
+                    .forEach(out::println);
             out.flush();
             return 0;
         }
-        RandomHistories histories = new RandomHistories(Fleets.sharing(), Fleets.agreeing(), Fleets.wire());
-        List<String> broken = LongStream.rangeClosed(1, seeds)
+        RandomHistories histories =
+                new RandomHistories(FleetDefaults.limitsOnly(), FleetDefaults.withSettings(), FleetDefaults.wire());
+        List<String> violations = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(seed -> {
                     try {
-                        histories.play(seed);
+                        histories.run(seed);
                         return null;
-                    } catch (Breach b) {
-                        return b.getMessage();
+                    } catch (InvariantViolation violation) {
+                        return violation.getMessage();
                     }
                 })
                 .filter(Objects::nonNull)
                 .toList();
-        broken.forEach(out::println);
-        out.printf(Locale.ROOT, "%d histories, %d broken%n", seeds, broken.size());
+        violations.forEach(out::println);
+        out.printf(Locale.ROOT, "%d histories, %d broken%n", seeds, violations.size());
         out.flush();
-        return broken.isEmpty() ? 0 : 1;
+        return violations.isEmpty() ? 0 : 1;
     }
 }
--- a/src/main/java/firstair/kit/fleet/Folder.java
+++ b/src/main/java/firstair/kit/fleet/Folder.java
@@ -1,27 +1,27 @@
 package firstair.kit.fleet;
 
-/** What stays of a relay when its process ends. */
+/** Persistent state of a relay, which outlives its processes. */
 public final class Folder {
     private final boolean lost;
-    private Object kept;
+    private Object stored;
 
-    /** @param lost whether there was another one before it, which is gone */
+    /** @param lost whether an earlier folder of the relay was lost */
     Folder(boolean lost) {
         this.lost = lost;
     }
 
-    /** What is kept, null if nothing is. */
-    public <T> T kept(Class<T> kind) {
-        return kind.cast(kept);
+    /** The stored state, null if there is none. */
+    public <T> T stored(Class<T> type) {
+        return type.cast(stored);
     }
 
-    /** Keeps this from now on. */
-    public void keep(Object what) {
-        kept = what;
+    /** Stores a state in place of the previous one. */
+    public void store(Object state) {
+        stored = state;
     }
 
-    /** Whether it is empty because another one before it is gone. */
+    /** Whether the folder is empty because an earlier one was lost. */
     public boolean lost() {
-        return lost && kept == null;
+        return lost && stored == null;
     }
 }
--- a/src/main/java/firstair/kit/fleet/Invariant.java
+++ b/src/main/java/firstair/kit/fleet/Invariant.java
@@ -1,10 +1,10 @@
 package firstair.kit.fleet;
 
-/** Something that has to hold over a whole fleet after every event. */
+/** A condition on a whole fleet that is checked after every event. */
 public interface Invariant {
-    /** A few words for it. */
+    /** Short name for reports. */
     String name();
 
-    /** What is wrong at present, or null; called after every event. */
-    String check(PlayedFleet fleet);
+    /** Describes the current violation, null if there is none; called after every event. */
+    String check(SimulatedFleet fleet);
 }
--- a/src/main/java/firstair/kit/fleet/Invariants.java
+++ b/src/main/java/firstair/kit/fleet/Invariants.java
@@ -10,18 +10,18 @@
 import java.util.TreeMap;
 import java.util.function.IntToDoubleFunction;
 
-/** What has to hold over a whole fleet. */
+/** Invariants of a whole fleet. */
 public final class Invariants {
     private static final double ROUNDING = 1e-9;
 
     private Invariants() {}
 
     /**
-     * What all processes may use of a limit together is never more than all of it, each judged by its own clock. Sums
-     * grow only where a process is told a new share, so that those are summed. Of several processes under one name the
-     * parts that they may always use count once: nothing can tell two relays apart that hear nobody.
+     * The parts of a limit that all processes may use, each by its own clock, never add up to more than the whole
+     * limit. Sums only grow when a process gets a new share, so only those destinations are checked. The guaranteed
+     * part counts once for several processes of one name: while they receive no messages, nothing can distinguish them.
      */
-    public static Invariant sums() {
+    public static Invariant sumOfParts() {
         return new Invariant() {
             @Override
             public String name() {
@@ -29,11 +29,11 @@
             }
 
             @Override
-            public String check(PlayedFleet fleet) {
-                for (int destination : fleet.changed()) {
+            public String check(SimulatedFleet fleet) {
+                for (int destination : fleet.changedDestinations()) {
                     double sum = sum(fleet, destination);
                     if (sum > 1 + ROUNDING) {
-                        return sum + " of destination " + destination + " in use: " + spelled(fleet, destination);
+                        return sum + " of destination " + destination + " in use: " + describe(fleet, destination);
                     }
                 }
                 return null;
@@ -41,64 +41,65 @@
         };
     }
 
-    private static double sum(PlayedFleet fleet, int destination) {
+    private static double sum(SimulatedFleet fleet, int destination) {
         double sum = 0;
         for (String name : fleet.members()) {
-            double sure = 0;
-            for (Life life : fleet.running(name)) {
-                double part = life.part(destination);
-                double own = Math.min((double) life.setup().guaranteedParts() / Setup.WHOLE, part);
-                sum += part - own;
-                sure = Math.max(sure, own);
+            double guaranteed = 0;
+            for (SimulatedProcess process : fleet.running(name)) {
+                double part = process.part(destination);
+                double guaranteedPart = Math.min((double) process.setup().guaranteedParts() / Setup.WHOLE, part);
+                sum += part - guaranteedPart;
+                guaranteed = Math.max(guaranteed, guaranteedPart);
             }
-            sum += sure;
+            sum += guaranteed;
         }
         return sum;
     }
 
-    private static String spelled(PlayedFleet fleet, int destination) {
-        StringBuilder text = new StringBuilder();
-        for (Life life : fleet.running()) {
-            Life.Share share = life.share(destination);
-            text.append(String.format(
+    private static String describe(SimulatedFleet fleet, int destination) {
+        StringBuilder description = new StringBuilder();
+        for (SimulatedProcess process : fleet.running()) {
+            SimulatedProcess.Share share = process.share(destination);
+            description.append(String.format(
                     Locale.ROOT,
                     "%s=%.6f for %.0f ms%s, ",
-                    life,
-                    life.part(destination),
-                    share == null ? 0 : share.until() - life.now(),
-                    life.paused() ? " (stopped)" : ""));
+                    process,
+                    process.part(destination),
+                    share == null ? 0 : share.until() - process.now(),
+                    process.paused() ? " (stopped)" : ""));
         }
-        return text.toString();
+        return description.toString();
     }
 
-    /** Calls sent in any second are no more than the limit and what lay in buckets; hears of calls as they go out. */
-    public static final class Rates implements Invariant, Demand.Sent {
+    /** No more calls are sent in any second than the limit and the tokens saved up in buckets allow. */
+    public static final class CallRates implements Invariant, Demand.CallListener {
         private static final double SECOND = 1000;
 
-        private record Call(Life life, double at) {}
+        private record Call(SimulatedProcess process, double at) {}
 
-        private static final class Last {
+        private static final class RecentCalls {
             private final Deque<Call> calls = new ArrayDeque<>();
-            private double highest; // limit in force at some moment of this second
-            private double changedAt = Double.NEGATIVE_INFINITY;
+            private double highestLimit; // highest limit of the last second
+            private double highestLimitAt = Double.NEGATIVE_INFINITY;
         }
 
         private final IntToDoubleFunction limits;
         private final double burstS;
         private final int buckets;
-        private final Map<Integer, Last> last = new TreeMap<>();
-        private final Set<Integer> fresh = new LinkedHashSet<>();
+        private final Map<Integer, RecentCalls> recentCalls = new TreeMap<>();
+        private final Set<Integer> destinationsWithNewCalls = new LinkedHashSet<>();
 
-        /** @param limits calls a second that a destination takes */
-        public Rates(IntToDoubleFunction limits) {
+        /** @param limits limit of each destination, calls a second */
+        public CallRates(IntToDoubleFunction limits) {
             this(limits, Demand.BURST_S, 1);
         }
 
         /**
-         * @param burstS  buckets hold what comes in so long, s
-         * @param buckets how many a process has for one destination; each holds one call at least
+         * @param limits  limit of each destination, calls a second
+         * @param burstS  capacity of buckets, as seconds of the limit
+         * @param buckets buckets of a process for one destination; each holds at least one call
          */
-        Rates(IntToDoubleFunction limits, double burstS, int buckets) {
+        CallRates(IntToDoubleFunction limits, double burstS, int buckets) {
             this.limits = limits;
             this.burstS = burstS;
             this.buckets = buckets;
@@ -110,50 +111,55 @@
         }
 
         @Override
-        public void sent(Life life, int destination, double time) {
-            Last of = last.computeIfAbsent(destination, d -> new Last());
-            of.calls.add(new Call(life, time));
-            fresh.add(destination);
+        public void sent(SimulatedProcess process, int destination, double time) {
+            RecentCalls recent = recentCalls.computeIfAbsent(destination, d -> new RecentCalls());
+            recent.calls.add(new Call(process, time));
+            destinationsWithNewCalls.add(destination);
         }
 
         @Override
-        public String check(PlayedFleet fleet) {
-            String wrong = null;
-            for (int destination : fresh) {
-                Last of = last.get(destination);
+        public String check(SimulatedFleet fleet) {
+            String violation = null;
+            for (int destination : destinationsWithNewCalls) {
+                RecentCalls recent = recentCalls.get(destination);
                 double now = fleet.now();
-                while (of.calls.peek().at() <= now - SECOND) {
-                    of.calls.remove();
+                while (recent.calls.peek().at() <= now - SECOND) {
+                    recent.calls.remove();
                 }
                 double limit = limits.applyAsDouble(destination);
-                if (limit >= of.highest || now - of.changedAt > SECOND) {
-                    of.highest = limit; // a limit that was lowered still covers calls of the second before
-                    of.changedAt = now;
+                if (limit >= recent.highestLimit || now - recent.highestLimitAt > SECOND) {
+                    recent.highestLimit = limit; // calls of the last second may still fall under a higher limit
+                    recent.highestLimitAt = now;
                 }
-                if (of.calls.size() > of.highest) {
-                    double most = most(of, fleet.setup(fleet.members().get(0)));
-                    if (of.calls.size() > most) {
-                        wrong = of.calls.size() + " calls to destination " + destination + " in a second, " + most
-                                + " at most";
+                if (recent.calls.size() > recent.highestLimit) {
+                    double maxCalls =
+                            maxCalls(recent, fleet.setup(fleet.members().get(0)));
+                    if (recent.calls.size() > maxCalls) {
+                        violation = recent.calls.size() + " calls to destination " + destination + " in a second, "
+                                + maxCalls + " at most";
                     }
                 }
             }
-            fresh.clear();
-            return wrong;
+            destinationsWithNewCalls.clear();
+            return violation;
         }
 
-        private double most(Last of, Setup setup) {
-            long processes = of.calls.stream().map(Call::life).distinct().count();
-            long names = of.calls.stream().map(c -> c.life().name()).distinct().count();
-            double sure =
-                    of.highest * setup.guaranteedParts() / Setup.WHOLE; // once more for each further process of a name
-            return of.highest * (1 + burstS) + (processes - names) * sure + processes * buckets;
+        private double maxCalls(RecentCalls recent, Setup setup) {
+            long processes = recent.calls.stream().map(Call::process).distinct().count();
+            long names = recent.calls.stream()
+                    .map(call -> call.process().name())
+                    .distinct()
+                    .count();
+            double guaranteed = recent.highestLimit
+                    * setup.guaranteedParts()
+                    / Setup.WHOLE; // again for each further process of a name
+            return recent.highestLimit * (1 + burstS) + (processes - names) * guaranteed + processes * buckets;
         }
     }
 
-    /** Every relay has its own even part, or has lent of it: all parts of each limit are somebody's. */
+    /** After the last fault every relay has its equal part again, or has lent some of it: most parts are in use. */
     static final class Recovered implements Invariant {
-        private static final double ENOUGH = 0.9; // a loan that is on its way, or has just ended, counts nowhere
+        private static final double MIN_PARTS = 0.9; // parts whose loan is in transit or has just ended are unused
 
         @Override
         public String name() {
@@ -161,11 +167,11 @@
         }
 
         @Override
-        public String check(PlayedFleet fleet) {
+        public String check(SimulatedFleet fleet) {
             for (int destination : fleet.destinations()) {
-                if (fleet.parts(destination) < ENOUGH) {
+                if (fleet.parts(destination) < MIN_PARTS) {
                     return fleet.parts(destination) + " of destination " + destination + ": "
-                            + spelled(fleet, destination);
+                            + describe(fleet, destination);
                 }
             }
             return null;
--- a/src/main/java/firstair/kit/fleet/RandomHistories.java
+++ b/src/main/java/firstair/kit/fleet/RandomHistories.java
@@ -6,26 +6,29 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** Histories of fleets under faults, each drawn from its seed: invariants after every event, and an end in peace. */
+/**
+ * Random histories of fleets under faults, each drawn from its seed. Invariants are checked after every event, and the
+ * fleet has to recover after the last fault.
+ */
 public final class RandomHistories {
     private static final List<Integer> DESTINATIONS = List.of(1, 2);
-    private static final int BUCKETS = 12; // one for ordinary calls, others for bookings that run at a time
+    private static final int BUCKETS = 12; // one for ordinary calls, the others for bookings that run at the same time
     private static final int[] SIZES = {3, 4, 5, 7, 9, 12, 20};
-    private static final double LIMIT = 200;
-    private static final double MEAN_MS = 1500; // from one fault to the next
-    private static final double TROUBLED_MS = 90_000;
-    private static final double CALM_MS = 40_000; // after the last fault
-    private static final double PAUSE_MS = 15_000; // longest stop of a process
+    private static final double LIMIT = 200; // calls a second at each destination
+    private static final double MEAN_INTERVAL_MS = 1500; // from one fault to the next
+    private static final double FAULTS_MS = 90_000;
+    private static final double RECOVERY_MS = 40_000; // after the last fault
+    private static final double MAX_PAUSE_MS = 15_000;
 
     private static final double DAY_MS = 86_400_000;
 
-    /** What relays of a history share. */
+    /** What the relays of a history share; seeds alternate between the kinds. */
     enum Kind {
-        /** Limits alone. */
+        /** Limits only. */
         LIMITS,
-        /** Contracts of tenants too. */
+        /** Limits and contracts of tenants. */
         CONTRACTS,
-        /** Bookings too. */
+        /** Limits and bookings. */
         BOOKINGS;
 
         /** The kind of a seed's history. */
@@ -34,72 +37,91 @@
         }
     }
 
-    /** How one went. */
+    /**
+     * Summary of a history.
+     *
+     * @param servedShare share of calls sent in time, 0 to 1
+     * @param agreed      newest version of the agreed state
+     * @param onBookings  calls sent on bookings
+     * @param faults      number of faults by kind
+     * @param outcomes    number of requests for bookings by outcome
+     */
     public record History(
             long seed,
             String kind,
             int relays,
             long events,
             long digest,
-            double service,
+            double servedShare,
             long agreed,
             long onBookings,
-            Map<String, Integer> troubles,
+            Map<String, Integer> faults,
             Map<String, Integer> outcomes) {}
 
-    private final Fleets.Maker limits;
-    private final Fleets.Agreeing agreeing;
-    private final PlayedFleet.Wire wire;
+    private final FleetDefaults.LogicFactory limitsLogic;
+    private final FleetDefaults.LedgerLogicFactory ledgerLogic;
+    private final SimulatedFleet.Wire wire;
 
     /**
-     * Histories of some decisions.
+     * Creates histories of fleets with the given decision logic.
      *
-     * @param limits   decisions of relays that share limits alone
-     * @param agreeing decisions of relays that agree on more
+     * @param limitsLogic decision logic of relays that share limits only
+     * @param ledgerLogic decision logic of relays that also agree on contracts or bookings
      */
-    public RandomHistories(Fleets.Maker limits, Fleets.Agreeing agreeing, PlayedFleet.Wire wire) {
-        this.limits = limits;
-        this.agreeing = agreeing;
+    public RandomHistories(
+            FleetDefaults.LogicFactory limitsLogic,
+            FleetDefaults.LedgerLogicFactory ledgerLogic,
+            SimulatedFleet.Wire wire) {
+        this.limitsLogic = limitsLogic;
+        this.ledgerLogic = ledgerLogic;
         this.wire = wire;
     }
 
     /**
-     * Plays one.
+     * Simulates one history.
      *
-     * @throws Breach where an invariant does not hold, or the fleet is not itself again some time after the last fault
+     * @throws InvariantViolation if an invariant does not hold, or the fleet hasn't recovered some time after the last
+     *     fault
      */
-    public History play(long seed) {
-        return new One(seed, Kind.of(seed)).play();
+    public History run(long seed) {
+        return new Run(seed, Kind.of(seed)).run();
     }
 
-    private final class One {
+    private final class Run {
         private final Kind kind;
         private final Random random;
         private final Setup setup;
-        private final PlayedFleet fleet;
+        private final SimulatedFleet fleet;
         private final Demand demand;
-        private final Agreed agreed = new Agreed();
-        private final Batches batches;
-        private final Clients clients;
+        private final AgreedState agreed = new AgreedState();
+        private final BatchRuns batches;
+        private final RandomClients clients;
 
-        One(long seed, Kind kind) {
+        Run(long seed, Kind kind) {
             this.kind = kind;
             random = new Random(seed);
-            setup = Fleets.setup(SIZES[random.nextInt(SIZES.length)]);
-            fleet = new PlayedFleet(setup, Fleets::zone, seed, wire, this::made);
-            Invariants.Rates rates = kind == Kind.BOOKINGS
-                    ? new Invariants.Rates(
-                            this::limit, Batches.BURST_S * Clients.BOOKABLE + Demand.BURST_S + setup.drift(), BUCKETS)
-                    : new Invariants.Rates(this::limit);
-            fleet.holds(Invariants.sums()).holds(rates).holds(agreed);
-            Map<Integer, Double> all = new TreeMap<>();
-            DESTINATIONS.forEach(d -> all.put(d, LIMIT));
-            demand = new Demand(fleet, all, coming(), 1000, rates);
-            batches = new Batches(fleet, agreed, demand, rates);
-            clients = new Clients(fleet, demand, batches, agreed, DESTINATIONS.get(0));
+            setup = FleetDefaults.setup(SIZES[random.nextInt(SIZES.length)]);
+            fleet = new SimulatedFleet(setup, FleetDefaults::zone, seed, wire, this::createLogic);
+            Invariants.CallRates rates = kind == Kind.BOOKINGS
+                    ? new Invariants.CallRates(
+                            this::limit,
+                            BatchRuns.BURST_S * RandomClients.BOOKABLE + Demand.BURST_S + setup.drift(),
+                            BUCKETS)
+                    : new Invariants.CallRates(this::limit);
+            fleet.addInvariant(Invariants.sumOfParts()).addInvariant(rates).addInvariant(agreed);
+            Map<Integer, Double> destinationLimits = new TreeMap<>();
+            DESTINATIONS.forEach(destination -> destinationLimits.put(destination, LIMIT));
+            demand = new Demand(fleet, destinationLimits, arrivalRate(), 1000, rates);
+            batches = new BatchRuns(fleet, agreed, demand, rates);
+            clients = new RandomClients(fleet, demand, batches, agreed, DESTINATIONS.get(0));
             if (kind == Kind.CONTRACTS) {
-                new Tenants(
-                        fleet, agreed, List.of(Clients.TENANT), DESTINATIONS.get(0), Clients.TERM_MS, clients::file);
+                new TenantMessages(
+                        fleet,
+                        agreed,
+                        List.of(RandomClients.TENANT),
+                        DESTINATIONS.get(0),
+                        RandomClients.TERM_MS,
+                        clients::contractsOf);
             }
         }
 
@@ -107,40 +129,40 @@
             return demand.limit(destination);
         }
 
-        private Played made(Life life) {
+        private RelayLogic createLogic(SimulatedProcess process) {
             return kind == Kind.LIMITS
-                    ? limits.apply(life, DESTINATIONS)
-                    : agreeing.made(life, clients.settings(kind == Kind.CONTRACTS), DESTINATIONS);
+                    ? limitsLogic.apply(process, DESTINATIONS)
+                    : ledgerLogic.made(process, clients.settings(kind == Kind.CONTRACTS), DESTINATIONS);
         }
 
-        private Demand.Coming coming() {
+        private Demand.ArrivalRate arrivalRate() {
             Map<String, Double> weights = new TreeMap<>();
             setup.members().forEach(m -> weights.put(m, -Math.log(1 - random.nextDouble())));
             double sum = weights.values().stream().mapToDouble(w -> w).sum();
-            return (name, d, time) -> LIMIT * weights.get(name) / sum;
+            return (relay, destination, time) -> LIMIT * weights.get(relay) / sum;
         }
 
-        History play() {
+        History run() {
             fleet.startAll();
             if (kind == Kind.CONTRACTS) {
-                clients.release();
+                clients.releaseContracts();
             } else if (kind == Kind.BOOKINGS) {
-                clients.book();
+                clients.startBookings();
             }
-            int mayForget = kind == Kind.LIMITS
+            int maxLostFolders = kind == Kind.LIMITS
                     ? setup.members().size()
                     : setup.voters().size() - setup.majority();
-            Troubles troubles = new Troubles(
+            RandomFaults faults = new RandomFaults(
                     fleet,
-                    kind == Kind.LIMITS ? MEAN_MS : 2 * MEAN_MS,
-                    TROUBLED_MS,
-                    PAUSE_MS,
-                    kind == Kind.BOOKINGS ? Clients.SKEW_MS / 2 : DAY_MS,
-                    mayForget);
-            fleet.run(TROUBLED_MS + CALM_MS);
+                    kind == Kind.LIMITS ? MEAN_INTERVAL_MS : 2 * MEAN_INTERVAL_MS,
+                    FAULTS_MS,
+                    MAX_PAUSE_MS,
+                    kind == Kind.BOOKINGS ? RandomClients.SKEW_MS / 2 : DAY_MS,
+                    maxLostFolders);
+            fleet.run(FAULTS_MS + RECOVERY_MS);
             if (kind == Kind.LIMITS) {
-                fleet.holds(new Invariants.Recovered());
-                fleet.in(0, "peace", () -> {});
+                fleet.addInvariant(new Invariants.Recovered());
+                fleet.scheduleAfter(0, "peace", () -> {});
                 fleet.run(0);
             }
             return new History(
@@ -149,10 +171,10 @@
                     setup.members().size(),
                     fleet.events(),
                     fleet.digest(),
-                    demand.service(),
+                    demand.servedShare(),
                     agreed.newest(),
                     batches.sent(),
-                    troubles.counted(),
+                    faults.counts(),
                     clients.outcomes());
         }
     }
--- a/src/main/java/firstair/kit/fleet/Timeline.java
+++ b/src/main/java/firstair/kit/fleet/Timeline.java
@@ -7,13 +7,13 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 
-/** Events in virtual time: by their moment, and at one moment in the order in which they were made. */
+/** Queue of events in virtual time, ordered by time and, at the same time, by the order in which they were added. */
 final class Timeline {
-    private static final int KEPT = 40;
-    private static final long MIX = 0x9E3779B97F4A7C15L;
+    private static final int MAX_LAST_EVENTS = 40;
+    private static final long DIGEST_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    /** One event; {@code detail} is for people. */
-    record Event(double at, long number, String who, String what, Object detail, Runnable act)
+    /** One event; {@code detail} only appears in reports. */
+    record Event(double at, long number, String actor, String label, Object detail, Runnable action)
             implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -21,17 +21,17 @@
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
 
-        /** One line for people. */
+        /** The event as one line of a report. */
         String line() {
-            return String.format(Locale.ROOT, "%12.3f %-8s %s%s", at, who, what, detail == null ? "" : " " + detail);
+            return String.format(Locale.ROOT, "%12.3f %-8s %s%s", at, actor, label, detail == null ? "" : " " + detail);
         }
     }
 
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
-    private final Deque<Event> last = new ArrayDeque<>();
+    private final Deque<Event> lastEvents = new ArrayDeque<>();
     private double now;
-    private long made;
-    private long done;
+    private long added;
+    private long executed;
     private long digest;
 
     /** Virtual time, ms. */
@@ -39,22 +39,22 @@
         return now;
     }
 
-    /** How many events were played. */
-    long done() {
-        return done;
+    /** Number of events executed. */
+    long executed() {
+        return executed;
     }
 
-    /** A number that two equal histories share. */
+    /** Hash of the history so far; equal histories have equal digests. */
     long digest() {
         return digest;
     }
 
-    /** Makes an event; one in the past happens now. */
-    void at(double at, String who, String what, Object detail, Runnable act) {
-        queue.add(new Event(Math.max(at, now), made++, who, what, detail, act));
+    /** Adds an event; one in the past happens now. */
+    void schedule(double at, String actor, String label, Object detail, Runnable action) {
+        queue.add(new Event(Math.max(at, now), added++, actor, label, detail, action));
     }
 
-    /** Plays the next event that is not after {@code until}; false if there is none, and then it is {@code until}. */
+    /** Executes the next event up to {@code until}; if there is none, advances the time to it and returns false. */
     boolean step(double until) {
         Event next = queue.peek();
         if (next == null || next.at > until) {
@@ -63,27 +63,27 @@
         }
         queue.remove();
         now = next.at;
-        done++;
-        mix(Double.doubleToLongBits(next.at));
-        mix(next.who.hashCode());
-        mix(next.what.hashCode());
-        last.add(next);
-        if (last.size() > KEPT) {
-            last.remove();
+        executed++;
+        addToDigest(Double.doubleToLongBits(next.at));
+        addToDigest(next.actor.hashCode());
+        addToDigest(next.label.hashCode());
+        lastEvents.add(next);
+        if (lastEvents.size() > MAX_LAST_EVENTS) {
+            lastEvents.remove();
         }
-        next.act.run();
+        next.action.run();
         return true;
     }
 
-    /** Something of the history that its digest has to tell apart. */
-    void mix(long value) {
-        digest = (Long.rotateLeft(digest, 7) ^ value) * MIX;
+    /** Adds a value that distinguishes histories to the digest. */
+    void addToDigest(long value) {
+        digest = (Long.rotateLeft(digest, 7) ^ value) * DIGEST_MULTIPLIER;
     }
 
-    /** The last events, oldest first. */
-    List<String> last() {
+    /** The last executed events, oldest first, for reports. */
+    List<String> lastEvents() {
         List<String> lines = new ArrayList<>();
-        last.forEach(e -> lines.add(e.line()));
+        lastEvents.forEach(event -> lines.add(event.line()));
         return lines;
     }
 }
--- a/src/main/java/firstair/kit/fleet/Trouble.java
+++ b/src/main/java/firstair/kit/fleet/Trouble.java
@@ -1,39 +1,39 @@
 package firstair.kit.fleet;
 
 /**
- * What goes wrong on the way of one relay to one other.
+ * Faults of the link from one relay to another.
  *
- * @param loss         share of datagrams that are lost; a piece of a connection comes late instead, as if sent again
- * @param doubled      share of datagrams that come twice
- * @param leastDelayMs everything is under way for so long at least
- * @param mostDelayMs  and for so long at most; datagrams may pass each other, the pieces of a connection don't
- * @param cut          no datagram arrives, and connections stand still
+ * @param loss       share of datagrams that are lost; data of a connection is delayed instead, as if retransmitted
+ * @param duplicated share of datagrams that are delivered twice
+ * @param minDelayMs shortest delay
+ * @param maxDelayMs longest delay; delays can reorder datagrams, but not the data of a connection
+ * @param cut        whether datagrams are lost and connections stall
  */
-public record Trouble(double loss, double doubled, double leastDelayMs, double mostDelayMs, boolean cut) {
-    /** All is well. */
+public record Trouble(double loss, double duplicated, double minDelayMs, double maxDelayMs, boolean cut) {
+    /** No faults. */
     public static final Trouble NONE = new Trouble(0, 0, 0, 0, false);
-    /** Nothing arrives. */
+    /** All datagrams are lost and all connections stall. */
     public static final Trouble CUT = new Trouble(0, 0, 0, 0, true);
 
-    /** Shares lie between 0 and 1, delays are in order. */
+    /** Checks that shares lie between 0 and 1 and that delays are in order. */
     public Trouble {
         if (!(loss >= 0
                 && loss <= 1
-                && doubled >= 0
-                && doubled <= 1
-                && leastDelayMs >= 0
-                && mostDelayMs >= leastDelayMs)) {
+                && duplicated >= 0
+                && duplicated <= 1
+                && minDelayMs >= 0
+                && maxDelayMs >= minDelayMs)) {
             throw new IllegalArgumentException(
-                    "no such trouble: " + loss + ", " + doubled + ", " + leastDelayMs + ", " + mostDelayMs);
+                    "invalid faults of a link: " + loss + ", " + duplicated + ", " + minDelayMs + ", " + maxDelayMs);
         }
     }
 
-    /** Every datagram is under way for a time between the two. */
-    public static Trouble delay(double leastMs, double mostMs) {
-        return new Trouble(0, 0, leastMs, mostMs, false);
+    /** Delays everything by a random time between the two, ms. */
+    public static Trouble delay(double minMs, double maxMs) {
+        return new Trouble(0, 0, minMs, maxMs, false);
     }
 
-    /** A share of datagrams is lost. */
+    /** Loses a share of the datagrams, 0 to 1. */
     public static Trouble loss(double share) {
         return new Trouble(share, 0, 0, 0, false);
     }
--- a/src/main/java/firstair/kit/fleet/VirtualNet.java
+++ b/src/main/java/firstair/kit/fleet/VirtualNet.java
@@ -8,34 +8,38 @@
 import java.util.Random;
 import java.util.Set;
 
-/** A network among names: it loses, delays, doubles and reorders by seed, and can be cut, one way or both. */
+/**
+ * A simulated network between relays: loses, delays, duplicates and reorders messages by its seed. Links can be cut in
+ * one direction or in both.
+ */
 public final class VirtualNet {
 
     /**
-     * How bad it is.
+     * Conditions of the network; shares lie between 0 and 1, times are virtual.
      *
-     * @param loss    share of what is sent that never comes
-     * @param doubled share that comes twice
-     * @param late    share that is under way for up to {@code lateMs} instead
-     * @param leastMs shortest time under way
-     * @param mostMs  longest time under way of what is not late
+     * @param loss       share of messages that are lost
+     * @param duplicated share of messages that are delivered twice
+     * @param late       share of messages that are delayed by up to {@code lateMs} instead
+     * @param minMs      shortest delay
+     * @param maxMs      longest delay of messages that are not late
+     * @param lateMs     longest delay of late messages
      */
-    public record Weather(double loss, double doubled, double late, double leastMs, double mostMs, double lateMs) {
-        /** One building, no faults. */
-        public static final Weather FAIR = new Weather(0, 0, 0, 0.2, 2, 0);
-        /** Everything goes wrong at times. */
-        public static final Weather FOUL = new Weather(0.15, 0.1, 0.05, 0.5, 60, 30_000);
+    public record Conditions(double loss, double duplicated, double late, double minMs, double maxMs, double lateMs) {
+        /** A local network without faults. */
+        public static final Conditions NORMAL = new Conditions(0, 0, 0, 0.2, 2, 0);
+        /** Messages are lost, duplicated, delayed and reordered. */
+        public static final Conditions BAD = new Conditions(0.15, 0.1, 0.05, 0.5, 60, 30_000);
     }
 
-    /** What a relay sent and got, all its processes together. */
+    /** Traffic of a relay, of all its processes together. */
     public static final class Traffic {
         private long sent;
         private long sentBytes;
-        private long got;
-        private long gotBytes;
+        private long received;
+        private long receivedBytes;
         private int largest;
 
-        /** Messages sent. */
+        /** Number of messages sent. */
         public long sent() {
             return sent;
         }
@@ -45,108 +49,110 @@
             return sentBytes;
         }
 
-        /** Messages that came. */
-        public long got() {
-            return got;
+        /** Number of messages received. */
+        public long received() {
+            return received;
         }
 
-        /** Bytes of messages that came. */
-        public long gotBytes() {
-            return gotBytes;
+        /** Bytes of messages received. */
+        public long receivedBytes() {
+            return receivedBytes;
         }
 
-        /** The largest message sent, bytes. */
+        /** Size of the largest message sent, bytes. */
         public int largest() {
             return largest;
         }
     }
 
-    /** Takes what comes. */
-    interface Desk {
-        /** A message has come. */
+    /** Receives messages. */
+    interface Receiver {
+        /** A message was delivered. */
         void come(String from, String to, byte[] bytes);
     }
 
     private final Timeline timeline;
     private final Random random;
-    private final Desk desk;
-    private final Map<String, Set<String>> cut = new LinkedHashMap<>(); // by sender: who gets nothing of it
+    private final Receiver receiver;
+    private final Map<String, Set<String>> cut = new LinkedHashMap<>(); // cut receivers by sender
     private final Map<String, Traffic> traffic = new LinkedHashMap<>();
-    private Weather weather = Weather.FAIR;
+    private Conditions conditions = Conditions.NORMAL;
 
-    VirtualNet(Timeline timeline, Random random, Desk desk) {
+    VirtualNet(Timeline timeline, Random random, Receiver receiver) {
         this.timeline = timeline;
         this.random = random;
-        this.desk = desk;
+        this.receiver = receiver;
     }
 
-    /** From now on it is so bad. */
-    public void weather(Weather now) {
-        weather = now;
+    /** Sets the conditions of the network; messages in transit keep their delays. */
+    public void setConditions(Conditions newConditions) {
+        conditions = newConditions;
     }
 
-    /** From now on nothing comes from any of these to any of those; what is under way is lost too. */
+    /** Cuts the links from some relays to others, in this direction only; messages in transit are lost too. */
     public void cut(Collection<String> from, Collection<String> to) {
         for (String name : from) {
             cut.computeIfAbsent(name, n -> new LinkedHashSet<>()).addAll(to);
         }
     }
 
-    /** From now on nothing passes between these and those. */
-    public void part(Collection<String> one, Collection<String> other) {
+    /** Cuts the links between some relays and others in both directions. */
+    public void partition(Collection<String> one, Collection<String> other) {
         cut(one, other);
         cut(other, one);
     }
 
-    /** All cuts end. */
+    /** Restores all links. */
     public void heal() {
         cut.clear();
     }
 
-    /** Whether something can come from one to the other. */
-    public boolean open(String from, String to) {
+    /** Whether messages pass from one relay to another: whether this direction isn't cut. */
+    public boolean isOpen(String from, String to) {
         return !cut.getOrDefault(from, Set.of()).contains(to);
     }
 
-    /** What a relay sent and got. */
+    /** Traffic of a relay. */
     public Traffic traffic(String name) {
         return traffic.computeIfAbsent(name, n -> new Traffic());
     }
 
-    /** Sends a message on its way. */
+    /** Sends a message; {@code detail} only appears in reports. */
     void send(String from, String to, byte[] bytes, Object detail) {
-        Traffic own = traffic(from);
-        own.sent++;
-        own.sentBytes += bytes.length;
-        own.largest = Math.max(own.largest, bytes.length);
-        timeline.mix(Arrays.hashCode(bytes));
-        // as many draws for each message whatever becomes of it: a cut then changes no other message's fate
-        boolean lost = random.nextDouble() < weather.loss;
-        boolean twice = random.nextDouble() < weather.doubled;
-        double first = underWay();
-        double second = underWay();
-        if (lost || !open(from, to)) {
+        Traffic senderTraffic = traffic(from);
+        senderTraffic.sent++;
+        senderTraffic.sentBytes += bytes.length;
+        senderTraffic.largest = Math.max(senderTraffic.largest, bytes.length);
+        timeline.addToDigest(Arrays.hashCode(bytes));
+        // always the same number of random draws, so that a cut changes nothing for other messages
+        boolean lost = random.nextDouble() < conditions.loss;
+        boolean duplicate = random.nextDouble() < conditions.duplicated;
+        double first = randomDelay();
+        double second = randomDelay();
+        if (lost || !isOpen(from, to)) {
             return;
         }
-        on(from, to, bytes, first, detail);
-        if (twice) {
-            on(from, to, bytes, second, detail);
+        deliver(from, to, bytes, first, detail);
+        if (duplicate) {
+            deliver(from, to, bytes, second, detail);
         }
     }
 
-    private double underWay() {
-        boolean late = random.nextDouble() < weather.late;
-        double place = random.nextDouble();
-        return late ? place * weather.lateMs : weather.leastMs + place * (weather.mostMs - weather.leastMs);
+    private double randomDelay() {
+        boolean late = random.nextDouble() < conditions.late;
+        double fraction = random.nextDouble();
+        return late
+                ? fraction * conditions.lateMs
+                : conditions.minMs + fraction * (conditions.maxMs - conditions.minMs);
     }
 
-    private void on(String from, String to, byte[] bytes, double ms, Object detail) {
-        timeline.at(timeline.now() + ms, to, "hears", detail, () -> {
-            if (open(from, to)) {
-                Traffic theirs = traffic(to);
-                theirs.got++;
-                theirs.gotBytes += bytes.length;
-                desk.come(from, to, bytes);
+    private void deliver(String from, String to, byte[] bytes, double ms, Object detail) {
+        timeline.schedule(timeline.now() + ms, to, "hears", detail, () -> {
+            if (isOpen(from, to)) {
+                Traffic receiverTraffic = traffic(to);
+                receiverTraffic.received++;
+                receiverTraffic.receivedBytes += bytes.length;
+                receiver.come(from, to, bytes);
             }
         });
     }
--- a/src/test/java/firstair/kit/fleet/FaultyLinksTest.java
+++ b/src/test/java/firstair/kit/fleet/FaultyLinksTest.java
@@ -32,27 +32,28 @@
     private static final long SEED = 7;
 
     private final Loop loop = LoopThread.start(() -> {});
-    private final Map<String, InetSocketAddress> places = FaultyLinks.places(List.of("a", "b", "c"));
-    private final FaultyLinks links = new FaultyLinks(SEED, places);
+    private final Map<String, InetSocketAddress> addresses = FaultyLinks.places(List.of("a", "b", "c"));
+    private final FaultyLinks links = new FaultyLinks(SEED, addresses);
     private final Map<String, PeerTransport> relays = new LinkedHashMap<>();
-    private final Map<String, LinkedBlockingQueue<byte[]>> got = new LinkedHashMap<>();
+    private final Map<String, LinkedBlockingQueue<byte[]>> received = new LinkedHashMap<>();
 
     FaultyLinksTest() throws IOException {}
 
     @BeforeEach
     void startAll() throws IOException {
-        for (String name : places.keySet()) {
-            got.put(name, new LinkedBlockingQueue<>());
+        for (String name : addresses.keySet()) {
+            received.put(name, new LinkedBlockingQueue<>());
             start(name);
         }
     }
 
     private void start(String name) throws IOException {
         Map<String, InetSocketAddress> others = new LinkedHashMap<>();
-        places.keySet().stream().filter(o -> !o.equals(name)).forEach(o -> others.put(o, links.between(name, o)));
+        addresses.keySet().stream().filter(o -> !o.equals(name)).forEach(o -> others.put(o, links.between(name, o)));
         relays.put(
                 name,
-                new PeerTransport(loop, places.get(name), others, PeerTransport.Bounds.of(3), got.get(name)::add));
+                new PeerTransport(
+                        loop, addresses.get(name), others, PeerTransport.Bounds.of(3), received.get(name)::add));
     }
 
     @AfterEach
@@ -69,13 +70,13 @@
     }
 
     private int next(String at) throws InterruptedException {
-        byte[] bytes = got.get(at).poll(WAIT_S, TimeUnit.SECONDS);
-        assertThat(bytes).as("something at " + at).isNotNull();
+        byte[] bytes = received.get(at).poll(WAIT_S, TimeUnit.SECONDS);
+        assertThat(bytes).as("a message at " + at).isNotNull();
         return bytes[0];
     }
 
     @Test
-    void withoutTroubleAllArrivesByItsOwnWay() throws Exception {
+    void withoutFaultsEverythingArrivesOverItsOwnLink() throws Exception {
         send("a", "b", 10, 1);
         assertThat(next("b")).isEqualTo(1);
         send("b", "a", 1 << 20, 2);
@@ -86,40 +87,42 @@
         assertThat(links.counts("b", "a")).isEqualTo(new FaultyLinks.Counts(0, 0, 0, (1 << 20) + 4, 1));
         assertThat(links.peers("b"))
                 .isEqualTo("a=127.0.0.1:" + links.between("b", "a").getPort() + ",b=127.0.0.1:"
-                        + places.get("b").getPort() + ",c=127.0.0.1:"
+                        + addresses.get("b").getPort() + ",c=127.0.0.1:"
                         + links.between("b", "c").getPort());
         assertThatThrownBy(() -> links.between("a", "a")).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void aCutOneWayLosesDatagramsAndHoldsConnectionsThatWayOnly() throws Exception {
+    void aOneWayCutLosesDatagramsAndStallsConnectionsInThatDirectionOnly() throws Exception {
         send("a", "b", 5000, 1);
         assertThat(next("b")).isEqualTo(1);
         links.set("a", "b", Trouble.CUT);
         send("a", "b", 10, 2);
         send("a", "b", 5000, 3);
         Await.until(
-                "it came to the way and went no further",
+                "the link received and lost the datagram",
                 () -> links.counts("a", "b").lost() == 1);
         send("b", "a", 10, 4);
         send("b", "a", 5000, 5);
         assertThat(List.of(next("a"), next("a"))).containsExactlyInAnyOrder(4, 5);
         assertThat(links.counts("a", "b").bytes()).isEqualTo(5004);
         links.set("a", "b", Trouble.NONE);
-        assertThat(next("b")).as("what a connection held, not the datagram").isEqualTo(3);
+        assertThat(next("b"))
+                .as("the message held back in the connection, not the datagram")
+                .isEqualTo(3);
         send("a", "b", 10, 6);
         assertThat(next("b")).isEqualTo(6);
     }
 
     @Test
-    void aSideIsCutOffAndSpeaksAmongItself() throws Exception {
+    void aGroupThatIsCutOffStillCommunicatesWithinItself() throws Exception {
         links.around(List.of("a", "b"), Trouble.CUT);
         send("a", "c", 10, 1);
         send("c", "b", 10, 2);
         send("a", "b", 10, 3);
         assertThat(next("b")).isEqualTo(3);
         Await.until(
-                "lost on both ways",
+                "lost on both links",
                 () -> links.counts("a", "c").lost() + links.counts("c", "b").lost() == 2);
         links.everywhere(Trouble.NONE);
         send("c", "b", 10, 4);
@@ -127,31 +130,32 @@
     }
 
     @Test
-    void theFateOfDatagramsIsThatOfTheSeed() throws Exception {
-        Trouble trouble = new Trouble(0.3, 0.2, 0, 0, false);
-        List<Integer> first = fates(links, trouble);
+    void theSeedDecidesWhatHappensToDatagrams() throws Exception {
+        Trouble faults = new Trouble(0.3, 0.2, 0, 0, false);
+        List<Integer> first = arrivals(links, faults);
         assertThat(links.counts("a", "b").lost()).as("seed %d", SEED).isBetween(10L, 60L);
         assertThat(first.size() - first.stream().distinct().count())
-                .as("doubled")
+                .as("duplicated")
                 .isGreaterThan(5);
-        try (FaultyLinks same = new FaultyLinks(SEED, places);
-                FaultyLinks other = new FaultyLinks(SEED + 1, places)) {
-            assertThat(fates(same, trouble)).isEqualTo(first);
-            assertThat(fates(other, trouble)).isNotEqualTo(first);
+        try (FaultyLinks same = new FaultyLinks(SEED, addresses);
+                FaultyLinks other = new FaultyLinks(SEED + 1, addresses)) {
+            assertThat(arrivals(same, faults)).isEqualTo(first);
+            assertThat(arrivals(other, faults)).isNotEqualTo(first);
         }
     }
 
-    /** The marks of a hundred datagrams as they arrive, sent one after the other. */
-    private List<Integer> fates(FaultyLinks by, Trouble trouble) throws Exception {
-        by.set("a", "b", trouble);
-        try (DatagramSocket s = new DatagramSocket()) {
+    /** Sends a hundred datagrams one after the other; returns their marks in the order of arrival. */
+    private List<Integer> arrivals(FaultyLinks through, Trouble faults) throws Exception {
+        through.set("a", "b", faults);
+        try (DatagramSocket socket = new DatagramSocket()) {
             for (int i = 0; i <= 100; i++) {
                 int sent = i + 1;
                 if (i == 100) {
-                    by.set("a", "b", Trouble.NONE);
+                    through.set("a", "b", Trouble.NONE);
                 }
-                s.send(new DatagramPacket(new byte[] {(byte) i}, 1, by.between("a", "b")));
-                Await.until("taken", () -> by.counts("a", "b").came() == sent);
+                socket.send(new DatagramPacket(new byte[] {(byte) i}, 1, through.between("a", "b")));
+                Await.until(
+                        "received by the link", () -> through.counts("a", "b").received() == sent);
             }
         }
         List<Integer> all = new ArrayList<>();
@@ -162,52 +166,51 @@
     }
 
     @Test
-    void delaysAreKeptAndMayChangeTheOrderOfDatagramsOnly() throws Exception {
+    void delaysAreObservedAndReorderDatagramsOnly() throws Exception {
         links.set("a", "b", Trouble.delay(80, 80));
         long before = System.nanoTime();
         send("a", "b", 10, 1);
         assertThat(next("b")).isEqualTo(1);
         assertThat(System.nanoTime() - before).isGreaterThanOrEqualTo(TimeUnit.MILLISECONDS.toNanos(80));
         links.set("a", "b", Trouble.delay(0, 200));
-        List<Integer> marks = new ArrayList<>();
+        List<Integer> datagrams = new ArrayList<>();
         List<Integer> frames = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             send("a", "b", i % 2 == 0 ? 10 : 2000, i);
         }
         for (int i = 0; i < 30; i++) {
             int mark = next("b");
-            (mark % 2 == 0 ? marks : frames).add(mark);
+            (mark % 2 == 0 ? datagrams : frames).add(mark);
         }
-        assertThat(marks)
+        assertThat(datagrams)
                 .as("seed %d", SEED)
                 .hasSize(15)
-                .isNotEqualTo(marks.stream().sorted().toList());
+                .isNotEqualTo(datagrams.stream().sorted().toList());
         assertThat(frames).hasSize(15).isSorted();
     }
 
     @Test
-    void aRelayThatIsGoneEndsItsConnectionsAndOneThatReturnsIsReached() throws Exception {
+    void connectionsToAStoppedRelayEndAndARestartedOneIsReached() throws Exception {
         send("a", "b", 5000, 1);
         assertThat(next("b")).isEqualTo(1);
         relays.get("b").close();
-        Await.until("the end has come through", () -> {
+        Await.until("the end of the connection was forwarded", () -> {
             send("a", "b", 5000, 2);
-            return links.counts("a", "b").connected() > 1;
+            return links.counts("a", "b").connections() > 1;
         });
         start("b");
         Await.until("reached again", () -> {
             send("a", "b", 5000, 3);
-            return !got.get("b").isEmpty();
+            return !received.get("b").isEmpty();
         });
     }
 
     /**
-     * A place is told to a process that binds it later, so nobody else may get its port in between.
+     * A free address is bound later by another process, so its port must not be assigned to anything else in between.
      *
-     * <p>What happened: the places were ports that the system gives to whoever asks for any, free again as soon as they
-     * had been told. What showed it, in a run of all tests in two processes: {@code FaultyLinksTest.<init>:39->start:46
-     * Bind Address already in use}; the links of that instance were never closed, and {@code itEndsWhole} found their
-     * thread.
+     * <p>The failure: the addresses were ephemeral ports, released again before they were used. When all tests ran in
+     * two processes, the constructor of this class failed with {@code Bind Address already in use}; the links of that
+     * instance were never closed, and {@link #itEndsWhole} found their thread.
      */
     @Test
     void noPlaceIsAPortThatTheSystemGivesToOthers() throws Exception {
--- a/src/test/java/firstair/kit/fleet/GivenFleet.java
+++ b/src/test/java/firstair/kit/fleet/GivenFleet.java
@@ -6,38 +6,38 @@
 import com.tngtech.jgiven.annotation.Quoted;
 import com.tngtech.jgiven.annotation.ScenarioState;
 
-/** How stories of limits begin. */
+/** Initial states of the scenarios of limits. */
 public class GivenFleet extends Stage<GivenFleet> {
-    private static final double SETTLED_MS = 15_000;
+    private static final double WARM_UP_MS = 15_000;
 
     @ScenarioState
-    World world;
+    LimitFixture fixture;
 
     GivenFleet aFleetOf$Relays(int relays) {
-        return aFleetOf$RelaysOfSeed(relays, 1);
+        return aFleetOf$RelaysWithSeed(relays, 1);
     }
 
-    GivenFleet aFleetOf$RelaysOfSeed(int relays, long seed) {
-        world = new World(relays, seed, Fleets.sharing());
-        world.fleet.startAll();
+    GivenFleet aFleetOf$RelaysWithSeed(int relays, long seed) {
+        fixture = new LimitFixture(relays, seed, FleetDefaults.limitsOnly());
+        fixture.fleet.startAll();
         return self();
     }
 
-    GivenFleet allOfThemHaveTheirEvenPart() {
-        world.fleet.run(SETTLED_MS);
-        world.setup.members().forEach(m -> assertThat(world.part(m)).as(m).isEqualTo(world.even()));
+    GivenFleet allOfThemHaveTheirEqualPart() {
+        fixture.fleet.run(WARM_UP_MS);
+        fixture.setup.members().forEach(m -> assertThat(fixture.part(m)).as(m).isEqualTo(fixture.equalPart()));
         return self();
     }
 
-    GivenFleet $HasBorrowedOfTheOthers(@Quoted String name) {
-        world.wanted.put(name, World.LIMIT * 0.7);
-        world.fleet.run(SETTLED_MS);
-        assertThat(world.part(name)).isGreaterThan(0.6);
+    GivenFleet $HasBorrowedFromTheOthers(@Quoted String name) {
+        fixture.demandPerS.put(name, LimitFixture.LIMIT * 0.7);
+        fixture.fleet.run(WARM_UP_MS);
+        assertThat(fixture.part(name)).isGreaterThan(0.6);
         return self();
     }
 
-    GivenFleet eachRelayWantsTwiceItsPart() {
-        world.setup.members().forEach(m -> world.wanted.put(m, 2 * World.LIMIT * world.even()));
+    GivenFleet eachRelayHasADemandOfTwiceItsPart() {
+        fixture.setup.members().forEach(m -> fixture.demandPerS.put(m, 2 * LimitFixture.LIMIT * fixture.equalPart()));
         return self();
     }
 }
--- a/src/test/java/firstair/kit/fleet/RandomHistoriesTest.java
+++ b/src/test/java/firstair/kit/fleet/RandomHistoriesTest.java
@@ -10,45 +10,49 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Some of the histories of which {@code firstair fleet --seeds} plays a thousand. */
+/** The first of the random histories that {@code firstair fleet --seeds} runs. */
 class RandomHistoriesTest {
     private static final long SEEDS = 24;
-    private static final long TRIED = 120; // a rare defect shows in few of them
+    private static final long DEFECT_SEEDS = 120; // rare defects show in few histories
 
-    private static final RandomHistories REAL = new RandomHistories(Fleets.sharing(), Fleets.agreeing(), Fleets.wire());
+    private static final RandomHistories REAL =
+            new RandomHistories(FleetDefaults.limitsOnly(), FleetDefaults.withSettings(), FleetDefaults.wire());
 
     @Test
-    void everyHistoryKeepsEveryInvariantAndEndsInPeace() {
+    void everyHistoryKeepsEveryInvariantAndRecovers() {
         List<RandomHistories.History> all =
-                LongStream.rangeClosed(1, SEEDS).parallel().mapToObj(REAL::play).toList();
-        assertThat(all)
-                .allSatisfy(h -> assertThat(h.events()).as("seed %d", h.seed()).isGreaterThan(5000));
-        assertThat(all).anySatisfy(h -> assertThat(h.onBookings()).isGreaterThan(1000));
-        assertThat(all).anySatisfy(h -> assertThat(h.troubles()).containsKey("stays away"));
+                LongStream.rangeClosed(1, SEEDS).parallel().mapToObj(REAL::run).toList();
+        assertThat(all).allSatisfy(history -> assertThat(history.events())
+                .as("seed %d", history.seed())
+                .isGreaterThan(5000));
+        assertThat(all).anySatisfy(history -> assertThat(history.onBookings()).isGreaterThan(1000));
+        assertThat(all).anySatisfy(history -> assertThat(history.faults()).containsKey("ledger lost"));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {3, 4, 5}) // one of each kind
-    void theSameSeedTellsTheSameHistory(long seed) {
-        assertThat(REAL.play(seed)).isEqualTo(REAL.play(seed)).isNotEqualTo(REAL.play(seed + 3));
+    void theSameSeedGivesTheSameHistory(long seed) {
+        assertThat(REAL.run(seed)).isEqualTo(REAL.run(seed)).isNotEqualTo(REAL.run(seed + 3));
     }
 
     @ParameterizedTest
     @EnumSource
-    void aPlantedDefectIsCaught(Planted defect) {
+    void aPlantedDefectIsCaught(Defect defect) {
         RandomHistories planted = new RandomHistories(
-                (life, destinations) -> defect.play(life, Sharing.LIMITS, destinations), defect::play, Fleets.wire());
-        assertThat(LongStream.rangeClosed(1, TRIED).parallel().anyMatch(seed -> catches(planted, seed, defect)))
-                .as("one history out of %d catches %s", TRIED, defect)
+                (process, destinations) -> defect.create(process, Sharing.LIMITS, destinations),
+                defect::create,
+                FleetDefaults.wire());
+        assertThat(LongStream.rangeClosed(1, DEFECT_SEEDS).parallel().anyMatch(seed -> catches(planted, seed, defect)))
+                .as("one history out of %d catches %s", DEFECT_SEEDS, defect)
                 .isTrue();
     }
 
-    private static boolean catches(RandomHistories planted, long seed, Planted defect) {
+    private static boolean catches(RandomHistories planted, long seed, Defect defect) {
         try {
-            planted.play(seed);
+            planted.run(seed);
             return false;
-        } catch (Breach b) {
-            return b.invariant().equals(defect.caughtBy);
+        } catch (InvariantViolation violation) {
+            return violation.invariant().equals(defect.caughtBy);
         }
     }
 }
--- a/src/test/java/firstair/kit/fleet/ThenLimits.java
+++ b/src/test/java/firstair/kit/fleet/ThenLimits.java
@@ -8,81 +8,87 @@
 import com.tngtech.jgiven.annotation.ScenarioState;
 import java.util.List;
 
-/** What holds at the end of stories of limits; that no sum passed the limit at any moment was checked on the way. */
+/** Results of the scenarios of limits; the invariants have already checked every moment before. */
 public class ThenLimits extends Stage<ThenLimits> {
-    private static final double NEAR = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     @ScenarioState
-    World world;
+    LimitFixture fixture;
 
-    ThenLimits $UsesItsSurePartOnly(@Quoted String name) {
-        assertThat(world.part(name)).isCloseTo(world.sure(), within(NEAR));
+    ThenLimits $UsesOnlyItsGuaranteedPart(@Quoted String name) {
+        assertThat(fixture.part(name)).isCloseTo(fixture.guaranteed(), within(TOLERANCE));
         return self();
     }
 
-    ThenLimits $UsesItsEvenPart(@Quoted String name) {
-        assertThat(world.part(name)).isCloseTo(world.even(), within(NEAR));
+    ThenLimits $UsesItsEqualPart(@Quoted String name) {
+        assertThat(fixture.part(name)).isCloseTo(fixture.equalPart(), within(TOLERANCE));
         return self();
     }
 
-    ThenLimits allUseTheirEvenParts() {
-        world.setup.members().forEach(m -> assertThat(world.part(m)).as(m).isCloseTo(world.even(), within(NEAR)));
+    ThenLimits allUseTheirEqualParts() {
+        fixture.setup
+                .members()
+                .forEach(m -> assertThat(fixture.part(m)).as(m).isCloseTo(fixture.equalPart(), within(TOLERANCE)));
         return self();
     }
 
     ThenLimits $UsesNoMoreThan$(@Quoted String name, double part) {
-        assertThat(world.part(name)).isLessThanOrEqualTo(part);
+        assertThat(fixture.part(name)).isLessThanOrEqualTo(part);
         return self();
     }
 
     ThenLimits $UsesMoreThan$(@Quoted String name, double part) {
-        assertThat(world.part(name)).isGreaterThan(part);
+        assertThat(fixture.part(name)).isGreaterThan(part);
         return self();
     }
 
-    ThenLimits allOfTheLimitIsInUseButForTheSurePartOf$(@Quoted String name) {
-        assertThat(world.fleet.parts(World.DESTINATION)).isCloseTo(1 - world.sure(), within(1e-4));
+    ThenLimits theWholeLimitIsInUseExceptTheGuaranteedPartOf$(@Quoted String name) {
+        assertThat(fixture.fleet.parts(LimitFixture.DESTINATION)).isCloseTo(1 - fixture.guaranteed(), within(1e-4));
         return self();
     }
 
-    ThenLimits allButFor$WaitToo(@Quoted String name) {
-        world.others(name).forEach(m -> assertThat(waits(m)).as(m).isBetween(1.0, 10_000.0));
+    ThenLimits allExcept$WaitToo(@Quoted String name) {
+        fixture.others(name).forEach(m -> assertThat(remainingWaitMs(m)).as(m).isBetween(1.0, 10_000.0));
         return self();
     }
 
-    ThenLimits nobodyWaitsAnyMore() {
-        world.setup.members().forEach(m -> assertThat(waits(m)).as(m).isZero());
+    ThenLimits noRelayWaitsAnyLonger() {
+        fixture.setup
+                .members()
+                .forEach(m -> assertThat(remainingWaitMs(m)).as(m).isZero());
         return self();
     }
 
-    private double waits(String name) {
-        return ((FleetPlayed) world.fleet.life(name).played()).waits(World.DESTINATION);
+    private double remainingWaitMs(String name) {
+        return ((RealRelayLogic) fixture.fleet.process(name).logic()).remainingWaitMs(LimitFixture.DESTINATION);
     }
 
     ThenLimits atLeast$OfTheLimitIsInUse(double part) {
-        assertThat(world.fleet.parts(World.DESTINATION)).isGreaterThanOrEqualTo(part);
+        assertThat(fixture.fleet.parts(LimitFixture.DESTINATION)).isGreaterThanOrEqualTo(part);
         return self();
     }
 
-    ThenLimits nobodyHasMoreThanItsEvenPart() {
-        return nobodyHasMoreThanItsEvenPartBut$("");
+    ThenLimits noRelayHasMoreThanItsEqualPart() {
+        return noRelayExcept$HasMoreThanItsEqualPart("");
     }
 
-    ThenLimits nobodyHasMoreThanItsEvenPartBut$(@Quoted String name) {
-        world.others(name).forEach(m -> assertThat(world.part(m)).as(m).isLessThanOrEqualTo(world.even() + NEAR));
+    ThenLimits noRelayExcept$HasMoreThanItsEqualPart(@Quoted String name) {
+        fixture.others(name)
+                .forEach(m -> assertThat(fixture.part(m)).as(m).isLessThanOrEqualTo(fixture.equalPart() + TOLERANCE));
         return self();
     }
 
-    ThenLimits theOlderProcessOf$UsesItsSurePartOnlyAndSaysWhy(@Quoted String name) {
-        List<Life> both = world.fleet.running(name);
+    ThenLimits theOlderProcessOf$UsesOnlyItsGuaranteedPartAndReportsWhy(@Quoted String name) {
+        List<SimulatedProcess> both = fixture.fleet.running(name);
         assertThat(both).hasSize(2);
-        assertThat(both.get(0).part(World.DESTINATION)).isCloseTo(world.sure(), within(NEAR));
+        assertThat(both.get(0).part(LimitFixture.DESTINATION)).isCloseTo(fixture.guaranteed(), within(TOLERANCE));
         assertThat(both.get(0).reports()).anyMatch(line -> line.contains("F105"));
         return self();
     }
 
-    ThenLimits theNewerProcessOf$UsesItsEvenPart(@Quoted String name) {
-        assertThat(world.fleet.life(name).part(World.DESTINATION)).isCloseTo(world.even(), within(NEAR));
+    ThenLimits theNewerProcessOf$UsesItsEqualPart(@Quoted String name) {
+        assertThat(fixture.fleet.process(name).part(LimitFixture.DESTINATION))
+                .isCloseTo(fixture.equalPart(), within(TOLERANCE));
         return self();
     }
 }
