--- a/src/main/java/firstair/Hangups.java
+++ b/src/main/java/firstair/ReloadTrigger.java
@@ -14,7 +14,7 @@
  * are polled for changes instead. The deployment starts relays that way: for some tenths of a second, until the virtual
  * machine has installed its handler, the signal's default action would terminate the process.
  */
-final class Hangups {
+final class ReloadTrigger {
     private List<Path> polledFiles = List.of();
     private List<String> lastStates = List.of();
     private Runnable reload;
@@ -42,7 +42,7 @@
 
     /** Makes {@link #poll} handle each change of one of these files as a signal. */
     void startPolling(List<Path> files) {
-        Logger.getLogger(Hangups.class.getName())
+        Logger.getLogger(ReloadTrigger.class.getName())
                 .fine("SIGHUP is ignored by this process; polling the configuration files for changes instead");
         lastStates = states(files);
         polledFiles = files;
@@ -58,7 +58,7 @@
     }
 
     private static List<String> states(List<Path> files) {
-        return files.stream().map(Hangups::state).toList();
+        return files.stream().map(ReloadTrigger::state).toList();
     }
 
     /** A text that changes when the file is written or replaced. */
--- a/src/main/java/firstair/Serve.java
+++ b/src/main/java/firstair/Serve.java
@@ -24,10 +24,10 @@
      */
     public static int run(Map<String, String> env) throws InterruptedException {
         Logs.install();
-        Hangups hangups = new Hangups();
+        ReloadTrigger hangups = new ReloadTrigger();
         // First of all: SIGHUP must neither terminate a relay that is still starting, nor be lost by it.
-        if (!Signals.onHangup(hangups::signal)) {
-            hangups.startPolling(Stream.of("ROUTER_CONFIG", TunableSettings.FILE)
+        if (!SignalHandlers.onHangup(hangups::signal)) {
+            hangups.startPolling(Stream.of("ROUTER_CONFIG", TunableSettings.FILE_VARIABLE)
                     .filter(env::containsKey)
                     .map(env::get)
                     .map(Path::of)
@@ -35,14 +35,14 @@
         }
         Relay relay;
         try {
-            relay = new Relay(Config.read(env).with(TunableSettings.read(env)));
+            relay = new Relay(Config.read(env).withLocalSettings(TunableSettings.read(env)));
         } catch (ConfigException e) {
             e.lines().forEach(line -> System.err.println("firstair: " + line));
             return 2;
         } catch (IOException e) {
             return reportFailure(e);
         }
-        relay.lookForChanges(hangups::poll);
+        relay.setConfigCheck(hangups::poll);
         hangups.startServing(() -> relay.reload(() -> Config.read(env), () -> TunableSettings.read(env)));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
--- a/src/main/java/firstair/Signals.java
+++ b/src/main/java/firstair/SignalHandlers.java
@@ -4,10 +4,10 @@
 import java.util.logging.Logger;
 
 /** Handles signals whose default action in the virtual machine is to exit. */
-final class Signals {
-    private static final Logger LOG = Logger.getLogger(Signals.class.getName());
+final class SignalHandlers {
+    private static final Logger LOG = Logger.getLogger(SignalHandlers.class.getName());
 
-    private Signals() {}
+    private SignalHandlers() {}
 
     /**
      * Runs a task at each SIGHUP, on a thread of its own, in place of the virtual machine's exit. The JDK offers this
@@ -21,7 +21,7 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object signalHandler = Proxy.newProxyInstance(
-                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+                    SignalHandlers.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         if (!method.getName().equals("handle")) {
                             return method.invoke(task, args);
                         }
--- a/src/main/java/firstair/cli/ConfigCommand.java
+++ b/src/main/java/firstair/cli/ConfigCommand.java
@@ -1,6 +1,6 @@
 package firstair.cli;
 
-import firstair.config.Item;
+import firstair.config.Setting;
 import firstair.config.Values;
 import firstair.relay.Config;
 import firstair.relay.HostPort;
@@ -55,23 +55,23 @@
         out.println("# ROUTER_CONFIG: " + fileOptions.origin("ROUTER_CONFIG") + ", ROUTER_STATE: "
                 + fileOptions.origin("ROUTER_STATE"));
         out.println("name = " + config.name());
-        out.println("listen = " + HostPort.of(config.listen()));
-        out.println("discovery = " + HostPort.of(config.discovery()));
+        out.println("listen = " + HostPort.format(config.listen()));
+        out.println("discovery = " + HostPort.format(config.discovery()));
         out.println("state = " + config.state());
         out.println("known = "
-                + (config.known() == null
+                + (config.knownEndpoints() == null
                         ? "none"
-                        : config.known().entries().size() + " endpoints, version "
-                                + config.known().version()));
-        for (Item item : TunableSettings.schema().items()) {
-            Values.Value value = config.own().value(item.path());
+                        : config.knownEndpoints().entries().size() + " endpoints, version "
+                                + config.knownEndpoints().version()));
+        for (Setting item : TunableSettings.schema().items()) {
+            Values.Value value = config.localSettings().value(item.path());
             out.println(item.path() + " = "
                     + (value == null
-                            ? item.write(item.usually()) + "  # usual"
-                            : item.write(value) + "  # " + value.origin()
+                            ? item.format(item.defaultValue()) + "  # usual"
+                            : item.format(value) + "  # " + value.origin()
                                     + (value.overriddenOrigin().isEmpty() ? "" : ", not " + value.overriddenOrigin())));
         }
-        print(out, "limits.", config.limits().tuned(config.own()), Limits.class);
+        print(out, "limits.", config.limits().withLocalSettings(config.localSettings()), Limits.class);
         print(
                 out,
                 "settings.limits.",
@@ -122,8 +122,8 @@
 
     private static Config read(FileOptions fileOptions) {
         Map<String, String> env = fileOptions.applyTo(System.getenv());
-        Config config = Config.read(env).with(TunableSettings.read(env));
-        FleetConfig.of(config.own(), config); // serve validates the fleet's settings as well
+        Config config = Config.read(env).withLocalSettings(TunableSettings.read(env));
+        FleetConfig.of(config.localSettings(), config); // serve validates the fleet's settings as well
         return config;
     }
 
--- a/src/main/java/firstair/cli/FileOptions.java
+++ b/src/main/java/firstair/cli/FileOptions.java
@@ -39,9 +39,9 @@
             variables.put("ROUTER_STATE", state);
         }
         if (settings != null) {
-            variables.put(TunableSettings.FILE, settings);
+            variables.put(TunableSettings.FILE_VARIABLE, settings);
         }
-        set.forEach((name, value) -> variables.put(TunableSettings.FLAG + name, value));
+        set.forEach((name, value) -> variables.put(TunableSettings.FLAG_PREFIX + name, value));
         return variables;
     }
 
--- a/src/main/java/firstair/config/Fault.java
+++ b/src/main/java/firstair/config/ConfigError.java
@@ -8,11 +8,11 @@
  * @param column column in that line, counted from 1; 0 if there is none
  * @param what   description, kept to one line of limited length
  */
-public record Fault(String source, int line, int column, String what) {
+public record ConfigError(String source, int line, int column, String what) {
     private static final int MAX_LENGTH = 200;
 
     /** Shortens the description and removes its line breaks, so that a file cannot forge lines of our log. */
-    public Fault {
+    public ConfigError {
         StringBuilder clean = new StringBuilder();
         what.codePoints()
                 .limit(MAX_LENGTH)
--- a/src/main/java/firstair/config/Read.java
+++ b/src/main/java/firstair/config/ParsedSettings.java
@@ -21,9 +21,9 @@
  * The settings from one source: their values and all errors. Any input gives values or errors, never an exception.
  *
  * @param values the valid values; to be used only if there are no errors
- * @param faults all errors of the source
+ * @param errors all errors of the source
  */
-public record Read(Values values, List<Fault> faults) {
+public record ParsedSettings(Values values, List<ConfigError> errors) {
     private static final int MAX_BYTES = 1 << 20;
     private static final int MAX_BRACKET_DEPTH = 64; // limits the recursion of the parser
 
@@ -32,33 +32,33 @@
      *
      * @param source name of the file, for errors and origins
      */
-    public static Read toml(String source, byte[] bytes, Schema schema) {
-        List<Fault> faults = new ArrayList<>();
+    public static ParsedSettings fromToml(String source, byte[] bytes, Schema schema) {
+        List<ConfigError> faults = new ArrayList<>();
         if (bytes.length > MAX_BYTES) {
-            faults.add(new Fault(source, 0, 0, "holds " + bytes.length + " bytes, " + MAX_BYTES + " at most"));
-            return new Read(Values.NONE, faults);
+            faults.add(new ConfigError(source, 0, 0, "holds " + bytes.length + " bytes, " + MAX_BYTES + " at most"));
+            return new ParsedSettings(Values.NONE, faults);
         }
         String text = decodeUtf8(source, bytes, faults);
         if (text == null || exceedsBracketDepth(source, text, faults)) {
-            return new Read(Values.NONE, faults);
+            return new ParsedSettings(Values.NONE, faults);
         }
         Map<String, Values.Value> set = new LinkedHashMap<>();
         try {
             TomlParseResult parsed = Toml.parse(text);
             for (TomlParseError e : parsed.errors()) {
-                faults.add(
-                        new Fault(source, e.position().line(), e.position().column(), String.valueOf(e.getMessage())));
+                faults.add(new ConfigError(
+                        source, e.position().line(), e.position().column(), String.valueOf(e.getMessage())));
             }
             if (!parsed.hasErrors()) {
                 readTable(source, parsed, "", schema, set, faults);
             }
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            faults.add(new Fault(source, 0, 0, "cannot be read as TOML: " + e)); // failures inside the parser
+            faults.add(new ConfigError(source, 0, 0, "cannot be read as TOML: " + e)); // failures inside the parser
         }
-        return new Read(Values.of(set), faults);
+        return new ParsedSettings(Values.of(set), faults);
     }
 
-    private static String decodeUtf8(String source, byte[] bytes, List<Fault> faults) {
+    private static String decodeUtf8(String source, byte[] bytes, List<ConfigError> faults) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             String text = StandardCharsets.UTF_8
@@ -75,18 +75,19 @@
                 line += bytes[i] == '\n' ? 1 : 0;
                 column = bytes[i] == '\n' ? 1 : column + 1;
             }
-            faults.add(new Fault(source, line, column, "a byte that is no UTF-8"));
+            faults.add(new ConfigError(source, line, column, "a byte that is no UTF-8"));
             return null;
         }
     }
 
-    private static boolean exceedsBracketDepth(String source, String text, List<Fault> faults) {
+    private static boolean exceedsBracketDepth(String source, String text, List<ConfigError> faults) {
         int depth = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             depth += c == '[' || c == '{' ? 1 : (c == ']' || c == '}') && depth > 0 ? -1 : 0;
             if (depth > MAX_BRACKET_DEPTH) {
-                faults.add(new Fault(source, 0, 0, "more than " + MAX_BRACKET_DEPTH + " brackets within each other"));
+                faults.add(new ConfigError(
+                        source, 0, 0, "more than " + MAX_BRACKET_DEPTH + " brackets within each other"));
                 return true;
             }
         }
@@ -99,7 +100,7 @@
             String prefix,
             Schema schema,
             Map<String, Values.Value> set,
-            List<Fault> faults) {
+            List<ConfigError> faults) {
         for (String key : table.keySet()) {
             List<String> keyPath = List.of(key); // a key that contains a dot stays one key
             String path = prefix + key;
@@ -107,14 +108,14 @@
             TomlPosition position = table.inputPositionOf(keyPath);
             int line = position == null ? 0 : position.line();
             int column = position == null ? 0 : position.column();
-            Item item = schema.item(path);
+            Setting item = schema.item(path);
             boolean isTable = schema.tables().containsKey(path) || item == null && hasTableBelow(schema, path);
             if (found instanceof TomlTable && isTable) {
                 readTable(source, (TomlTable) found, path + ".", schema, set, faults);
             } else {
                 readValue(
                         source + (line > 0 ? ":" + line : ""),
-                        new Fault(source, line, column, describe(found)),
+                        new ConfigError(source, line, column, describe(found)),
                         path,
                         item,
                         asText(found, item),
@@ -130,7 +131,7 @@
     }
 
     /** Returns the value that was found as a text, or null if the setting is a text or list and the value is not. */
-    private static String asText(Object found, Item item) {
+    private static String asText(Object found, Setting item) {
         if (item == null || !item.kind().isText() || found instanceof String) {
             return describe(found);
         }
@@ -155,36 +156,36 @@
      * @param texts   value of each path
      * @param origins where each path was set, for errors
      */
-    public static Read texts(Map<String, String> texts, Map<String, String> origins, Schema schema) {
-        List<Fault> faults = new ArrayList<>();
+    public static ParsedSettings fromTexts(Map<String, String> texts, Map<String, String> origins, Schema schema) {
+        List<ConfigError> faults = new ArrayList<>();
         Map<String, Values.Value> set = new LinkedHashMap<>();
         texts.forEach((path, text) -> readValue(
                 origins.get(path),
-                new Fault(origins.get(path), 0, 0, text),
+                new ConfigError(origins.get(path), 0, 0, text),
                 path,
                 schema.item(path),
                 text,
                 schema,
                 set,
                 faults));
-        return new Read(Values.of(set), faults);
+        return new ParsedSettings(Values.of(set), faults);
     }
 
     /** Name of the environment variable that sets an item. */
-    public static String variable(String prefix, String path) {
+    public static String environmentVariable(String prefix, String path) {
         return prefix + path.replace('.', '_').toUpperCase(Locale.ROOT);
     }
 
     /** Adds an item's value, or an error; {@code found} holds the position and the text found there. */
     private static void readValue(
             String origin,
-            Fault found,
+            ConfigError found,
             String path,
-            Item item,
+            Setting item,
             String text,
             Schema schema,
             Map<String, Values.Value> set,
-            List<Fault> faults) {
+            List<ConfigError> faults) {
         String what;
         if (item == null) {
             String closest = schema.closestPath(path);
@@ -199,6 +200,6 @@
             String shortened = foundText.length() > 60 ? foundText.substring(0, 60) + "..." : foundText;
             what = path + ": found " + (shortened.isEmpty() ? "nothing" : shortened) + ", allowed is " + item.allowed();
         }
-        faults.add(new Fault(found.source(), found.line(), found.column(), what));
+        faults.add(new ConfigError(found.source(), found.line(), found.column(), what));
     }
 }
--- a/src/main/java/firstair/config/Schema.java
+++ b/src/main/java/firstair/config/Schema.java
@@ -9,7 +9,7 @@
 public final class Schema {
     private static final int MAX_EDIT_DISTANCE = 4; // between a misspelt path and the one suggested for it
 
-    private final Map<String, Item> items = new LinkedHashMap<>();
+    private final Map<String, Setting> items = new LinkedHashMap<>();
     private final Map<String, String> tables = new LinkedHashMap<>();
 
     /** Adds a table; items that are added next belong to it. */
@@ -18,17 +18,17 @@
         return this;
     }
 
-    /** Adds an item to the table added last; see {@link Item} for the parameters. */
+    /** Adds an item to the table added last; see {@link Setting} for the parameters. */
     public Schema item(
             String name, Kind kind, String usual, double min, double max, boolean atReload, String description) {
         List<String> tableNames = new ArrayList<>(tables.keySet());
         String path = tableNames.get(tableNames.size() - 1) + "." + name;
-        items.put(path, new Item(path, kind, usual, min, max, atReload, description));
+        items.put(path, new Setting(path, kind, usual, min, max, atReload, description));
         return this;
     }
 
     /** All items, in the order in which they were added. */
-    public List<Item> items() {
+    public List<Setting> items() {
         return List.copyOf(items.values());
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** Returns the item of a path, or null if there is none. */
-    public Item item(String path) {
+    public Setting item(String path) {
         return items.get(path);
     }
 
@@ -96,11 +96,11 @@
                     .forEach(item -> page.append("| `")
                             .append(item.path().substring(table.length() + 1))
                             .append("` | ")
-                            .append(item.usual().isEmpty() ? "empty" : '`' + item.usual() + '`')
+                            .append(item.defaultText().isEmpty() ? "empty" : '`' + item.defaultText() + '`')
                             .append(" | ")
                             .append(item.allowed())
                             .append(" | ")
-                            .append(item.atReload() ? "taken over" : "waits for the next start")
+                            .append(item.appliedAtReload() ? "taken over" : "waits for the next start")
                             .append(" | ")
                             .append(item.description())
                             .append(" |\n"));
--- a/src/main/java/firstair/config/Item.java
+++ b/src/main/java/firstair/config/Setting.java
@@ -3,24 +3,31 @@
 /**
  * Definition of one setting.
  *
- * @param path        its table and name, separated by a dot
- * @param kind        type of its values
- * @param usual       default value, written as in a file
- * @param min         minimum, in the unit of the kind; for a text its length, for a list the number of its elements
- * @param max         maximum, counted likewise
- * @param atReload    whether a reload applies a new value; otherwise it applies at the next start
- * @param description what it controls, a sentence without the full stop
+ * @param path            its table and name, separated by a dot
+ * @param kind            type of its values
+ * @param defaultText     default value, written as in a file
+ * @param min             minimum, in the unit of the kind; for a text its length, for a list the number of its elements
+ * @param max             maximum, counted likewise
+ * @param appliedAtReload whether a reload applies a new value; otherwise it applies at the next start
+ * @param description     what it controls, a sentence without the full stop
  */
-public record Item(String path, Kind kind, String usual, double min, double max, boolean atReload, String description) {
+public record Setting(
+        String path,
+        Kind kind,
+        String defaultText,
+        double min,
+        double max,
+        boolean appliedAtReload,
+        String description) {
     /**
      * Checks the default value.
      *
      * @throws IllegalArgumentException if it is not within the limits
      */
-    public Item {
-        double value = kind.parse(usual);
+    public Setting {
+        double value = kind.parse(defaultText);
         if (!(value >= min && value <= max)) {
-            throw new IllegalArgumentException(path + ": default value " + usual + " is not allowed");
+            throw new IllegalArgumentException(path + ": default value " + defaultText + " is not allowed");
         }
     }
 
@@ -35,8 +42,8 @@
     }
 
     /** The default value. */
-    public Values.Value usually() {
-        return value(usual, "", "");
+    public Values.Value defaultValue() {
+        return value(defaultText, "", "");
     }
 
     /** Parses a text; the value's number is NaN if the text does not denote a value of this kind. */
@@ -47,7 +54,7 @@
     }
 
     /** Formats a value as in a file: a number with its unit, a text in quotes. */
-    public String write(Values.Value value) {
+    public String format(Values.Value value) {
         return kind.isText()
                 ? '"' + value.text().replace("\\", "\\\\").replace("\"", "\\\"") + '"'
                 : kind.format(value.value());
--- a/src/main/java/firstair/config/Values.java
+++ b/src/main/java/firstair/config/Values.java
@@ -31,7 +31,7 @@
     }
 
     /** Merges two sets of values; where both set a path, the value of {@code overriding} applies. */
-    public Values under(Values overriding) {
+    public Values overriddenBy(Values overriding) {
         Map<String, Value> merged = new LinkedHashMap<>(set);
         overriding.set.forEach((path, value) -> {
             Value overridden = set.get(path);
@@ -78,7 +78,7 @@
     }
 
     /** Returns the number of a path without its fraction, or the default if it was not set. */
-    public int whole(String path, int defaultValue) {
+    public int integer(String path, int defaultValue) {
         Value value = set.get(path);
         return value == null ? defaultValue : (int) value.value();
     }
--- a/src/main/java/firstair/control/Control.java
+++ b/src/main/java/firstair/control/Control.java
@@ -455,7 +455,7 @@
     }
 
     @Override
-    public double mayGo(double now, long id, int attempt) {
+    public double timeoutAtWrite(double now, long id, int attempt) {
         Attempt sent = attempts.get(attemptKey(id, attempt));
         if (sent == null) {
             return 0;
--- a/src/main/java/firstair/control/Controller.java
+++ b/src/main/java/firstair/control/Controller.java
@@ -39,7 +39,7 @@
     /**
      * How an attempt ended. {@code FULL}: the endpoint rejected the call. {@code CROWDED}: it answered, but is at its
      * connection limit and rejected a new connection; nothing ran. {@code WITHHELD}: nothing was written, as
-     * {@link #mayGo} did not permit it; it does not count as an attempt, and its number is used again.
+     * {@link #timeoutAtWrite} did not permit it; it does not count as an attempt, and its number is used again.
      * {@code LOCAL_FAILURE}: the same after a failure of this machine, which says nothing of the endpoint.
      */
     enum Result {
@@ -265,7 +265,7 @@
      * begins; an attempt that is not permitted must end as {@link Result#WITHHELD}. A call has the shortest time-out of
      * its messages that are permitted.
      */
-    default double mayGo(double now, long id, int attempt) {
+    default double timeoutAtWrite(double now, long id, int attempt) {
         return Double.POSITIVE_INFINITY;
     }
 
--- a/src/main/java/firstair/fleet/judge/HealthEvidence.java
+++ b/src/main/java/firstair/fleet/judge/HealthEvidence.java
@@ -66,7 +66,7 @@
             sight = s.observation();
             calls = s.calls();
             holdsMs = s.validMs();
-            successRate = s.reach();
+            successRate = s.successRate();
             this.at = at;
             this.end = end;
             firstAt = at;
@@ -213,8 +213,8 @@
                     && s.ageMs() >= 0
                     && s.validMs() > 0
                     && !Double.isInfinite(s.validMs())
-                    && s.reach() >= 0
-                    && s.reach() <= 1;
+                    && s.successRate() >= 0
+                    && s.successRate() <= 1;
             if (ours
                     || !valid
                     || !members.contains(s.reporter())
--- a/src/main/java/firstair/fleet/talk/Note.java
+++ b/src/main/java/firstair/fleet/talk/Note.java
@@ -77,8 +77,8 @@
     /**
      * What one relay observed of a destination or an endpoint; valid for {@code holdsMs} from now on.
      *
-     * @param subject {@code d:7} for a destination, {@code e:NAME} for an endpoint
-     * @param reach   fraction of its own recent calls to all endpoints that were answered
+     * @param subject     {@code d:7} for a destination, {@code e:NAME} for an endpoint
+     * @param successRate fraction of its own recent calls to all endpoints that were answered
      */
     record HealthReport(
             String reporter,
@@ -88,7 +88,7 @@
             int calls,
             double ageMs,
             double validMs,
-            double reach) {}
+            double successRate) {}
 
     /** A batch of signs. */
     record HealthReports(List<HealthReport> reports) implements Note {}
--- a/src/main/java/firstair/fleet/talk/NoteCodecs.java
+++ b/src/main/java/firstair/fleet/talk/NoteCodecs.java
@@ -35,7 +35,7 @@
                     s.calls(),
                     s.ageMs(),
                     s.validMs(),
-                    s.reach()),
+                    s.successRate()),
             v -> new Note.HealthReport(
                     (String) v[0],
                     (long) v[1],
--- a/src/main/java/firstair/kit/fleet/FaultyLink.java
+++ b/src/main/java/firstair/kit/fleet/FaultyLink.java
@@ -38,7 +38,7 @@
 
     private record Piece(double due, ByteBuffer bytes) {}
 
-    volatile Trouble faults = Trouble.NONE;
+    volatile LinkFaults faults = LinkFaults.NONE;
 
     private final Random random;
     private final Random connectionRandom; // separate: the number of reads from connections differs from run to run
@@ -87,7 +87,7 @@
             byte[] datagram = new byte[buffer.flip().remaining()];
             buffer.get(datagram);
             received.increment();
-            Trouble current = faults;
+            LinkFaults current = faults;
             // The same random draws for each datagram whatever the faults are, so that a seed gives the same results.
             double lossDraw = random.nextDouble();
             double duplicateDraw = random.nextDouble();
@@ -104,7 +104,7 @@
         }
     }
 
-    private static double delay(Trouble faults, Random random) {
+    private static double delay(LinkFaults faults, Random random) {
         return faults.minDelayMs() + random.nextDouble() * (faults.maxDelayMs() - faults.minDelayMs());
     }
 
@@ -254,7 +254,7 @@
                     if (n < 0) {
                         ended = true;
                     } else if (n > 0) {
-                        Trouble current = faults;
+                        LinkFaults current = faults;
                         double retransmitMs = connectionRandom.nextDouble() < current.loss() ? RETRANSMIT_MS : 0;
                         lastDue = Math.max(lastDue, now + delay(current, connectionRandom) + retransmitMs);
                         pieces.add(new Piece(
--- a/src/main/java/firstair/kit/fleet/FaultyLinks.java
+++ b/src/main/java/firstair/kit/fleet/FaultyLinks.java
@@ -17,8 +17,8 @@
 /**
  * Forwards the traffic between relays that run as processes, with faults. Each relay is configured with a proxy port in
  * place of each other relay; datagrams and connections to the port are forwarded to that relay with the faults given by
- * {@link #set}. Everything runs on loopback and on one thread, until {@link #close}. What happens to the n-th datagram
- * of a link depends only on the seed and on the link's faults.
+ * {@link #setFaults}. Everything runs on loopback and on one thread, until {@link #close}. What happens to the n-th
+ * datagram of a link depends only on the seed and on the link's faults.
  */
 public final class FaultyLinks implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(FaultyLinks.class.getName());
@@ -46,7 +46,7 @@
     /**
      * Opens the links between all relays, in both directions.
      *
-     * @param relays addresses at which the relays themselves listen, by name; see {@link #places}
+     * @param relays addresses at which the relays themselves listen, by name; see {@link #freeAddresses}
      * @throws IOException if the ports cannot be bound
      */
     public FaultyLinks(long seed, Map<String, InetSocketAddress> relays) throws IOException {
@@ -95,7 +95,7 @@
     }
 
     /** Free addresses on loopback for relays that are started later; see {@link LoopbackPorts}. */
-    public static Map<String, InetSocketAddress> places(List<String> names) throws IOException {
+    public static Map<String, InetSocketAddress> freeAddresses(List<String> names) throws IOException {
         Map<String, InetSocketAddress> all = new LinkedHashMap<>();
         for (String name : names) {
             all.put(name, LoopbackPorts.shared().next());
@@ -104,39 +104,39 @@
     }
 
     /** UDP and TCP address of the link from one relay to another. */
-    public InetSocketAddress between(String from, String to) {
+    public InetSocketAddress address(String from, String to) {
         return link(from, to).address();
     }
 
     /** Value of {@code fleet.peers} for one relay: its own address, and the links in place of the other relays. */
-    public String peers(String self) {
+    public String peersOf(String self) {
         StringJoiner all = new StringJoiner(",");
         relays.forEach((name, own) -> {
-            InetSocketAddress at = name.equals(self) ? own : between(self, name);
+            InetSocketAddress at = name.equals(self) ? own : address(self, name);
             all.add(name + "=" + at.getAddress().getHostAddress() + ":" + at.getPort());
         });
         return all.toString();
     }
 
     /** Sets the faults of one link; the opposite direction is unchanged. */
-    public void set(String from, String to, Trouble faults) {
+    public void setFaults(String from, String to, LinkFaults faults) {
         link(from, to).faults = faults;
         selector.wakeup(); // resumes stalled connections
     }
 
     /** Sets the faults between some relays and all others, in both directions, but not among themselves. */
-    public void around(List<String> group, Trouble faults) {
+    public void setFaultsBetween(List<String> group, LinkFaults faults) {
         for (String from : relays.keySet()) {
             for (String to : relays.keySet()) {
                 if (group.contains(from) != group.contains(to)) {
-                    set(from, to, faults);
+                    setFaults(from, to, faults);
                 }
             }
         }
     }
 
     /** Sets the faults of all links. */
-    public void everywhere(Trouble faults) {
+    public void setAllFaults(LinkFaults faults) {
         links.values().forEach(link -> link.faults = faults);
         selector.wakeup();
     }
--- a/src/main/java/firstair/kit/fleet/Trouble.java
+++ b/src/main/java/firstair/kit/fleet/LinkFaults.java
@@ -9,14 +9,14 @@
  * @param maxDelayMs longest delay; delays can reorder datagrams, but not the data of a connection
  * @param cut        whether datagrams are lost and connections stall
  */
-public record Trouble(double loss, double duplicated, double minDelayMs, double maxDelayMs, boolean cut) {
+public record LinkFaults(double loss, double duplicated, double minDelayMs, double maxDelayMs, boolean cut) {
     /** No faults. */
-    public static final Trouble NONE = new Trouble(0, 0, 0, 0, false);
+    public static final LinkFaults NONE = new LinkFaults(0, 0, 0, 0, false);
     /** All datagrams are lost and all connections stall. */
-    public static final Trouble CUT = new Trouble(0, 0, 0, 0, true);
+    public static final LinkFaults CUT = new LinkFaults(0, 0, 0, 0, true);
 
     /** Checks that shares lie between 0 and 1 and that delays are in order. */
-    public Trouble {
+    public LinkFaults {
         if (!(loss >= 0
                 && loss <= 1
                 && duplicated >= 0
@@ -29,12 +29,12 @@
     }
 
     /** Delays everything by a random time between the two, ms. */
-    public static Trouble delay(double minMs, double maxMs) {
-        return new Trouble(0, 0, minMs, maxMs, false);
+    public static LinkFaults delay(double minMs, double maxMs) {
+        return new LinkFaults(0, 0, minMs, maxMs, false);
     }
 
     /** Loses a share of the datagrams, 0 to 1. */
-    public static Trouble loss(double share) {
-        return new Trouble(share, 0, 0, 0, false);
+    public static LinkFaults loss(double share) {
+        return new LinkFaults(share, 0, 0, 0, false);
     }
 }
--- a/src/main/java/firstair/kit/run/Node.java
+++ b/src/main/java/firstair/kit/run/Node.java
@@ -40,14 +40,14 @@
     private final Path folder;
     private String discovery;
     private String initialList;
-    private final List<String> log = new ArrayList<>();
+    private final List<String> completeLog = new ArrayList<>();
     private String config;
     private int memoryMb = 192;
     private int diskMb = 3;
     private int sockets = 1024;
     private String listen = "127.0.0.1:0";
     private String name = "n0";
-    private int group = 1;
+    private int relayGroup = 1;
     private int slot;
     private List<String> zones = List.of("z");
     private String zone = "z";
@@ -121,12 +121,12 @@
     }
 
     /** From its next start on it runs without the deployment's script, so that it receives SIGHUP. */
-    public void takeSignals() {
+    public void startWithoutScript() {
         withoutScript = true;
     }
 
     /** Edits the text of its configuration from the next {@link #write} on. */
-    public void adjust(UnaryOperator<String> edit) {
+    public void editConfig(UnaryOperator<String> edit) {
         configEdit = edit;
     }
 
@@ -164,9 +164,9 @@
     }
 
     /** Sets its name, the number of relays that share the destinations, and its index among them, from 0. */
-    public void group(String relayName, int relays, int index) {
+    public void relayGroup(String relayName, int relays, int index) {
         name = relayName;
-        group = relays;
+        relayGroup = relays;
         slot = index;
     }
 
@@ -186,7 +186,7 @@
     }
 
     /** Sets the list of endpoints in its configuration, a JSON object. */
-    public void known(String list) {
+    public void initialList(String list) {
         initialList = list;
     }
 
@@ -196,7 +196,8 @@
     }
 
     private String settingsJson() {
-        return "{\"groupSize\":" + group + ",\"slotNo\":" + slot + ",\"az\":" + zones.indexOf(zone) + ",\"azs\":[\""
+        return "{\"groupSize\":" + relayGroup + ",\"slotNo\":" + slot + ",\"az\":" + zones.indexOf(zone)
+                + ",\"azs\":[\""
                 + String.join("\",\"", zones) + "\"],\"discovery\":\"ask\",\"quantum\":1.0,"
                 + "\"weightKind\":\"none\",\"shapes\":[\"one\",\"many\"],\"classes\":["
                 + messageClass("safe", "retryable") + "," + messageClass("keyed", "dedup") + ","
@@ -227,13 +228,13 @@
     }
 
     /** Writes its configuration and sends it SIGHUP. */
-    public void hangUp() throws Exception {
+    public void writeAndSendSighup() throws Exception {
         write();
-        signalHangUp();
+        sendSighup();
     }
 
     /** Sends it SIGHUP. */
-    public void signalHangUp() throws Exception {
+    public void sendSighup() throws Exception {
         signal("HUP");
     }
 
@@ -301,8 +302,8 @@
             builder.environment().put("FIRSTAIR_SETTINGS", settings.toString());
         }
         builder.redirectErrorStream(true);
-        synchronized (log) {
-            log.clear();
+        synchronized (completeLog) {
+            completeLog.clear();
         }
         process = builder.start();
         InputStream out = process.getInputStream();
@@ -319,12 +320,12 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 copy.write(line + "\n");
                 copy.flush();
-                synchronized (log) {
+                synchronized (completeLog) {
                     while (logUnread) {
-                        log.wait();
+                        completeLog.wait();
                     }
-                    log.add(line);
-                    log.notifyAll();
+                    completeLog.add(line);
+                    completeLog.notifyAll();
                 }
             }
         } catch (InterruptedException e) {
@@ -337,7 +338,7 @@
     /** Starts the process and waits until it is ready. */
     public void start() throws Exception {
         launch();
-        String ready = line("ready at ");
+        String ready = awaitLine("ready at ");
         String hostPort = ready.replaceAll(".*ready at ([^, ]+).*", "$1");
         int colon = hostPort.lastIndexOf(':');
         address = new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
@@ -348,36 +349,36 @@
      *
      * @throws AssertionError if none comes within 20 s
      */
-    public String line(String text) throws InterruptedException {
+    public String awaitLine(String text) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        synchronized (log) {
+        synchronized (completeLog) {
             while (true) {
-                for (String line : log) {
+                for (String line : completeLog) {
                     if (line.contains(text)) {
                         return line;
                     }
                 }
                 long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
                 if (remainingMs <= 0) {
-                    throw new AssertionError("no line with '" + text + "' in " + log);
+                    throw new AssertionError("no line with '" + text + "' in " + completeLog);
                 }
-                log.wait(remainingMs);
+                completeLog.wait(remainingMs);
             }
         }
     }
 
     /** The lines of the log since this start, so far. */
-    public List<String> lines() {
-        synchronized (log) {
-            return List.copyOf(log);
+    public List<String> logLines() {
+        synchronized (completeLog) {
+            return List.copyOf(completeLog);
         }
     }
 
     /** The complete log since this start, once the process has exited. */
-    public List<String> log() throws InterruptedException {
+    public List<String> completeLog() throws InterruptedException {
         reader.join(TimeUnit.SECONDS.toMillis(TIMEOUT_S));
-        synchronized (log) {
-            return List.copyOf(log);
+        synchronized (completeLog) {
+            return List.copyOf(completeLog);
         }
     }
 
@@ -386,7 +387,7 @@
      *
      * @throws AssertionError if it still runs after 20 s
      */
-    public int status() throws InterruptedException {
+    public int exitStatus() throws InterruptedException {
         if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("still running");
         }
@@ -394,7 +395,7 @@
     }
 
     /** Waits up to a time, in milliseconds, for the process to exit; false if it still runs. */
-    public boolean ended(long ms) throws InterruptedException {
+    public boolean awaitExit(long ms) throws InterruptedException {
         return process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
@@ -469,24 +470,24 @@
     }
 
     /** The only file in its state folder. */
-    public Path file() throws IOException {
+    public Path stateFile() throws IOException {
         try (Stream<Path> files = Files.list(state())) {
             return files.findFirst().orElseThrow();
         }
     }
 
     /** Hands in a message on a new connection and returns the head of the response; {@code key} may be null. */
-    public String handIn(String id, String type, long timeoutMs, String addressing, String key, byte[] body)
+    public String submit(String id, String type, long timeoutMs, String addressing, String key, byte[] body)
             throws IOException {
         ByteArrayOutputStream request = new ByteArrayOutputStream();
-        request.writeBytes(
-                handInText(id, type, timeoutMs, addressing, key, body.length).getBytes(StandardCharsets.ISO_8859_1));
+        request.writeBytes(submissionHead(id, type, timeoutMs, addressing, key, body.length)
+                .getBytes(StandardCharsets.ISO_8859_1));
         request.writeBytes(body);
         return exchange(request.toByteArray(), false);
     }
 
     /** The head of a request that hands in a message with a body of {@code length} bytes; {@code key} may be null. */
-    public String handInText(String id, String type, long timeoutMs, String addressing, String key, int length) {
+    public String submissionHead(String id, String type, long timeoutMs, String addressing, String key, int length) {
         return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: " + id + "\r\nRequest-Class: " + type
                 + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\nX-Addressing: " + addressing + "\r\n"
                 + (key == null ? "" : "Idempotency-Key: " + key + "\r\n") + "Content-Length: " + length + "\r\n\r\n";
@@ -494,16 +495,16 @@
 
     /** Sends a GET request and returns the head of the response. */
     public String get(String path) throws IOException {
-        return raw("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+        return sendText("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
 
     /** Writes a text on a new connection and returns the head of the response. */
-    public String raw(String text) throws IOException {
+    public String sendText(String text) throws IOException {
         return exchange(text.getBytes(StandardCharsets.ISO_8859_1), false);
     }
 
     /** Writes a text on a new connection and returns all that is read until the relay closes it. */
-    public String rawAll(String text) throws IOException {
+    public String sendTextUntilClosed(String text) throws IOException {
         return exchange(text.getBytes(StandardCharsets.ISO_8859_1), true);
     }
 
@@ -537,7 +538,7 @@
         CountDownLatch connected = new CountDownLatch(clients);
         List<Future<String>> responses = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
-            String head = handInText("c" + i, "safe", 20_000, "dest=7", null, bytes);
+            String head = submissionHead("c" + i, "safe", 20_000, "dest=7", null, bytes);
             responses.add(pool.submit(() -> {
                 try (Socket socket = new Socket()) {
                     socket.connect(address);
--- a/src/main/java/firstair/kit/soak/KeepAliveClient.java
+++ b/src/main/java/firstair/kit/soak/KeepAliveClient.java
@@ -68,7 +68,7 @@
         int destination = 1 + random.nextInt(SoakEndpoints.DESTINATIONS);
         String messageClass = effect.name().toLowerCase(Locale.ROOT);
         String key = effect == Effect.KEYED ? "k" + id : null;
-        byte[] request = (node.handInText(id, messageClass, timeoutMs, "dest=" + destination, key, 1) + "b")
+        byte[] request = (node.submissionHead(id, messageClass, timeoutMs, "dest=" + destination, key, 1) + "b")
                 .getBytes(StandardCharsets.US_ASCII);
         boolean resend = true;
         while (resend) {
--- a/src/main/java/firstair/kit/soak/RestartSoak.java
+++ b/src/main/java/firstair/kit/soak/RestartSoak.java
@@ -102,7 +102,7 @@
         InetSocketAddress address = LoopbackPorts.shared().next();
         node = new Node(folder, platform.hostPort(), endpoints.list());
         node.listen("127.0.0.1:" + address.getPort());
-        node.adjust(text -> text.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + WINDOW_MS));
+        node.editConfig(text -> text.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + WINDOW_MS));
         if (withIdleClients) {
             node.sockets(IDLE_CLIENTS_SOCKETS);
         }
@@ -210,9 +210,9 @@
     private void movePlatform() throws Exception {
         platform.move();
         node.discovery(platform.hostPort());
-        node.hangUp();
+        node.writeAndSendSighup();
         lastMoveMs = seen.now();
-        if (node.ended(0)) {
+        if (node.awaitExit(0)) {
             seen.violations.add(new Violation("D1", "ended by a new configuration"));
         }
     }
@@ -224,8 +224,8 @@
      * @param twice     sends SIGTERM twice
      */
     private void restart(boolean terminate, boolean twice) throws Exception {
-        if (node.ended(0)) {
-            seen.violations.add(new Violation("D1", "ended by itself: " + node.lines()));
+        if (node.awaitExit(0)) {
+            seen.violations.add(new Violation("D1", "ended by itself: " + node.logLines()));
         }
         double firstMs = seen.now();
         if (terminate) {
@@ -234,17 +234,18 @@
                 TimeUnit.MILLISECONDS.sleep(random.nextInt(400));
                 node.terminate();
             }
-            node.ended((long) (firstMs + KILL_MS - seen.now()));
+            node.awaitExit((long) (firstMs + KILL_MS - seen.now()));
         }
         double exitedMs = seen.now();
-        boolean running = !node.ended(0);
-        if (!running && !EXPECTED_STATUSES.contains(node.status())) {
-            seen.violations.add(new Violation("P57", "ended with status " + node.status() + " when it was told to"));
+        boolean running = !node.awaitExit(0);
+        if (!running && !EXPECTED_STATUSES.contains(node.exitStatus())) {
+            seen.violations.add(
+                    new Violation("P57", "ended with status " + node.exitStatus() + " when it was told to"));
         }
         node.kill();
         double endedMs = running ? seen.now() : exitedMs; // kill() itself takes long on busy cores
         TimeUnit.MILLISECONDS.sleep(DOWN_MS);
-        node.known(endpoints.list());
+        node.initialList(endpoints.list());
         double launchedMs = seen.now();
         node.start();
         seen.restarts.add(new Restart(terminate, firstMs, endedMs, launchedMs, seen.now()));
--- a/src/main/java/firstair/kit/soak/Soak.java
+++ b/src/main/java/firstair/kit/soak/Soak.java
@@ -138,7 +138,7 @@
         checkEnds(true);
         printState(startNs);
         Map<String, Integer> logged = new TreeMap<>();
-        for (String line : node.lines()) {
+        for (String line : node.logLines()) {
             if (line.contains("SEVERE") || line.contains("fault") || line.contains("WARNING")) {
                 logged.merge(line.replaceAll("^\\S+ ", "").replaceAll("\\d+", "N"), 1, Integer::sum);
             }
@@ -183,7 +183,7 @@
         try {
             platform.move();
             node.discovery(platform.hostPort());
-            node.hangUp();
+            node.writeAndSendSighup();
         } catch (Exception e) {
             System.out.println("  no SIGHUP: " + e);
         }
@@ -202,7 +202,7 @@
     private void handIn(String id, String messageClass, int destination, long timeoutMs) {
         long sentNs = System.nanoTime();
         byte[] body = id.getBytes(StandardCharsets.US_ASCII);
-        byte[] head = node.handInText(
+        byte[] head = node.submissionHead(
                         id,
                         messageClass,
                         timeoutMs,
--- a/src/main/java/firstair/kit/standin/StandIn.java
+++ b/src/main/java/firstair/kit/standin/StandIn.java
@@ -73,7 +73,7 @@
     private final ServerSocket server;
     private final Handler handler;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger accepted = new AtomicInteger();
+    private final AtomicInteger acceptedCount = new AtomicInteger();
     private volatile Consumer<Socket> onConnectionEnd = socket -> {};
 
     /** Listens on a free port of the loopback address. */
@@ -100,7 +100,7 @@
         try {
             while (true) {
                 Socket socket = server.accept();
-                accepted.incrementAndGet();
+                acceptedCount.incrementAndGet();
                 openSockets.add(socket);
                 start(() -> serve(socket));
             }
@@ -162,12 +162,12 @@
     }
 
     /** Number of connections accepted so far. */
-    public int accepted() {
-        return accepted.get();
+    public int acceptedCount() {
+        return acceptedCount.get();
     }
 
     /** Number of connections that are open now. */
-    public int open() {
+    public int openCount() {
         return openSockets.size();
     }
 
--- a/src/main/java/firstair/relay/Config.java
+++ b/src/main/java/firstair/relay/Config.java
@@ -22,17 +22,17 @@
 /**
  * The configuration of a relay, read when it starts.
  *
- * @param name      name of the relay
- * @param listen    address that clients connect to
- * @param discovery address of discovery, and of the platform that takes notices
- * @param state     the folder for persistent state
- * @param seed      seed of all random decisions
- * @param limits    sizes, counts and times of the relay itself
- * @param settings  the platform's settings
- * @param known     the list of endpoints as last known, or null
- * @param kinds     names of the kinds of destination, in the order of their numbers
- * @param zones     numbers of the zones
- * @param own       local settings of the installation, as far as they are set
+ * @param name           name of the relay
+ * @param listen         address that clients connect to
+ * @param discovery      address of discovery, and of the platform that takes notices
+ * @param state          the folder for persistent state
+ * @param seed           seed of all random decisions
+ * @param limits         sizes, counts and times of the relay itself
+ * @param settings       the platform's settings
+ * @param knownEndpoints the list of endpoints as last known, or null
+ * @param kinds          names of the kinds of destination, in the order of their numbers
+ * @param zones          numbers of the zones
+ * @param localSettings  local settings of the installation, as far as they are set
  */
 public record Config(
         String name,
@@ -42,10 +42,10 @@
         long seed,
         Limits limits,
         Controller.Settings settings,
-        EndpointList known,
+        EndpointList knownEndpoints,
         List<String> kinds,
         Zones zones,
-        Values own) {
+        Values localSettings) {
 
     private static final int HEX_RADIX = 16;
 
@@ -126,8 +126,9 @@
     }
 
     /** Returns a copy with these local settings. */
-    public Config with(Values localSettings) {
-        return new Config(name, listen, discovery, state, seed, limits, settings, known, kinds, zones, localSettings);
+    public Config withLocalSettings(Values localSettings) {
+        return new Config(
+                name, listen, discovery, state, seed, limits, settings, knownEndpoints, kinds, zones, localSettings);
     }
 
     private static JsonObject object(JsonObject root, String name) {
--- a/src/main/java/firstair/relay/FleetPeers.java
+++ b/src/main/java/firstair/relay/FleetPeers.java
@@ -26,33 +26,36 @@
          * @param waitUntil  end of the wait, on the loop's clock
          * @param avoidUntil until when the endpoint is to be avoided, on the loop's clock
          */
-        void warned(String endpoint, double waitUntil, double avoidUntil);
+        void peerWarning(String endpoint, double waitUntil, double avoidUntil);
 
-        /** The zones of held messages may have changed: {@link FleetPeers#terms} must be called again for each. */
-        void confine();
+        /**
+         * The zones of held messages may have changed: {@link FleetPeers#restrictions} must be called again for each.
+         */
+        void restrictionsChanged();
     }
 
     /**
      * Whether a message may be accepted, and its restrictions if so.
      *
-     * @param status  0 if it may be accepted, otherwise the HTTP status of the answer to its client
-     * @param afterMs after how many milliseconds the client should retry, 0 to leave that out
-     * @param reason  the reason in the answer, or null
-     * @param zones   zones in which it may be sent, or null for all
-     * @param lane    calls that were booked for it, or null
+     * @param status         0 if it may be accepted, otherwise the HTTP status of the answer to its client
+     * @param retryAfterMs   after how many milliseconds the client should retry, 0 to leave that out
+     * @param reason         the reason in the answer, or null
+     * @param zones          zones in which it may be sent, or null for all
+     * @param bookedCapacity calls that were booked for it, or null
      */
-    record Admission(int status, double afterMs, String reason, Set<Integer> zones, BookedCapacity lane) {
+    record Admission(
+            int status, double retryAfterMs, String reason, Set<Integer> zones, BookedCapacity bookedCapacity) {
         /** Accepted without restrictions. */
-        public static final Admission FREE = new Admission(0, 0, null, null, null);
+        public static final Admission UNRESTRICTED = new Admission(0, 0, null, null, null);
 
         /** Whether any restriction applies. */
         public boolean restricts() {
-            return zones != null || lane != null;
+            return zones != null || bookedCapacity != null;
         }
     }
 
     /** Whether this relay belongs to a fleet. */
-    default boolean talk() {
+    default boolean enabled() {
         return false;
     }
 
@@ -64,16 +67,16 @@
 
     /** Decides whether a submitted message may be accepted. */
     default Admission admit(String tenant, String className, int destination, String booking) {
-        return Admission.FREE;
+        return Admission.UNRESTRICTED;
     }
 
     /** Returns the restrictions of a held message. */
-    default Admission terms(String tenant, String className, int destination, String booking) {
-        return Admission.FREE;
+    default Admission restrictions(String tenant, String className, int destination, String booking) {
+        return Admission.UNRESTRICTED;
     }
 
     /** A message was accepted. */
-    default void taken(int destination) {}
+    default void accepted(int destination) {}
 
     /** A message is sent; {@code repeat} unless it is the first attempt. */
     default void called(int destination, boolean repeat) {}
@@ -82,14 +85,14 @@
     default void ended(int destination, Outcome outcome) {}
 
     /** The list of endpoints has changed; these destinations and endpoints are on it now. */
-    default void listed(Set<Integer> destinations, Set<String> endpoints) {}
+    default void listUpdated(Set<Integer> destinations, Set<String> endpoints) {}
 
     /** Whether requests for bookings are handled. */
-    default boolean books() {
+    default boolean bookingsEnabled() {
         return false;
     }
 
-    /** Handles a request for a booking; only called if {@link #books}. */
+    /** Handles a request for a booking; only called if {@link #bookingsEnabled}. */
     default void handleBooking(BookingRequest request) {}
 
     /** The process is about to end: returns at once what other relays can use. */
--- a/src/main/java/firstair/relay/HeldMessages.java
+++ b/src/main/java/firstair/relay/HeldMessages.java
@@ -2,7 +2,7 @@
 
 import firstair.control.Controller.Outcome;
 import firstair.relay.clients.Submission;
-import firstair.relay.store.OwedNotice;
+import firstair.relay.store.PendingNotice;
 import firstair.relay.store.Store;
 import firstair.relay.store.StoredMessage;
 import java.util.ArrayDeque;
@@ -60,7 +60,7 @@
     }
 
     /** The messages and notices that were pending when the last process ended. */
-    Collection<Store.Open> pendingAtStart() {
+    Collection<Store.OpenMessage> pendingAtStart() {
         return store.open();
     }
 
@@ -125,10 +125,10 @@
      * recorded before is recorded now, so that it counts.
      */
     void attemptEnded(Outcome outcome, long nowMs) {
-        if (store.tries(outcome.id()) == outcome.attempt()) {
-            store.called(outcome.id(), outcome.endpoint(), nowMs);
+        if (store.attemptCount(outcome.id()) == outcome.attempt()) {
+            store.attemptStarted(outcome.id(), outcome.endpoint(), nowMs);
         }
-        store.ended(outcome.id(), outcome.attempt(), outcome.result().maybeRan());
+        store.attemptEnded(outcome.id(), outcome.attempt(), outcome.result().maybeRan());
         if (outcome.messageEnded()) {
             complete(outcome.id());
         }
@@ -136,39 +136,39 @@
 
     /** Records that a message is completed, with nothing left to send, and removes it. */
     void complete(long id) {
-        store.over(id);
+        store.complete(id);
         remove(id);
     }
 
     /** Records that only the notice of a message is pending. */
-    void noticePending(long id, OwedNotice notice) {
-        store.owed(id, notice);
+    void noticePending(long id, PendingNotice notice) {
+        store.setPendingNotice(id, notice);
     }
 
     /** Number of recorded attempts of a message, which is the number of its next one; -1 if it is completed. */
     int recordedAttempts(long id) {
-        return store.tries(id);
+        return store.attemptCount(id);
     }
 
     /** Records that a call is about to be written; from now on it may have run. */
     void recordCall(long id, int attempt, String endpoint, long nowMs) {
-        if (store.tries(id) > attempt) {
-            store.ended(id, attempt, true); // recorded before, for a connection that turned out to be stale
+        if (store.attemptCount(id) > attempt) {
+            store.attemptEnded(id, attempt, true); // recorded before, for a connection that turned out to be stale
         } else {
-            store.called(id, endpoint, nowMs);
+            store.attemptStarted(id, endpoint, nowMs);
         }
     }
 
     /** Records that a recorded call was not written after all; it may be written later. */
     void callNotWritten(long id, int attempt) {
-        store.ended(id, attempt, false);
+        store.attemptEnded(id, attempt, false);
     }
 
     /** Records the messages accepted in this round; {@link #flush} writes them to the file. */
     void recordAccepted() {
         for (Held added : accepted) {
             if (held.containsKey(added.message.id())) {
-                store.taken(added.message);
+                store.accept(added.message);
             }
         }
     }
@@ -214,7 +214,7 @@
         if (unanswered.remove(stored)) {
             Submission client = stored.client;
             stored.client = null;
-            client.answer(ACCEPTED, 0);
+            client.respond(ACCEPTED, 0);
         }
     }
 
--- a/src/main/java/firstair/relay/HostPort.java
+++ b/src/main/java/firstair/relay/HostPort.java
@@ -24,7 +24,7 @@
     }
 
     /** Formats an address with the host name or literal that it was created with. */
-    public static String of(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 }
--- a/src/main/java/firstair/relay/Limits.java
+++ b/src/main/java/firstair/relay/Limits.java
@@ -244,7 +244,7 @@
      * How long a call to discovery may go unanswered before a parallel one starts: as long as discovery may take to
      * serve a call. A call that fails in any way therefore costs no more than this and the pause after it.
      */
-    public double listWaitMs() {
+    public double parallelListCallMs() {
         return listAnswerMs / MAX_LIST_CALLS;
     }
 
@@ -259,7 +259,7 @@
     }
 
     /** Returns these limits with an installation's local settings, which {@link TunableSettings#schema} describes. */
-    public Limits tuned(Values localSettings) {
+    public Limits withLocalSettings(Values localSettings) {
         if (localSettings.isEmpty()) {
             return this;
         }
@@ -296,10 +296,10 @@
                 localSettings.number("clients.crowded", crowdedMs),
                 localSettings.number("clients.idle", clientIdleMs),
                 localSettings.number("clients.linger", lingerMs),
-                localSettings.whole("clients.linger_bytes", lingerBytes),
+                localSettings.integer("clients.linger_bytes", lingerBytes),
                 localSettings.number("list.answer", listAnswerMs),
                 localSettings.number("list.silence", listSilenceMs),
-                localSettings.whole("list.line", listLine),
+                localSettings.integer("list.line", listLine),
                 new Notices(
                         current.dueMs,
                         current.returnMs,
@@ -310,7 +310,7 @@
                         localSettings.number("platform.urgent_pause", current.urgentPauseMs),
                         localSettings.number("platform.most_pause", current.pauseMostMs),
                         current.bytes,
-                        localSettings.whole("platform.posts", current.posts)),
+                        localSettings.integer("platform.posts", current.posts)),
                 localSettings.number("messages.overdue", overdueMs),
                 localSettings.number("start.reload", reloadMs),
                 localSettings.number("start.open", openMs),
--- a/src/main/java/firstair/relay/Relay.java
+++ b/src/main/java/firstair/relay/Relay.java
@@ -17,10 +17,10 @@
 import firstair.relay.endpoints.Endpoints;
 import firstair.relay.endpoints.Item;
 import firstair.relay.fleet.FleetDriver;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.platform.Notices;
 import firstair.relay.store.BootClock;
-import firstair.relay.store.OwedNotice;
+import firstair.relay.store.PendingNotice;
 import firstair.relay.store.Store;
 import firstair.relay.store.StoredMessage;
 import java.io.IOException;
@@ -64,7 +64,7 @@
     private volatile Limits limits; // some of them can change at a reload
     private final Loop loop;
     private final BootClock clock = BootClock.SYSTEM;
-    private final Wire wire;
+    private final NetworkTransport wire;
     private final HeldMessages messages;
     private final Endpoints endpoints;
     private final EndpointListWatch watch;
@@ -116,8 +116,8 @@
 
     Relay(Config config, ControllerFactory controllers) throws IOException {
         this.config = config;
-        localSettings = config.own();
-        limits = config.limits().tuned(localSettings);
+        localSettings = config.localSettings();
+        limits = config.limits().withLocalSettings(localSettings);
         loop = new Loop(limits.roundMs(), limits.heldUpMs(), limits.catchUpMs());
         reloader = new ConfigReloader(() -> limits.reloadMs(), limits.sweepMs());
         List<MessageClass> classes = config.settings().classes();
@@ -126,11 +126,11 @@
         }
         Store store = Store.open(config.state(), limits.diskBytes(), clock);
         messages = new HeldMessages(store);
-        wire = new Wire(limits);
+        wire = new NetworkTransport(limits);
         endpoints = new Endpoints(wire, limits, loop, new CallListener());
         notices = new Notices(
-                wire, limits, loop, config.discovery(), new Random(config.seed()), store::over, this::platformLost);
-        EndpointList known = config.known();
+                wire, limits, loop, config.discovery(), new Random(config.seed()), store::complete, this::platformLost);
+        EndpointList known = config.knownEndpoints();
         watch = new EndpointListWatch(
                 wire,
                 limits,
@@ -160,7 +160,7 @@
             }
             ended = true;
             messages.answerAccepted(() -> false); // clients that the last rounds left unanswered
-            clients.refuse(); // requests that were read after the last round were not handled
+            clients.refusePending(); // requests that were read after the last round were not handled
             watch.close();
             peers.close();
             wire.close();
@@ -175,8 +175,8 @@
     }
 
     private void start() throws IOException {
-        if (config.known() != null) {
-            listUpdated(ListUpdate.STORED, config.known());
+        if (config.knownEndpoints() != null) {
+            listUpdated(ListUpdate.STORED, config.knownEndpoints());
         }
         peers.start();
         if (!config.settings().askForList()) {
@@ -184,12 +184,12 @@
             // the start on, so no calls are made before it has arrived, unless it takes too long.
             watchRequested = true;
             awaitingList = true;
-            loop.after(limits.listWaitMs(), () -> awaitingList = false);
+            loop.after(limits.parallelListCallMs(), () -> awaitingList = false);
         }
         resumePending();
         round();
         loop.after(limits.sweepMs(), this::sweep);
-        resumed = messages.size() + " messages and " + notices.owed() + " notices taken up again";
+        resumed = messages.size() + " messages and " + notices.pending() + " notices taken up again";
         if (!awaitingList) {
             open();
         } else {
@@ -201,7 +201,7 @@
     private void open() {
         openTimer = null;
         try {
-            listener = wire.listen(config.listen(), clients, clients::stays);
+            listener = wire.listen(config.listen(), clients, clients::keepsOpen);
         } catch (IOException e) {
             if (e instanceof BindException || loop.now() > limits.listenMs()) {
                 failure = e;
@@ -214,7 +214,8 @@
         }
         ready = true;
         InetSocketAddress bound = (InetSocketAddress) listener.getLocalAddress();
-        String address = HostPort.of(new InetSocketAddress(bound.getAddress().getHostAddress(), bound.getPort()));
+        String address =
+                HostPort.format(new InetSocketAddress(bound.getAddress().getHostAddress(), bound.getPort()));
         LOG.info("relay " + config.name() + " ready at " + address + ", " + resumed);
     }
 
@@ -258,8 +259,8 @@
             return;
         }
         TunableSettings.changes(localSettings, next).forEach(LOG::info);
-        Limits nextLimits = config.limits().tuned(next);
-        notices.tune(nextLimits.notices());
+        Limits nextLimits = config.limits().withLocalSettings(next);
+        notices.setLimits(nextLimits.notices());
         limits = limits.withReloadable(nextLimits);
         localSettings = next;
     }
@@ -271,10 +272,10 @@
                 || !next.listen().equals(config.listen())) {
             LOG.warning("configuration read again: limits, settings and listen change with the next start only");
         }
-        LOG.info("configuration read again, discovery at " + HostPort.of(next.discovery()));
+        LOG.info("configuration read again, discovery at " + HostPort.format(next.discovery()));
         // Posted separately, so that an exception in one switch doesn't keep both at the old address.
         loop.post(() -> watch.setAddress(next.discovery()));
-        notices.move(next.discovery());
+        notices.setAddress(next.discovery());
     }
 
     // ---- start and end ----
@@ -285,10 +286,10 @@
         RateLimitedLogger unknownClassLog = new RateLimitedLogger(LOG, Level.WARNING); // one line for all classes
         double graceUntil = now + limits.notices().returnMs();
         long bootNow = clock.nowMs();
-        for (Store.Open pending : messages.pendingAtStart()) {
-            StoredMessage message = pending.taken();
-            if (pending.owed() != null) {
-                notices.add(message.id(), message.requestId(), pending.owed(), graceUntil);
+        for (Store.OpenMessage pending : messages.pendingAtStart()) {
+            StoredMessage message = pending.message();
+            if (pending.pendingNotice() != null) {
+                notices.add(message.id(), message.requestId(), pending.pendingNotice(), graceUntil);
                 continue;
             }
             Integer classNumber = classNumbers.get(message.className());
@@ -298,7 +299,7 @@
                 giveUp(message.id());
                 continue;
             }
-            List<Controller.EarlierAttempt> earlierAttempts = pending.tries().stream()
+            List<Controller.EarlierAttempt> earlierAttempts = pending.attempts().stream()
                     .map(attempt -> new Controller.EarlierAttempt(
                             attempt.endpoint(), now + (attempt.sentAt() - bootNow), attempt.maybeRan()))
                     .toList();
@@ -311,8 +312,8 @@
                             message.key(),
                             held.deadlineAt,
                             0,
-                            message.again(),
-                            message.fromDead(),
+                            message.resubmitted(),
+                            message.fromCrashedRelay(),
                             earlierAttempts));
             applyRestrictions(message);
         }
@@ -322,8 +323,8 @@
     private void applyRestrictions(StoredMessage message) {
         if (message.tenant() != null || message.booking() != null) {
             FleetPeers.Admission terms =
-                    peers.terms(message.tenant(), message.className(), message.destination(), message.booking());
-            controller.restrict(loop.now(), message.id(), terms.zones(), terms.lane());
+                    peers.restrictions(message.tenant(), message.className(), message.destination(), message.booking());
+            controller.restrict(loop.now(), message.id(), terms.zones(), terms.bookedCapacity());
         }
     }
 
@@ -357,10 +358,10 @@
         if (listener == null) {
             drainClients();
         } else {
-            Wire.refuseNew(listener);
+            NetworkTransport.refuseNewConnections(listener);
             loop.after(
                     limits.handshakeMs(),
-                    () -> wire.unlisten(
+                    () -> wire.closeListener(
                             listener, () -> loop.post(() -> loop.after(limits.restMs(), this::drainClients))));
         }
     }
@@ -389,13 +390,13 @@
      * must not block. It runs with each sweep, and more often while a notice waits for a platform that cannot be
      * reached. Must be called before {@link #run}.
      */
-    public void lookForChanges(Runnable task) {
+    public void setConfigCheck(Runnable task) {
         configCheck = task;
     }
 
     /** The platform may have a new address, which a changed configuration contains, and notices have little time. */
     private void platformLost() {
-        if (configCheckScheduled || !notices.pressing()) {
+        if (configCheckScheduled || !notices.failingWithUrgentNotices()) {
             return;
         }
         configCheckScheduled = true;
@@ -411,7 +412,7 @@
         configCheck.run();
         clients.sweep();
         endpoints.sweep();
-        notices.sweep();
+        notices.logOverdue();
         giveUpOverdue();
     }
 
@@ -461,9 +462,9 @@
     }
 
     @Override
-    public void handIn(Submission submission) {
+    public void submit(Submission submission) {
         if (ended) {
-            submission.answer(REFUSED, 0);
+            submission.respond(REFUSED, 0);
             return;
         }
         loop.post(() -> {
@@ -483,19 +484,19 @@
             messages.undoAccept(known.message.id());
             controller.withdrawn(loop.now(), known.message.id());
         }
-        submission.answer(REFUSED, 0);
+        submission.respond(REFUSED, 0);
     }
 
     private void accept(Submission submission) {
-        if (submission.gone()) {
+        if (submission.clientGone()) {
             // Its client may submit it elsewhere; a client that has only closed its sending side gets the answer.
-            submission.answer(REFUSED, 0);
+            submission.respond(REFUSED, 0);
             return;
         }
         Held known = messages.byRequestId(submission.requestId());
         if (known != null) {
             if (known.client == null) {
-                submission.answer(ACCEPTED, 0); // a repeat: the client did not get the first answer
+                submission.respond(ACCEPTED, 0); // a repeat: the client did not get the first answer
             } else {
                 loop.post(() -> accept(submission)); // not stored yet: its answer is known after this round
             }
@@ -503,11 +504,11 @@
         }
         if (!lastListedAt.containsKey(submission.destination())) {
             // A destination that is not on the list cannot be reached: another relay, or a later list, may have it.
-            submission.answer(watch.current() ? UNKNOWN_DESTINATION : REFUSED, 0);
+            submission.respond(watch.current() ? UNKNOWN_DESTINATION : REFUSED, 0);
             return;
         }
         if (!messages.fits(submission.body().length)) {
-            submission.answer(REFUSED, 0);
+            submission.respond(REFUSED, 0);
             return;
         }
         double now = loop.now();
@@ -515,7 +516,7 @@
         FleetPeers.Admission admission =
                 peers.admit(submission.tenant(), messageClass.name(), submission.destination(), submission.booking());
         if (admission.status() != 0) {
-            submission.answer(admission.status(), admission.afterMs(), admission.reason());
+            submission.respond(admission.status(), admission.retryAfterMs(), admission.reason());
             return;
         }
         StoredMessage message = new StoredMessage(
@@ -525,11 +526,11 @@
                 submission.destination(),
                 submission.key(),
                 clock.nowMs() + Math.round(submission.deadlineAt() - now),
-                submission.again(),
-                submission.fromDead(),
+                submission.resubmitted(),
+                submission.fromCrashedRelay(),
                 submission.body(),
-                peers.talk() ? submission.tenant() : null,
-                peers.talk() ? submission.booking() : null);
+                peers.enabled() ? submission.tenant() : null,
+                peers.enabled() ? submission.booking() : null);
         messages.accept(message, submission);
         controller.accepted(
                 now,
@@ -540,13 +541,13 @@
                         message.key(),
                         submission.deadlineAt(),
                         0,
-                        submission.again(),
-                        submission.fromDead(),
+                        submission.resubmitted(),
+                        submission.fromCrashedRelay(),
                         List.of()));
         if (admission.restricts()) {
-            controller.restrict(now, message.id(), admission.zones(), admission.lane());
+            controller.restrict(now, message.id(), admission.zones(), admission.bookedCapacity());
         }
-        peers.taken(message.destination());
+        peers.accepted(message.destination());
     }
 
     private void trace(Held held, String event) {
@@ -631,7 +632,7 @@
         listedEndpoints.keySet().removeAll(removed);
         lastListedAt.values().removeIf(at -> now - at > limits.emptyMs());
         controller.list(now, update, list.entries());
-        peers.listed(lastListedAt.keySet(), listedEndpoints.keySet());
+        peers.listUpdated(lastListedAt.keySet(), listedEndpoints.keySet());
     }
 
     // ---- the round ----
@@ -643,7 +644,7 @@
         if (callsStopped) {
             endpoints.withhold(); // the next process finds them without an attempt
         } else {
-            endpoints.recheckConnected((id, attempt) -> controller.mayGo(loop.now(), id, attempt));
+            endpoints.recheckConnected((id, attempt) -> controller.timeoutAtWrite(loop.now(), id, attempt));
         }
         if (!callsStopped && !awaitingList) {
             controller.decide(loop.now());
@@ -668,7 +669,7 @@
             openTimer.cancel();
             open();
         }
-        boolean nothingPending = callsStopped || messages.isEmpty() && notices.owed() == 0;
+        boolean nothingPending = callsStopped || messages.isEmpty() && notices.pending() == 0;
         if (drainTimedOut || clientsDraining && nothingPending && endpoints.callsInProgress() == 0 && !clients.busy()) {
             closeClients();
         }
@@ -741,7 +742,7 @@
         for (Held held : messages.acceptedInRound()) {
             controller.withdrawn(loop.now(), held.message.id());
             messages.complete(held.message.id());
-            held.client.answer(messages.failedFlushDiscarded() ? REFUSED : FAILED, 0);
+            held.client.respond(messages.failedFlushDiscarded() ? REFUSED : FAILED, 0);
         }
         return messages.flush();
     }
@@ -777,16 +778,16 @@
 
     @Override
     public void refuse(long id, double afterMs) {
-        endMessage(id, REFUSED, new OwedNotice(true, afterMs));
+        endMessage(id, REFUSED, new PendingNotice(true, afterMs));
     }
 
     @Override
     public void giveUp(long id) {
-        endMessage(id, GIVEN_UP, new OwedNotice(false, 0));
+        endMessage(id, GIVEN_UP, new PendingNotice(false, 0));
     }
 
     /** Sends a final answer: to the client if it still waits for its answer, otherwise by a notice. */
-    private void endMessage(long id, int status, OwedNotice notice) {
+    private void endMessage(long id, int status, PendingNotice notice) {
         Held held = messages.remove(id);
         if (held == null) {
             return;
@@ -794,7 +795,7 @@
         trace(held, "over with " + status);
         messages.answerAccepted(held); // a stored message is reported as accepted before its final answer
         if (held.client != null) {
-            held.client.answer(status, notice.afterMs());
+            held.client.respond(status, notice.retryAfterMs());
             held.client = null;
         } else {
             messages.noticePending(id, notice);
@@ -831,22 +832,22 @@
     }
 
     @Override
-    public void warned(String endpoint, double waitUntil, double avoidUntil) {
+    public void peerWarning(String endpoint, double waitUntil, double avoidUntil) {
         controller.peerWarning(loop.now(), endpoint, waitUntil, avoidUntil);
     }
 
     @Override
-    public void confine() {
+    public void restrictionsChanged() {
         messages.all().forEach(held -> applyRestrictions(held.message));
     }
 
     @Override
-    public boolean asks() {
-        return peers.books();
+    public boolean bookingsEnabled() {
+        return peers.bookingsEnabled();
     }
 
     @Override
-    public void ask(BookingRequest request) {
+    public void requestBooking(BookingRequest request) {
         loop.post(() -> peers.handleBooking(request));
     }
 }
--- a/src/main/java/firstair/relay/TunableSettings.java
+++ b/src/main/java/firstair/relay/TunableSettings.java
@@ -1,9 +1,9 @@
 package firstair.relay;
 
-import firstair.config.Item;
 import firstair.config.Kind;
-import firstair.config.Read;
+import firstair.config.ParsedSettings;
 import firstair.config.Schema;
+import firstair.config.Setting;
 import firstair.config.Values;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -21,11 +21,11 @@
  */
 public final class TunableSettings {
     /** Environment variable that names the file. */
-    public static final String FILE = "FIRSTAIR_SETTINGS";
+    public static final String FILE_VARIABLE = "FIRSTAIR_SETTINGS";
     /** Prefix of the environment variables that set single values. */
     public static final String VARIABLE_PREFIX = "FIRSTAIR_";
     /** Prefix of the keys by which flags are passed along with the variables; the path of the item follows. */
-    public static final String FLAG = "--";
+    public static final String FLAG_PREFIX = "--";
 
     private static final double SECOND_MS = 1000;
     private static final double MINUTE_MS = 60 * SECOND_MS;
@@ -295,7 +295,7 @@
 
     /** Whether an environment sets any item or names a file. */
     public static boolean anySet(Map<String, String> env) {
-        return env.keySet().stream().anyMatch(name -> name.startsWith(VARIABLE_PREFIX) || name.startsWith(FLAG));
+        return env.keySet().stream().anyMatch(name -> name.startsWith(VARIABLE_PREFIX) || name.startsWith(FLAG_PREFIX));
     }
 
     /**
@@ -308,17 +308,18 @@
             return Values.NONE;
         }
         Schema schema = schema();
-        List<Read> sources = List.of(file(env.get(FILE), schema), variables(env, schema), flags(env, schema));
+        List<ParsedSettings> sources =
+                List.of(file(env.get(FILE_VARIABLE), schema), variables(env, schema), flags(env, schema));
         List<String> errors = sources.stream()
-                .flatMap(source -> source.faults().stream())
+                .flatMap(source -> source.errors().stream())
                 .map(Object::toString)
                 .toList();
         if (!errors.isEmpty()) {
             throw new ConfigException(errors);
         }
         Values all = Values.NONE;
-        for (Read source : sources) {
-            all = all.under(source.values());
+        for (ParsedSettings source : sources) {
+            all = all.overriddenBy(source.values());
         }
         return all;
     }
@@ -328,58 +329,58 @@
         return schema().items().stream()
                 .filter(item -> !isEqual(valueOf(before, item), valueOf(after, item)))
                 .map(item -> "settings: "
-                        + item.path() + " is " + item.write(valueOf(after, item)) + ", was "
-                        + item.write(valueOf(before, item))
-                        + (item.atReload() ? "" : "; waits for the next start"))
+                        + item.path() + " is " + item.format(valueOf(after, item)) + ", was "
+                        + item.format(valueOf(before, item))
+                        + (item.appliedAtReload() ? "" : "; waits for the next start"))
                 .toList();
     }
 
-    private static Values.Value valueOf(Values values, Item item) {
+    private static Values.Value valueOf(Values values, Setting item) {
         Values.Value value = values.value(item.path());
-        return value == null ? item.usually() : value;
+        return value == null ? item.defaultValue() : value;
     }
 
     private static boolean isEqual(Values.Value a, Values.Value b) {
         return a.value() == b.value() && a.text().equals(b.text());
     }
 
-    private static Read file(String name, Schema schema) {
+    private static ParsedSettings file(String name, Schema schema) {
         if (name == null || name.isEmpty()) {
-            return new Read(Values.NONE, List.of());
+            return new ParsedSettings(Values.NONE, List.of());
         }
         try {
-            return Read.toml(name, Files.readAllBytes(Path.of(name)), schema);
+            return ParsedSettings.fromToml(name, Files.readAllBytes(Path.of(name)), schema);
         } catch (IOException | InvalidPathException e) {
-            throw new ConfigException(FILE, "cannot be read: " + e);
+            throw new ConfigException(FILE_VARIABLE, "cannot be read: " + e);
         }
     }
 
-    private static Read variables(Map<String, String> env, Schema schema) {
+    private static ParsedSettings variables(Map<String, String> env, Schema schema) {
         Map<String, String> paths = new LinkedHashMap<>();
-        for (Item item : schema.items()) {
-            paths.put(Read.variable(VARIABLE_PREFIX, item.path()), item.path());
+        for (Setting item : schema.items()) {
+            paths.put(ParsedSettings.environmentVariable(VARIABLE_PREFIX, item.path()), item.path());
         }
         Map<String, String> texts = new LinkedHashMap<>();
         Map<String, String> origins = new LinkedHashMap<>();
         env.forEach((name, text) -> {
-            if (name.startsWith(VARIABLE_PREFIX) && !name.equals(FILE)) {
+            if (name.startsWith(VARIABLE_PREFIX) && !name.equals(FILE_VARIABLE)) {
                 String path = paths.getOrDefault(name, name);
                 texts.put(path, text);
                 origins.put(path, "variable " + name);
             }
         });
-        return Read.texts(texts, origins, schema);
+        return ParsedSettings.fromTexts(texts, origins, schema);
     }
 
-    private static Read flags(Map<String, String> env, Schema schema) {
+    private static ParsedSettings flags(Map<String, String> env, Schema schema) {
         Map<String, String> texts = new LinkedHashMap<>();
         Map<String, String> origins = new LinkedHashMap<>();
         env.forEach((name, text) -> {
-            if (name.startsWith(FLAG)) {
-                texts.put(name.substring(FLAG.length()), text);
-                origins.put(name.substring(FLAG.length()), "flag --set");
+            if (name.startsWith(FLAG_PREFIX)) {
+                texts.put(name.substring(FLAG_PREFIX.length()), text);
+                origins.put(name.substring(FLAG_PREFIX.length()), "flag --set");
             }
         });
-        return Read.texts(texts, origins, schema);
+        return ParsedSettings.fromTexts(texts, origins, schema);
     }
 }
--- a/src/main/java/firstair/relay/clients/BookingRequest.java
+++ b/src/main/java/firstair/relay/clients/BookingRequest.java
@@ -36,7 +36,7 @@
      *
      * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
      */
-    public void answer(int status, double retryAfterMs, String json) {
+    public void respond(int status, double retryAfterMs, String json) {
         connection.respond(status, retryAfterMs, null, json.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/firstair/relay/clients/ClientConnection.java
+++ b/src/main/java/firstair/relay/clients/ClientConnection.java
@@ -2,12 +2,12 @@
 
 import firstair.relay.Limits;
 import firstair.relay.RateLimitedLogger;
-import firstair.relay.http.Collector;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpException;
 import firstair.relay.http.HttpParser;
 import firstair.relay.http.HttpWriter;
-import firstair.relay.net.Wire;
+import firstair.relay.http.MessageCollector;
+import firstair.relay.http.MessageHead;
+import firstair.relay.net.NetworkTransport;
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.Set;
@@ -64,20 +64,21 @@
         this.requestStartedAt = idleSince;
         this.peer = String.valueOf(connection.getPeerAddress());
         trace("accepted");
-        this.parser = new HttpParser(HttpParser.Kind.REQUEST, limits.maxHead(), limits.maxBody(), new Collector() {
-            @Override
-            public void head(Head head) {
-                super.head(head);
-                if (head.lists("expect", "100-continue")) {
-                    write(HttpWriter.answer(100).bare(), () -> {});
-                }
-            }
-
-            @Override
-            protected void whole(Head head, byte[] body) {
-                handleRequest(head, body);
-            }
-        });
+        this.parser =
+                new HttpParser(HttpParser.Kind.REQUEST, limits.maxHead(), limits.maxBody(), new MessageCollector() {
+                    @Override
+                    public void head(MessageHead head) {
+                        super.head(head);
+                        if (head.lists("expect", "100-continue")) {
+                            write(HttpWriter.response(100).withoutBody(), () -> {});
+                        }
+                    }
+
+                    @Override
+                    protected void complete(MessageHead head, byte[] body) {
+                        handleRequest(head, body);
+                    }
+                });
     }
 
     /**
@@ -149,7 +150,7 @@
         }
     }
 
-    private void handleRequest(Head head, byte[] body) {
+    private void handleRequest(MessageHead head, byte[] body) {
         requestPending = true;
         closeAfterResponse |= !head.keepAlive();
         trace("request " + head.path() + " " + head.header(SubmissionFields.REQUEST_ID));
@@ -165,7 +166,7 @@
                 }
             }
             default -> {
-                if (head.path().startsWith(BOOKINGS_PATH) && requests.asks()) {
+                if (head.path().startsWith(BOOKINGS_PATH) && requests.bookingsEnabled()) {
                     requestBooking(head, body);
                 } else {
                     respond(404, 0);
@@ -174,23 +175,23 @@
         }
     }
 
-    private void requestBooking(Head head, byte[] body) {
+    private void requestBooking(MessageHead head, byte[] body) {
         String booking = head.path().substring(BOOKINGS_PATH.length());
         if (!BOOKING_METHODS.contains(head.method())) {
             respond(405, 0);
         } else if (!SubmissionFields.isWord(booking)) {
             respond(404, 0);
         } else {
-            requests.ask(new BookingRequest(this, head.method(), booking, body));
+            requests.requestBooking(new BookingRequest(this, head.method(), booking, body));
         }
     }
 
-    private void submit(Head head, byte[] body) {
+    private void submit(MessageHead head, byte[] body) {
         SubmissionFields fields = SubmissionFields.read(head, requests);
         if (fields == null) {
             respond(400, 0);
         } else {
-            requests.handIn(new Submission(this, fields, requests.now() + fields.timeoutMs(), body));
+            requests.submit(new Submission(this, fields, requests.now() + fields.timeoutMs(), body));
         }
     }
 
@@ -220,7 +221,7 @@
                 || draining
                 || softLimitExceeded.getAsBoolean()
                 || inputEnded && unparsed.length == 0;
-        HttpWriter response = HttpWriter.answer(status);
+        HttpWriter response = HttpWriter.response(status);
         if (retryAfterMs > 0) {
             response.header("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / MS_PER_S));
         }
@@ -236,7 +237,7 @@
         if (json.length > 0) {
             response.header("Content-Type", "application/json");
         }
-        byte[] bytes = response.body(json);
+        byte[] bytes = response.withBody(json);
         trace(status + (close ? ", closing after this response" : ""));
         requestPending = false;
         served = true;
@@ -257,7 +258,7 @@
 
     private void write(byte[] bytes, Runnable afterwards) {
         pendingWrites++;
-        Wire.write(
+        NetworkTransport.write(
                 connection,
                 bytes,
                 () -> {
@@ -279,7 +280,7 @@
         if (hasInputEnded()) {
             close(); // there is no unread input
         } else {
-            Wire.shutdownOutput(connection, this::close);
+            NetworkTransport.shutdownOutput(connection, this::close);
         }
     }
 
@@ -300,7 +301,7 @@
      * by then is read first: a complete request is answered, a partial one is refused.
      */
     void end(Runnable done) {
-        Wire.between(connection, () -> {
+        NetworkTransport.runOnSelectorThread(connection, () -> {
             readAndEnd();
             done.run();
         });
@@ -331,7 +332,7 @@
      * nothing has been received by then.
      */
     private void closeIfIdle() {
-        Wire.between(connection, this::closeIfStillIdle);
+        NetworkTransport.runOnSelectorThread(connection, this::closeIfStillIdle);
     }
 
     private synchronized void closeIfStillIdle() {
@@ -349,7 +350,7 @@
     private boolean readPending() {
         int total = 0;
         while (phase == Phase.OPEN && !requestPending && total <= limits.maxHead() + limits.maxBody()) {
-            byte[] bytes = Wire.unread(connection, limits.readBuffer());
+            byte[] bytes = NetworkTransport.readAvailable(connection, limits.readBuffer());
             if (bytes.length == 0) {
                 break;
             }
@@ -371,7 +372,7 @@
         if (phase == Phase.ENDING && now - endingSince > limits.lingerMs()) {
             close();
         } else if (requestTimedOut(now)) {
-            Wire.between(connection, this::timeOutUnlessComplete);
+            NetworkTransport.runOnSelectorThread(connection, this::timeOutUnlessComplete);
         } else if (phase == Phase.OPEN
                 && !requestPending
                 && served
--- a/src/main/java/firstair/relay/clients/ClientFilter.java
+++ b/src/main/java/firstair/relay/clients/ClientFilter.java
@@ -1,7 +1,7 @@
 package firstair.relay.clients;
 
 import firstair.relay.Limits;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -77,16 +77,16 @@
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
         ClientConnection client = CLIENT.get(ctx.getConnection());
-        if (client == null || client.discardsInput(Wire.size(ctx))) {
-            Wire.drop(ctx);
+        if (client == null || client.discardsInput(NetworkTransport.readableBytes(ctx))) {
+            NetworkTransport.discard(ctx);
         } else {
-            client.received(Wire.bytes(ctx));
+            client.received(NetworkTransport.bytes(ctx));
         }
         return ctx.getStopAction();
     }
 
     /** Called when a client has shut down its output; returns whether its connection stays open for a response. */
-    public boolean stays(Connection<?> connection) {
+    public boolean keepsOpen(Connection<?> connection) {
         ClientConnection client = CLIENT.get(connection);
         return client != null && client.onInputEnd();
     }
@@ -135,7 +135,7 @@
     }
 
     /** Refuses all requests that were received and not answered; used when the handler has stopped. */
-    public void refuse() {
+    public void refusePending() {
         open.forEach(ClientConnection::refuse);
     }
 }
--- a/src/main/java/firstair/relay/clients/RequestHandler.java
+++ b/src/main/java/firstair/relay/clients/RequestHandler.java
@@ -17,15 +17,17 @@
     boolean keyed(int messageClass);
 
     /** Handles a well-formed submission; the response follows later, from another thread. */
-    void handIn(Submission submission);
+    void submit(Submission submission);
 
     /** Whether requests about bookings are supported. */
-    default boolean asks() {
+    default boolean bookingsEnabled() {
         return false;
     }
 
-    /** Handles a request about a booking, if {@link #asks}; the response follows later, from another thread. */
-    default void ask(BookingRequest request) {
+    /**
+     * Handles a request about a booking, if {@link #bookingsEnabled}; the response follows later, from another thread.
+     */
+    default void requestBooking(BookingRequest request) {
         throw new IllegalStateException("bookings are not supported");
     }
 }
--- a/src/main/java/firstair/relay/clients/Submission.java
+++ b/src/main/java/firstair/relay/clients/Submission.java
@@ -40,12 +40,12 @@
     }
 
     /** Whether the message was submitted before and refused. */
-    public boolean again() {
+    public boolean resubmitted() {
         return fields.previouslyRefused();
     }
 
     /** Whether the message was submitted to a relay that ended or did not respond. */
-    public boolean fromDead() {
+    public boolean fromCrashedRelay() {
         return fields.fromFailedRelay();
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Whether the client has ended its side of the connection; it may submit the message again, this one is void. */
-    public boolean gone() {
+    public boolean clientGone() {
         return connection.clientGone();
     }
 
@@ -74,7 +74,7 @@
      *
      * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
      */
-    public void answer(int status, double retryAfterMs) {
+    public void respond(int status, double retryAfterMs) {
         connection.respond(status, retryAfterMs, null);
     }
 
@@ -84,7 +84,7 @@
      * @param retryAfterMs milliseconds for {@code Retry-After}, or 0 to leave the header out
      * @param reason       one line of text for {@code X-Reason}, or null
      */
-    public void answer(int status, double retryAfterMs, String reason) {
+    public void respond(int status, double retryAfterMs, String reason) {
         connection.respond(status, retryAfterMs, reason);
     }
 }
--- a/src/main/java/firstair/relay/clients/SubmissionFields.java
+++ b/src/main/java/firstair/relay/clients/SubmissionFields.java
@@ -1,6 +1,6 @@
 package firstair.relay.clients;
 
-import firstair.relay.http.Head;
+import firstair.relay.http.MessageHead;
 import java.util.Locale;
 
 /**
@@ -34,7 +34,7 @@
     private static final long NOT_A_NUMBER = -1;
 
     /** Reads the headers; null if a required one is missing or one is invalid. */
-    static SubmissionFields read(Head head, RequestHandler requests) {
+    static SubmissionFields read(MessageHead head, RequestHandler requests) {
         String id = head.header(REQUEST_ID);
         Integer messageClass = requests.classes().get(String.valueOf(head.header("request-class")));
         long timeoutMs = wholeNumber(head.header("request-timeout-ms"));
--- a/src/main/java/firstair/relay/discovery/EndpointListWatch.java
+++ b/src/main/java/firstair/relay/discovery/EndpointListWatch.java
@@ -5,10 +5,10 @@
 import firstair.relay.Limits;
 import firstair.relay.Loop;
 import firstair.relay.RateLimitedLogger;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpWriter;
+import firstair.relay.http.MessageHead;
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
+import firstair.relay.net.HttpConnection;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -101,7 +101,7 @@
     private void close(Call call) {
         calls.remove(call);
         if (call.link != null) {
-            call.link.leave();
+            call.link.abandon();
         }
     }
 
@@ -167,10 +167,10 @@
     }
 
     /** One call to discovery. */
-    private final class Call implements Link.Exchange {
+    private final class Call implements HttpConnection.Exchange {
         final boolean watching;
         final JsonObjectSplitter splitter = new JsonObjectSplitter(limits.listLine(), this::objectComplete);
-        Link link; // null until it has been opened
+        HttpConnection link; // null until it has been opened
         boolean listReceived;
         boolean overdue; // its head, or the rest of an object, is late and the listener has been notified
         private final double startedAt = loop.now();
@@ -186,21 +186,22 @@
         void start() {
             String target = watching ? PATH + "?follow=1&since=" + version : PATH;
             byte[] request =
-                    HttpWriter.request("GET", target, HostPort.of(address)).bare();
+                    HttpWriter.request("GET", target, HostPort.format(address)).withoutBody();
             // The timeouts start before the dialer, which may fail: the relay must not wait forever for such a call.
-            loop.after(limits.listWaitMs(), () -> checkOverdue(!headReceived, "no response yet"));
+            loop.after(limits.parallelListCallMs(), () -> checkOverdue(!headReceived, "no response yet"));
             loop.after(Math.min(limits.listSilenceMs(), limits.listAnswerMs()), this::checkSilence);
             link = dialer.open(address, Long.MAX_VALUE, request, this, () -> {});
         }
 
         /** Whether it took so long without a result that the next call needs no further pause. */
         private boolean waitedLongEnough() {
-            return !listReceived && loop.now() - startedAt >= limits.listWaitMs() / 2;
+            return !listReceived && loop.now() - startedAt >= limits.parallelListCallMs() / 2;
         }
 
         private void checkOverdue(boolean waiting, String state) {
             if (waiting && calls.contains(this)) {
-                notifyFailure(this, ListUpdate.OVERDUE, state + ", for " + Math.round(limits.listWaitMs()) + " ms");
+                notifyFailure(
+                        this, ListUpdate.OVERDUE, state + ", for " + Math.round(limits.parallelListCallMs()) + " ms");
             }
         }
 
@@ -232,7 +233,7 @@
         }
 
         @Override
-        public void head(Head head) {
+        public void head(MessageHead head) {
             lastDataAt = loop.now();
             headReceived = true;
             loop.post(head.status() == 200 ? () -> keepOnly(this) : () -> callFailed(this, "status " + head.status()));
@@ -248,7 +249,8 @@
                     double beganAt = loop.now();
                     objectStartedAt = beganAt;
                     loop.post(() -> loop.after(
-                            limits.listWaitMs(), () -> checkOverdue(objectStartedAt == beganAt, "incomplete object")));
+                            limits.parallelListCallMs(),
+                            () -> checkOverdue(objectStartedAt == beganAt, "incomplete object")));
                 }
             } catch (IllegalArgumentException e) {
                 loop.post(() -> invalidResponse(this, e.getMessage()));
@@ -261,12 +263,12 @@
         }
 
         @Override
-        public void done(boolean reusable, boolean alone) {
+        public void completed(boolean reusable, boolean alone) {
             loop.post(() -> callFailed(this, "ended"));
         }
 
         @Override
-        public void broken(boolean maybeArrived) {
+        public void failed(boolean maybeArrived) {
             loop.post(() -> callFailed(this, "connection failed"));
         }
     }
--- a/src/main/java/firstair/relay/endpoints/Endpoints.java
+++ b/src/main/java/firstair/relay/endpoints/Endpoints.java
@@ -6,11 +6,11 @@
 import firstair.relay.HostPort;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.http.Bundles;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpWriter;
+import firstair.relay.http.MessageHead;
+import firstair.relay.http.MultiMessageBody;
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
+import firstair.relay.net.HttpConnection;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -51,7 +51,7 @@
     // Calls that have read a Retry-After which has not been reported to the listener yet.
     private final Set<Call> unreportedWaits = ConcurrentHashMap.newKeySet();
 
-    private record IdleConnection(Link link, double since) {}
+    private record IdleConnection(HttpConnection link, double since) {}
 
     /** Receives the events of calls. */
     public interface Listener {
@@ -76,13 +76,16 @@
         default void onNotWritten(long id, int attempt) {}
     }
 
-    /** Decides whether a message may be sent, and with what timeout; see {@link firstair.control.Controller#mayGo}. */
+    /**
+     * Decides whether a message may be sent, and with what timeout; see {@link
+     * firstair.control.Controller#timeoutAtWrite}.
+     */
     public interface SendPolicy {
         /**
          * Called when the connection is available: the time limit for the response in milliseconds, or 0 if the message
          * must not be sent.
          */
-        double mayGo(long id, int attempt);
+        double timeoutAtWrite(long id, int attempt);
     }
 
     /** @param listener receives the outcome of each message */
@@ -191,7 +194,7 @@
     public void closeIdle(String endpoint) {
         ArrayDeque<IdleConnection> kept = idle.remove(endpoint);
         if (kept != null) {
-            kept.forEach(connection -> connection.link().leave());
+            kept.forEach(connection -> connection.link().abandon());
         }
     }
 
@@ -209,7 +212,7 @@
         for (Iterator<ArrayDeque<IdleConnection>> all = idle.values().iterator(); all.hasNext(); ) {
             ArrayDeque<IdleConnection> kept = all.next();
             while (!kept.isEmpty() && kept.peekFirst().since() <= oldest) {
-                kept.pollFirst().link().leave();
+                kept.pollFirst().link().abandon();
             }
             if (kept.isEmpty()) {
                 all.remove();
@@ -225,12 +228,12 @@
                     .filter(connections -> !connections.isEmpty())
                     .min(Comparator.comparingDouble(
                             connections -> connections.peekFirst().since()))
-                    .ifPresent(connections -> connections.pollFirst().link().leave());
+                    .ifPresent(connections -> connections.pollFirst().link().abandon());
             kept--;
         }
     }
 
-    private final class Call implements Link.Exchange {
+    private final class Call implements HttpConnection.Exchange {
         private final String endpoint;
         private final InetSocketAddress address; // null if the endpoint left the list in the round that chose it
         private final List<Item> items;
@@ -243,7 +246,7 @@
         private boolean bundle; // written with several messages
         private double timeoutMs; // for the response, counted from the write
         private double forcedEndAt; // its own timers end the call before that
-        private Link link; // null until one has been chosen or opened
+        private HttpConnection link; // null until one has been chosen or opened
         private boolean newConnection; // opened for this call
         private boolean recorded; // stored as attempts; whatever is not stored must not have been written
         private boolean written;
@@ -253,7 +256,7 @@
         private volatile boolean exchangeEnded; // reported by the connection, not yet processed by the loop
         private double reportedWaitMs; // longest Retry-After reported to the listener
         private volatile int statusLineCode; // 0 until the status line has been read
-        private volatile Head head;
+        private volatile MessageHead head;
         private volatile double waitReadAt; // when waitMs was read
         private volatile double waitMs; // longest Retry-After in a complete header line
 
@@ -329,7 +332,7 @@
                 IdleConnection last = all.next();
                 if (now - last.since() >= limits.idleMs()) {
                     all.remove(); // due for the sweep: the endpoint may close it at any moment
-                    last.link().leave();
+                    last.link().abandon();
                     continue;
                 }
                 if (now - last.since() < limits.restMs()) {
@@ -357,7 +360,7 @@
         private void openConnection() {
             evictIdle();
             newConnection = true;
-            Link[] opened = new Link[1];
+            HttpConnection[] opened = new HttpConnection[1];
             link = dialer.open(address, limits.maxBody(), null, this, () -> loop.post(() -> removeIdle(opened[0])));
             opened[0] = link;
             timers.add(loop.after(limits.connectMs(), () -> {
@@ -368,7 +371,7 @@
         }
 
         @Override
-        public void up() {
+        public void connected() {
             loop.post(() -> {
                 if (!finished) {
                     connected.add(this);
@@ -386,7 +389,7 @@
         void recheck(SendPolicy policy) {
             double least = timeoutMs;
             for (Item item : List.copyOf(items)) {
-                double ms = policy.mayGo(item.id(), item.attempt());
+                double ms = policy.timeoutAtWrite(item.id(), item.attempt());
                 if (ms > 0) {
                     least = Math.min(least, ms);
                 } else {
@@ -395,7 +398,7 @@
             }
             timeoutMs = least;
             if (!finished && !address.equals(addresses.get(endpoint))) {
-                link.leave();
+                link.abandon();
                 finishWithoutResponse(Result.CONNECT_FAILED); // its old address may belong to another endpoint
             }
         }
@@ -426,7 +429,7 @@
             requestIds = items.stream().map(Item::requestId).collect(Collectors.toSet());
             double now = loop.now();
             double responseTimeoutMs = responseTimeoutMs(now);
-            written = link.send(request(responseTimeoutMs, HostPort.of(address)), this);
+            written = link.send(request(responseTimeoutMs, HostPort.format(address)), this);
             trace((written ? "written, response timeout " : "not written, response timeout ")
                     + Math.round(responseTimeoutMs) + " ms");
             if (written) {
@@ -449,11 +452,12 @@
                     writer.header("Idempotency-Key", item.key());
                 }
                 return closeAfterIfRequested(writer.header("Request-Timeout-Ms", timeout))
-                        .body(item.body());
+                        .withBody(item.body());
             }
             return closeAfterIfRequested(
                             HttpWriter.request("POST", "/receive-many", host).header("Request-Timeout-Ms", timeout))
-                    .body(Bundles.write(items.stream().map(Item::part).toList()));
+                    .withBody(MultiMessageBody.write(
+                            items.stream().map(Item::part).toList()));
         }
 
         /** Lets the endpoint close the connection after its response: closing it here would be a round trip later. */
@@ -463,7 +467,7 @@
 
         /** Limits the time of the response: one that never ends gives no more than its status line but holds a slot. */
         @Override
-        public void begun() {
+        public void responseBegun() {
             loop.post(() -> {
                 if (!finished) {
                     responseTimer = loop.after(limits.answerMs(), () -> abandon(Result.RESET));
@@ -473,7 +477,7 @@
         }
 
         @Override
-        public void interim() {
+        public void interimEnded() {
             loop.post(() -> {
                 if (responseTimer != null) {
                     responseTimer.cancel();
@@ -482,13 +486,13 @@
         }
 
         @Override
-        public void first(int status) {
+        public void status(int status) {
             statusLineCode = status;
         }
 
         /** A Retry-After applies from when it was read, even if the rest of the response or the call fails. */
         @Override
-        public void field(String name, String value) {
+        public void header(String name, String value) {
             double ms = name.equals(Responses.RETRY_AFTER) ? Responses.retryAfterMs(value) : 0;
             if (ms > waitMs) {
                 waitReadAt = loop.now();
@@ -510,7 +514,7 @@
         }
 
         @Override
-        public void head(Head received) {
+        public void head(MessageHead received) {
             head = received;
         }
 
@@ -522,14 +526,14 @@
         }
 
         @Override
-        public void done(boolean reusable, boolean alone) {
+        public void completed(boolean reusable, boolean alone) {
             double at = loop.now();
             exchangeEnded = true;
             loop.post(() -> responseReceived(at, reusable, alone));
         }
 
         @Override
-        public void broken(boolean maybeArrived) {
+        public void failed(boolean maybeArrived) {
             exchangeEnded = true;
             loop.post(() -> finishWithoutResponse(
                     timedOut ? Result.TIMEOUT : maybeArrived ? Result.RESET : Result.CONNECT_FAILED));
@@ -537,7 +541,7 @@
 
         /** As for {@link #withhold}: once recorded, the attempt number is used up. */
         @Override
-        public void unasked() {
+        public void failedLocally() {
             exchangeEnded = true;
             loop.post(() -> finishWithoutResponse(recorded ? Result.NOT_SENT : Result.LOCAL_FAILURE));
         }
@@ -551,10 +555,11 @@
                 return;
             }
             Responses.AttemptEnd all = Responses.fromStatus(head, bundle, newConnection);
-            Map<String, String> ends = all == null ? Bundles.read(body.toByteArray(), requestIds) : Map.of();
+            Map<String, String> ends =
+                    all == null ? MultiMessageBody.readResults(body.toByteArray(), requestIds) : Map.of();
             if (ends == null || all != null && !alone && all.result() != Result.OK) {
                 // The length does not match. Only a well-formed response can prove that nothing has run.
-                link.leave();
+                link.abandon();
                 finishWithoutResponse(Result.RESET);
                 return;
             }
@@ -612,11 +617,11 @@
 
         /**
          * Closes the connection and ends the call, unless the connection has reported the end of the call already and
-         * the loop has yet to process it. In that case {@link Link#leave} would find no request in progress, which does
-         * not mean that the request never arrived.
+         * the loop has yet to process it. In that case {@link HttpConnection#abandon} would find no request in
+         * progress, which does not mean that the request never arrived.
          */
         private void abandon(Result resultIfSent) {
-            boolean arrived = !exchangeEnded && link != null && link.leave();
+            boolean arrived = !exchangeEnded && link != null && link.abandon();
             if (!exchangeEnded) {
                 finishWithoutResponse(arrived ? resultIfSent : Result.CONNECT_FAILED);
             }
@@ -626,7 +631,7 @@
         private void forceEnd() {
             boolean neverRan = !written;
             if (link != null) {
-                link.leave();
+                link.abandon();
             }
             finishWithoutResponse(neverRan ? Result.CONNECT_FAILED : Result.RESET);
         }
@@ -657,10 +662,10 @@
                 timers.forEach(Loop.Timer::cancel);
                 boolean abandoned = result == Result.TIMEOUT || result == Result.CANCELLED;
                 boolean unsent = !written && (result == Result.NOT_SENT || result == Result.WITHHELD);
-                if (unsent && link != null && link.keep()) {
+                if (unsent && link != null && link.keepIdle()) {
                     keepConnection(loop.now() - limits.restMs()); // unused, so it need not rest
                 } else if ((abandoned || !written) && link != null) {
-                    link.leave();
+                    link.abandon();
                 }
             }
             listener.ended(new Outcome(
@@ -679,11 +684,11 @@
             if (address.equals(addresses.get(endpoint))) {
                 idle.computeIfAbsent(endpoint, key -> new ArrayDeque<>()).addLast(new IdleConnection(link, idleSince));
             } else {
-                link.leave();
+                link.abandon();
             }
         }
 
-        private void removeIdle(Link closed) {
+        private void removeIdle(HttpConnection closed) {
             ArrayDeque<IdleConnection> kept = idle.get(endpoint);
             if (kept != null) {
                 kept.removeIf(connection -> connection.link() == closed);
--- a/src/main/java/firstair/relay/endpoints/Item.java
+++ b/src/main/java/firstair/relay/endpoints/Item.java
@@ -1,6 +1,6 @@
 package firstair.relay.endpoints;
 
-import firstair.relay.http.Bundles;
+import firstair.relay.http.MultiMessageBody;
 
 /**
  * One message in a call.
@@ -22,10 +22,10 @@
 
     /** Size in bytes within a call that carries several messages. */
     public int bundledBytes() {
-        return part().bytes();
+        return part().encodedLength();
     }
 
-    Bundles.Part part() {
-        return new Bundles.Part(requestId, key, body);
+    MultiMessageBody.Part part() {
+        return new MultiMessageBody.Part(requestId, key, body);
     }
 }
--- a/src/main/java/firstair/relay/endpoints/Responses.java
+++ b/src/main/java/firstair/relay/endpoints/Responses.java
@@ -5,7 +5,7 @@
 import com.google.gson.stream.JsonToken;
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Result;
-import firstair.relay.http.Head;
+import firstair.relay.http.MessageHead;
 import java.io.IOException;
 import java.io.StringReader;
 
@@ -28,7 +28,7 @@
      * @param bundle        whether the call was sent with several messages
      * @param newConnection whether the call was the first on its connection
      */
-    static AttemptEnd fromStatus(Head head, boolean bundle, boolean newConnection) {
+    static AttemptEnd fromStatus(MessageHead head, boolean bundle, boolean newConnection) {
         if (newConnection && connectionRejected(head)) {
             return new AttemptEnd(Result.CROWDED, false);
         }
@@ -52,7 +52,7 @@
      * neither a wait nor a limit, since it has not checked any. Treating this as a rejected call would slow down all
      * calls that the endpoint does serve.
      */
-    private static boolean connectionRejected(Head head) {
+    private static boolean connectionRejected(MessageHead head) {
         return head.status() == 503
                 && "close".equalsIgnoreCase(head.header("connection"))
                 && head.header("retry-after") == null
@@ -72,7 +72,7 @@
     }
 
     /** The value of the header {@link #RETRY_AFTER} in milliseconds, 0 if there is none. */
-    static double retryAfterMs(Head head) {
+    static double retryAfterMs(MessageHead head) {
         String text = head.header(RETRY_AFTER);
         return text == null ? 0 : retryAfterMs(text);
     }
@@ -91,7 +91,7 @@
      * The load report in a response. It is read member by member: building a tree of whatever an endpoint sends, such
      * as thousands of nested brackets, could overflow the stack of the loop's thread and so terminate the relay.
      */
-    static Load load(Head head) {
+    static Load load(MessageHead head) {
         String text = head.header("server-load");
         if (text == null) {
             return Load.NONE;
--- a/src/main/java/firstair/relay/fleet/FleetConfig.java
+++ b/src/main/java/firstair/relay/fleet/FleetConfig.java
@@ -142,7 +142,7 @@
             InetSocketAddress address =
                     address("fleet.peers", text.substring(equals + 1).strip());
             require(all.put(name, address) == null, "fleet.peers", name + " is listed twice");
-            String other = nameByAddress.put(HostPort.of(address), name);
+            String other = nameByAddress.put(HostPort.format(address), name);
             require(other == null, "fleet.peers", name + " and " + other + " have the same address");
         }
         require(!all.isEmpty(), "fleet.peers", "no relay is listed");
--- a/src/main/java/firstair/relay/fleet/FleetDriver.java
+++ b/src/main/java/firstair/relay/fleet/FleetDriver.java
@@ -199,12 +199,12 @@
 
     @Override
     public void warned(String endpoint, double waitUntil, double avoidUntil) {
-        listener.warned(endpoint, waitUntil, avoidUntil);
+        listener.peerWarning(endpoint, waitUntil, avoidUntil);
     }
 
     @Override
     public void recheckZones() {
-        listener.confine();
+        listener.restrictionsChanged();
     }
 
     @Override
@@ -215,7 +215,7 @@
     // ---- calls from the relay ----
 
     @Override
-    public boolean talk() {
+    public boolean enabled() {
         return true;
     }
 
@@ -249,7 +249,7 @@
     }
 
     @Override
-    public Admission terms(String tenant, String className, int destination, String booking) {
+    public Admission restrictions(String tenant, String className, int destination, String booking) {
         return admission(fleet.terms(loop.now(), tenant, className, destination, booking));
     }
 
@@ -262,12 +262,12 @@
             }
         }
         return zoneNumbers == null && terms.lane() == null
-                ? Admission.FREE
+                ? Admission.UNRESTRICTED
                 : new Admission(0, 0, null, zoneNumbers, terms.lane());
     }
 
     @Override
-    public void taken(int destination) {
+    public void accepted(int destination) {
         fleet.accepted(loop.now(), destination);
     }
 
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public void listed(Set<Integer> destinations, Set<String> endpoints) {
+    public void listUpdated(Set<Integer> destinations, Set<String> endpoints) {
         fleet.setListed(loop.now(), destinations, endpoints);
     }
 
@@ -317,7 +317,7 @@
     // ---- bookings ----
 
     @Override
-    public boolean books() {
+    public boolean bookingsEnabled() {
         return config.sharing().bookings();
     }
 
@@ -325,7 +325,7 @@
     public void handleBooking(BookingRequest request) {
         try {
             if (request.method().equals("GET")) {
-                request.answer(200, 0, describe(request.booking()));
+                request.respond(200, 0, describe(request.booking()));
                 return;
             }
             List<Operation> operations =
@@ -383,9 +383,9 @@
     private static void answer(BookingRequest request, firstair.fleet.ledger.Outcome outcome) {
         if (outcome instanceof firstair.fleet.ledger.Outcome.Committed agreed) {
             String booking = new String(agreed.result(), StandardCharsets.UTF_8);
-            request.answer(200, 0, booking.isEmpty() ? "{}" : booking);
+            request.respond(200, 0, booking.isEmpty() ? "{}" : booking);
         } else if (outcome instanceof firstair.fleet.ledger.Outcome.Refused refused) {
-            request.answer(status(refused.code()), 0, json(refused.code(), refused.what(), refused.step()));
+            request.respond(status(refused.code()), 0, json(refused.code(), refused.what(), refused.step()));
         } else if (outcome instanceof firstair.fleet.ledger.Outcome.NotNow notNow) {
             answer(request, notNow.fault());
         }
@@ -393,7 +393,7 @@
 
     private static void answer(BookingRequest request, Fault fault) {
         double afterMs = fault instanceof Fault.NotNow notNow ? notNow.afterMs() : 0;
-        request.answer(
+        request.respond(
                 fault instanceof Fault.NotNow ? SERVICE_UNAVAILABLE : status(fault.code()),
                 afterMs,
                 json(fault.code(), fault.getMessage(), fault.step()));
--- a/src/main/java/firstair/relay/fleet/PeerTransport.java
+++ b/src/main/java/firstair/relay/fleet/PeerTransport.java
@@ -2,10 +2,10 @@
 
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.net.Datagrams;
-import firstair.relay.net.Frames;
-import firstair.relay.net.Inbox;
-import firstair.relay.net.Pipe;
+import firstair.relay.net.DatagramTransport;
+import firstair.relay.net.FrameConnection;
+import firstair.relay.net.FrameTransport;
+import firstair.relay.net.PeerDataListener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -110,8 +110,8 @@
     private final Bounds bounds;
     private final Listener listener;
     private final Map<String, Peer> peers = new LinkedHashMap<>();
-    private final Datagrams datagrams;
-    private final Frames frames;
+    private final DatagramTransport datagrams;
+    private final FrameTransport frames;
     private final InetSocketAddress address;
     private final LongAdder sent = new LongAdder();
     private final LongAdder sentBytes = new LongAdder();
@@ -139,16 +139,16 @@
         peers.forEach((name, peerAddress) -> this.peers.put(name, new Peer(peerAddress)));
         InboundQueue inboundDatagrams = new InboundQueue(bounds.inboundDatagrams(), Long.MAX_VALUE);
         InboundQueue inboundFrames = new InboundQueue(bounds.inboundFrames(), bounds.inboundBytes());
-        Datagrams udp = null;
-        Frames tcp = null;
+        DatagramTransport udp = null;
+        FrameTransport tcp = null;
         for (int attempt = 1; udp == null; attempt++) {
-            tcp = new Frames(
+            tcp = new FrameTransport(
                     THREAD_NAME,
                     listen,
-                    new Frames.Bounds(bounds.maxFrameBytes(), bounds.inboundBytes(), bounds.connections()),
+                    new FrameTransport.Bounds(bounds.maxFrameBytes(), bounds.inboundBytes(), bounds.connections()),
                     inboundFrames);
             try {
-                udp = new Datagrams(THREAD_NAME, tcp.address(), bounds.maxDatagramBytes(), inboundDatagrams);
+                udp = new DatagramTransport(THREAD_NAME, tcp.address(), bounds.maxDatagramBytes(), inboundDatagrams);
             } catch (IOException e) {
                 tcp.close();
                 if (listen.getPort() != 0 || attempt == MAX_BIND_ATTEMPTS) {
@@ -224,7 +224,7 @@
         private volatile InetSocketAddress address;
         private volatile boolean resolving;
         private double nextLookupAt;
-        private Pipe pipe;
+        private FrameConnection pipe;
         private double reconnectAt;
 
         Peer(InetSocketAddress address) {
@@ -259,7 +259,7 @@
                 }
                 pipe = frames.open(address);
             }
-            return pipe.waiting() + bytes.length <= bounds.outboundBytesPerPeer()
+            return pipe.unwrittenBytes() + bytes.length <= bounds.outboundBytesPerPeer()
                     && queuedBytes() + bytes.length <= bounds.outboundBytes()
                     && pipe.send(bytes);
         }
@@ -267,12 +267,12 @@
         /** Drops the connection if it has ended, is stalled, or is unused. */
         void sweep(double now) {
             if (pipe != null) {
-                double timeoutMs = pipe.waiting() > 0 ? bounds.stallTimeoutMs() : bounds.idleTimeoutMs();
-                if (pipe.stillMs() > timeoutMs) {
+                double timeoutMs = pipe.unwrittenBytes() > 0 ? bounds.stallTimeoutMs() : bounds.idleTimeoutMs();
+                if (pipe.msSinceProgress() > timeoutMs) {
                     pipe.close();
                 }
-                if (!pipe.alive()) {
-                    reconnectAt = pipe.cameUp() ? now : now + bounds.reconnectDelayMs();
+                if (!pipe.isUsable()) {
+                    reconnectAt = pipe.wasConnected() ? now : now + bounds.reconnectDelayMs();
                     pipe = null;
                 }
             }
@@ -288,12 +288,12 @@
     /** Bytes queued for sending to all peers. */
     private long queuedBytes() {
         return peers.values().stream()
-                .mapToLong(p -> p.pipe == null ? 0 : p.pipe.waiting())
+                .mapToLong(p -> p.pipe == null ? 0 : p.pipe.unwrittenBytes())
                 .sum();
     }
 
     /** Received datagrams or frames that wait for the loop. */
-    private final class InboundQueue implements Inbox {
+    private final class InboundQueue implements PeerDataListener {
         private final int maxItems;
         private final long maxBytes;
         private final Queue<byte[]> items = new ArrayDeque<>();
@@ -306,12 +306,12 @@
         }
 
         @Override
-        public void garbage() {
+        public void malformed() {
             malformed.increment();
         }
 
         @Override
-        public void bytes(byte[] item) {
+        public void received(byte[] item) {
             received.increment();
             receivedBytes.add(item.length);
             synchronized (this) {
--- a/src/main/java/firstair/relay/http/HttpParser.java
+++ b/src/main/java/firstair/relay/http/HttpParser.java
@@ -19,13 +19,13 @@
     /** Receives the parts of a message as they are parsed. */
     public interface Sink {
         /** The status line of a final (not interim) response; the rest of it may still turn out to be invalid. */
-        default void first(int status) {}
+        default void status(int status) {}
 
         /** A header line of a final response, its name in lower case; the rest may still turn out to be invalid. */
-        default void field(String name, String value) {}
+        default void header(String name, String value) {}
 
         /** Start line and headers are complete. */
-        void head(Head head) throws HttpException;
+        void head(MessageHead head) throws HttpException;
 
         /** A part of the body. The array is valid during the call only. */
         void body(byte[] bytes, int offset, int length) throws HttpException;
@@ -214,7 +214,7 @@
             checkVersion(startLine[0]);
             int status = Integer.parseInt(startLine[1]);
             if (status >= 200) {
-                sink.first(status);
+                sink.status(status);
             }
         }
     }
@@ -237,7 +237,7 @@
         String value = text.substring(colon + 1).trim();
         headers.merge(name, value, (a, b) -> a + "," + b);
         if (kind == Kind.ANSWER && startLine[1].charAt(0) != '1') {
-            sink.field(name, value);
+            sink.header(name, value);
         }
     }
 
@@ -250,7 +250,7 @@
             return false;
         }
         remaining = contentLength == null ? 0 : parseContentLength(contentLength);
-        Head head = new Head(startLine, headers, contentLength == null ? -1 : remaining);
+        MessageHead head = new MessageHead(startLine, headers, contentLength == null ? -1 : remaining);
         headers = new LinkedHashMap<>();
         headBytes = 0;
         bodyBytes = 0;
--- a/src/main/java/firstair/relay/http/HttpWriter.java
+++ b/src/main/java/firstair/relay/http/HttpWriter.java
@@ -16,7 +16,7 @@
     }
 
     /** Starts a response with its status line. */
-    public static HttpWriter answer(int status) {
+    public static HttpWriter response(int status) {
         return new HttpWriter("HTTP/1.1 " + status + " " + reasonPhrase(status));
     }
 
@@ -27,16 +27,16 @@
     }
 
     /** Returns the message with a body and its {@code Content-Length}. */
-    public byte[] body(byte[] body) {
+    public byte[] withBody(byte[] body) {
         header("Content-Length", String.valueOf(body.length));
-        byte[] headBytes = bare();
+        byte[] headBytes = withoutBody();
         byte[] message = java.util.Arrays.copyOf(headBytes, headBytes.length + body.length);
         System.arraycopy(body, 0, message, headBytes.length, body.length);
         return message;
     }
 
     /** Returns the message without a body and without {@code Content-Length}. */
-    public byte[] bare() {
+    public byte[] withoutBody() {
         return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
--- a/src/main/java/firstair/relay/http/Collector.java
+++ b/src/main/java/firstair/relay/http/MessageCollector.java
@@ -2,19 +2,19 @@
 
 import java.util.Arrays;
 
-/** Collects the parts of a message and passes the complete message to {@link #whole}. */
-public abstract class Collector implements HttpParser.Sink {
+/** Collects the parts of a message and passes the complete message to {@link #complete}. */
+public abstract class MessageCollector implements HttpParser.Sink {
     private static final int INITIAL_BODY_BYTES = 512;
 
-    private Head head;
+    private MessageHead head;
     private byte[] body;
     private int length;
 
     /** Called with each complete message. */
-    protected abstract void whole(Head head, byte[] body);
+    protected abstract void complete(MessageHead head, byte[] body);
 
     @Override
-    public void head(Head received) {
+    public void head(MessageHead received) {
         head = received;
         length = 0;
         // No more than the announced length, as hundreds of clients may send large bodies at the same time.
@@ -34,6 +34,6 @@
     public void end() {
         byte[] complete = body.length == length ? body : Arrays.copyOf(body, length);
         body = null;
-        whole(head, complete);
+        complete(head, complete);
     }
 }
--- a/src/main/java/firstair/relay/http/Head.java
+++ b/src/main/java/firstair/relay/http/MessageHead.java
@@ -7,12 +7,12 @@
  * Start line and headers of a message. Header names are in lower case; the values of a repeated header are joined by
  * commas.
  */
-public final class Head {
+public final class MessageHead {
     private final String[] startLine;
     private final Map<String, String> headers;
     private final long contentLength;
 
-    Head(String[] startLine, Map<String, String> headers, long contentLength) {
+    MessageHead(String[] startLine, Map<String, String> headers, long contentLength) {
         this.startLine = startLine;
         this.headers = headers;
         this.contentLength = contentLength;
--- a/src/main/java/firstair/relay/http/Bundles.java
+++ b/src/main/java/firstair/relay/http/MultiMessageBody.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** The body of a call with several messages, and the response body with the result of each. */
-public final class Bundles {
+public final class MultiMessageBody {
     private static final byte[] CRLF = {'\r', '\n'};
 
     /**
@@ -24,12 +24,12 @@
         }
 
         /** The number of bytes that it adds to the body of a call. */
-        public int bytes() {
+        public int encodedLength() {
             return headerLine().length() + body.length + 2 * CRLF.length;
         }
     }
 
-    private Bundles() {}
+    private MultiMessageBody() {}
 
     /** The body of a call with several messages. */
     public static byte[] write(List<Part> parts) {
@@ -49,7 +49,7 @@
      *
      * @return null if the body is not valid
      */
-    public static Map<String, String> read(byte[] body, Set<String> ids) {
+    public static Map<String, String> readResults(byte[] body, Set<String> ids) {
         String text = new String(body, StandardCharsets.ISO_8859_1);
         if (!text.endsWith("\n")) {
             return null;
--- a/src/main/java/firstair/relay/net/Datagrams.java
+++ b/src/main/java/firstair/relay/net/DatagramTransport.java
@@ -19,8 +19,8 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /** A UDP socket for datagrams between relays, with its own selector thread, which never blocks. */
-public final class Datagrams {
-    private static final Logger LOG = Logger.getLogger(Datagrams.class.getName());
+public final class DatagramTransport {
+    private static final Logger LOG = Logger.getLogger(DatagramTransport.class.getName());
     private static final int RECEIVE_BUFFER_BYTES = 1 << 18; // buffered by the system while the selector thread is late
 
     private final UDPNIOTransport transport;
@@ -30,10 +30,12 @@
      * Opens the socket.
      *
      * @param threadName name of the selector thread
-     * @param maxBytes   maximum size of a datagram, in bytes; longer ones are reported as {@link Inbox#garbage}
+     * @param maxBytes   maximum size of a datagram, in bytes; longer ones are reported as {@link
+     *                   PeerDataListener#malformed}
      * @throws IOException if the address cannot be bound
      */
-    public Datagrams(String threadName, InetSocketAddress bindAddress, int maxBytes, Inbox inbox) throws IOException {
+    public DatagramTransport(String threadName, InetSocketAddress bindAddress, int maxBytes, PeerDataListener inbox)
+            throws IOException {
         transport = UDPNIOTransportBuilder.newInstance()
                 .setName(threadName)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -87,20 +89,20 @@
 
     private static final class ReceiveFilter extends BaseFilter {
         private final int maxBytes;
-        private final Inbox inbox;
+        private final PeerDataListener inbox;
 
-        ReceiveFilter(int maxBytes, Inbox inbox) {
+        ReceiveFilter(int maxBytes, PeerDataListener inbox) {
             this.maxBytes = maxBytes;
             this.inbox = inbox;
         }
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            byte[] bytes = Wire.bytes(ctx);
+            byte[] bytes = NetworkTransport.bytes(ctx);
             if (bytes.length > maxBytes) {
-                inbox.garbage();
+                inbox.malformed();
             } else {
-                inbox.bytes(bytes);
+                inbox.received(bytes);
             }
             return ctx.getStopAction();
         }
--- a/src/main/java/firstair/relay/net/Dialer.java
+++ b/src/main/java/firstair/relay/net/Dialer.java
@@ -9,9 +9,15 @@
      * is overloaded; a caller that would have to decide again by then opens the connection without a request.
      *
      * @param maxBody       maximum size of a response body, in bytes
-     * @param request       null to send nothing; {@link Link.Exchange#up} then reports the established connection
+     * @param request       null to send nothing; {@link HttpConnection.Exchange#connected} then reports the established
+     *                      connection
      * @param firstExchange receives the events of the first request
      * @param onIdleClose   run if the connection ends while no request is in progress on it
      */
-    Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose);
+    HttpConnection open(
+            InetSocketAddress to,
+            long maxBody,
+            byte[] request,
+            HttpConnection.Exchange firstExchange,
+            Runnable onIdleClose);
 }
--- a/src/main/java/firstair/relay/net/Pipe.java
+++ b/src/main/java/firstair/relay/net/FrameConnection.java
@@ -12,10 +12,10 @@
 
 /**
  * A connection that carries frames to another relay. No method throws or waits. A frame that was accepted may still be
- * lost with the connection; senders check {@link #waiting} and {@link #stillMs}.
+ * lost with the connection; senders check {@link #unwrittenBytes} and {@link #msSinceProgress}.
  */
-public final class Pipe {
-    private static final Logger LOG = Logger.getLogger(Pipe.class.getName());
+public final class FrameConnection {
+    private static final Logger LOG = Logger.getLogger(FrameConnection.class.getName());
     private static final double NS_PER_MS = 1e6;
 
     private enum Phase {
@@ -33,8 +33,8 @@
     private long unwrittenBytes;
     private long lastProgressAt = System.nanoTime();
 
-    /** Starts to connect; see {@link Frames#open}. */
-    Pipe(Frames frames, InetSocketAddress to) {
+    /** Starts to connect; see {@link FrameTransport#open}. */
+    FrameConnection(FrameTransport frames, InetSocketAddress to) {
         connectFuture = connect(frames, to);
         if (connectFuture == null) {
             close();
@@ -60,7 +60,7 @@
     }
 
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
-    private static GrizzlyFuture<Connection> connect(Frames frames, InetSocketAddress to) {
+    private static GrizzlyFuture<Connection> connect(FrameTransport frames, InetSocketAddress to) {
         try {
             return frames.connect(to);
         } catch (RuntimeException e) {
@@ -77,7 +77,7 @@
         connection = established;
         phase = Phase.OPEN;
         lastProgressAt = System.nanoTime();
-        Frames.setPipe(established, this);
+        FrameTransport.setPipe(established, this);
         while (phase == Phase.OPEN && !queuedFrames.isEmpty()) {
             write(queuedFrames.remove());
         }
@@ -109,7 +109,7 @@
 
     private void write(byte[] bytes) {
         try {
-            Wire.write(connection, bytes, () -> written(bytes.length), this::close);
+            NetworkTransport.write(connection, bytes, () -> written(bytes.length), this::close);
         } catch (RuntimeException e) {
             LOG.log(Level.FINE, "failed to write a frame", e);
             close();
@@ -124,22 +124,22 @@
     }
 
     /** Bytes that were accepted and have not been handed to the system yet. */
-    public synchronized long waiting() {
+    public synchronized long unwrittenBytes() {
         return unwrittenBytes;
     }
 
     /** Milliseconds since bytes were last written, the connection was established or sending began anew. */
-    public synchronized double stillMs() {
+    public synchronized double msSinceProgress() {
         return (System.nanoTime() - lastProgressAt) / NS_PER_MS;
     }
 
     /** Whether the connection is open or still being established. */
-    public synchronized boolean alive() {
+    public synchronized boolean isUsable() {
         return phase != Phase.CLOSED;
     }
 
     /** Whether the connection was ever established. */
-    public synchronized boolean cameUp() {
+    public synchronized boolean wasConnected() {
         return connection != null;
     }
 
--- a/src/main/java/firstair/relay/net/FrameDecoder.java
+++ b/src/main/java/firstair/relay/net/FrameDecoder.java
@@ -10,7 +10,7 @@
 
     private final int maxFrameBytes;
     private final LongPredicate reserve;
-    private final Inbox inbox;
+    private final PeerDataListener inbox;
     private int lengthBytesRead;
     private int length;
     private int filled;
@@ -20,7 +20,7 @@
      * @param reserve reserves memory of that many bytes and returns whether the limit allows it; a negative number
      *     releases memory
      */
-    FrameDecoder(int maxFrameBytes, LongPredicate reserve, Inbox inbox) {
+    FrameDecoder(int maxFrameBytes, LongPredicate reserve, PeerDataListener inbox) {
         this.maxFrameBytes = maxFrameBytes;
         this.reserve = reserve;
         this.inbox = inbox;
@@ -47,7 +47,7 @@
             if (filled == length) {
                 byte[] complete = frame.length == length ? frame : Arrays.copyOf(frame, length);
                 reset();
-                inbox.bytes(complete);
+                inbox.received(complete);
             }
         }
         return true;
--- a/src/main/java/firstair/relay/net/Frames.java
+++ b/src/main/java/firstair/relay/net/FrameTransport.java
@@ -28,9 +28,10 @@
  * Frames over TCP between relays, with its own selector thread, which never blocks. Each relay sends on connections
  * that it opened and receives on those that it accepted; a connection carries frames in one direction only.
  */
-public final class Frames {
-    private static final Logger LOG = Logger.getLogger(Frames.class.getName());
-    private static final Attribute<Pipe> PIPE = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.pipe");
+public final class FrameTransport {
+    private static final Logger LOG = Logger.getLogger(FrameTransport.class.getName());
+    private static final Attribute<FrameConnection> PIPE =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.pipe");
 
     /**
      * Upper limits of what is buffered and kept open.
@@ -51,7 +52,8 @@
      * @param threadName name of the selector thread
      * @throws IOException if the address cannot be bound
      */
-    public Frames(String threadName, InetSocketAddress listenAddress, Bounds bounds, Inbox inbox) throws IOException {
+    public FrameTransport(String threadName, InetSocketAddress listenAddress, Bounds bounds, PeerDataListener inbox)
+            throws IOException {
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName(threadName)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -92,11 +94,11 @@
     }
 
     /** Opens a connection that carries frames to another relay. */
-    public Pipe open(InetSocketAddress to) {
-        return new Pipe(this, to);
+    public FrameConnection open(InetSocketAddress to) {
+        return new FrameConnection(this, to);
     }
 
-    /** Opens a connection for a {@link Pipe}. */
+    /** Opens a connection for a {@link FrameConnection}. */
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     GrizzlyFuture<Connection> connect(InetSocketAddress to) {
         return TCPNIOConnectorHandler.builder(transport)
@@ -106,7 +108,7 @@
     }
 
     /** Associates a connection with its pipe. */
-    static void setPipe(Connection<?> connection, Pipe pipe) {
+    static void setPipe(Connection<?> connection, FrameConnection pipe) {
         PIPE.set(connection, pipe);
     }
 
@@ -119,13 +121,13 @@
     private static final class OutgoingFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            Wire.drop(ctx);
+            NetworkTransport.discard(ctx);
             return ctx.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext ctx) {
-            Pipe pipe = PIPE.get(ctx.getConnection());
+            FrameConnection pipe = PIPE.get(ctx.getConnection());
             if (pipe != null) {
                 pipe.close();
             }
@@ -135,13 +137,13 @@
 
     private static final class IncomingFilter extends BaseFilter {
         private final Bounds bounds;
-        private final Inbox inbox;
+        private final PeerDataListener inbox;
         /** In order of last use: the connection that has been silent for longest comes first. */
         private final Map<Connection<?>, FrameDecoder> decoders = new LinkedHashMap<>(16, 0.75f, true);
 
         private long partialBytes;
 
-        IncomingFilter(Bounds bounds, Inbox inbox) {
+        IncomingFilter(Bounds bounds, PeerDataListener inbox) {
             this.bounds = bounds;
             this.inbox = inbox;
         }
@@ -171,7 +173,7 @@
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            byte[] bytes = Wire.bytes(ctx);
+            byte[] bytes = NetworkTransport.bytes(ctx);
             boolean valid;
             synchronized (decoders) {
                 FrameDecoder decoder = decoders.get(ctx.getConnection());
@@ -179,7 +181,7 @@
             }
             if (!valid) {
                 LOG.log(Level.FINE, "invalid frame data on {0}", ctx.getConnection());
-                inbox.garbage();
+                inbox.malformed();
                 remove(ctx.getConnection());
             }
             return ctx.getStopAction();
--- a/src/main/java/firstair/relay/net/HttpLink.java
+++ b/src/main/java/firstair/relay/net/GrizzlyHttpConnection.java
@@ -1,9 +1,9 @@
 package firstair.relay.net;
 
 import firstair.relay.RateLimitedLogger;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpException;
 import firstair.relay.http.HttpParser;
+import firstair.relay.http.MessageHead;
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 import java.util.logging.Level;
@@ -12,10 +12,10 @@
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.GrizzlyFuture;
 
-/** A {@link Link} that speaks HTTP/1.1 over a Grizzly connection. */
-final class HttpLink implements Link {
+/** A {@link HttpConnection} that speaks HTTP/1.1 over a Grizzly connection. */
+final class GrizzlyHttpConnection implements HttpConnection {
     private static final RateLimitedLogger FAULTS =
-            new RateLimitedLogger(Logger.getLogger(HttpLink.class.getName()), Level.SEVERE);
+            new RateLimitedLogger(Logger.getLogger(GrizzlyHttpConnection.class.getName()), Level.SEVERE);
 
     private enum Phase {
         CONNECTING,
@@ -35,14 +35,14 @@
     private Connection<?> connection;
     private Phase phase = Phase.CONNECTING;
     private Exchange exchange;
-    private Head head;
+    private MessageHead head;
     private boolean responseComplete;
     private boolean responseBegun;
     private boolean halted;
 
     /** Opens a connection, and sends a first request on it if there is one; see {@link Dialer#open}. */
-    HttpLink(
-            Wire wire,
+    GrizzlyHttpConnection(
+            NetworkTransport wire,
             int maxHead,
             InetSocketAddress to,
             long maxBody,
@@ -96,13 +96,13 @@
             return;
         }
         connection = established;
-        LinkFilter.LINK.set(established, this);
+        HttpConnectionFilter.LINK.set(established, this);
         if (request != null) {
             write(request);
             return;
         }
         phase = Phase.UP;
-        exchange.up();
+        exchange.connected();
     }
 
     @Override
@@ -113,7 +113,7 @@
         if (phase != Phase.UP && !idle()) {
             return false;
         }
-        if (phase == Phase.IDLE && !Wire.hasNothingUnread(connection)) {
+        if (phase == Phase.IDLE && !NetworkTransport.hasNothingUnread(connection)) {
             // The peer has ended it or sent unsolicited data, which the selector has not processed yet: a request would
             // be lost on it or would be taken for answered by that data.
             close();
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public synchronized boolean keep() {
+    public synchronized boolean keepIdle() {
         if (phase == Phase.UP && !responseBegun) {
             phase = Phase.IDLE;
             exchange = null;
@@ -147,7 +147,7 @@
     private void write(byte[] request) {
         phase = Phase.WRITING;
         boolean accepted = callLibrary(() -> {
-                    Wire.write(connection, request, this::written, this::notSent);
+                    NetworkTransport.write(connection, request, this::written, this::notSent);
                     return true;
                 })
                 != null;
@@ -174,7 +174,7 @@
             Exchange ended = exchange;
             exchange = null;
             close();
-            ended.unasked();
+            ended.failedLocally();
         }
     }
 
@@ -208,10 +208,10 @@
         boolean hasBegun = phase == Phase.UP || parser.begun();
         if (hasBegun && !responseBegun) {
             responseBegun = true;
-            exchange.begun();
+            exchange.responseBegun();
         } else if (!hasBegun && responseBegun) {
             responseBegun = false; // what had been received was part of an interim response
-            exchange.interim();
+            exchange.interimEnded();
         }
     }
 
@@ -224,7 +224,7 @@
         } else {
             close();
         }
-        ended.done(reusable, alone);
+        ended.completed(reusable, alone);
     }
 
     synchronized void closed() {
@@ -257,12 +257,12 @@
         exchange = null;
         close();
         if (ended != null) {
-            ended.broken(maybeArrived);
+            ended.failed(maybeArrived);
         }
     }
 
     @Override
-    public synchronized boolean leave() {
+    public synchronized boolean abandon() {
         boolean sent = phase == Phase.WRITING || phase == Phase.WAITING;
         exchange = null;
         close();
@@ -275,7 +275,7 @@
             return false;
         }
         halted = true;
-        Wire.shutdownOutput(connection, this::closed);
+        NetworkTransport.shutdownOutput(connection, this::closed);
         return true;
     }
 
@@ -293,17 +293,17 @@
 
     private final class ResponseSink implements HttpParser.Sink {
         @Override
-        public void first(int status) {
-            exchange.first(status);
+        public void status(int status) {
+            exchange.status(status);
         }
 
         @Override
-        public void field(String name, String value) {
-            exchange.field(name, value);
+        public void header(String name, String value) {
+            exchange.header(name, value);
         }
 
         @Override
-        public void head(Head received) {
+        public void head(MessageHead received) {
             head = received;
             exchange.head(received);
         }
--- a/src/main/java/firstair/relay/net/Link.java
+++ b/src/main/java/firstair/relay/net/HttpConnection.java
@@ -1,38 +1,41 @@
 package firstair.relay.net;
 
-import firstair.relay.http.Head;
+import firstair.relay.http.MessageHead;
 
 /**
  * A connection that the relay opens to a peer and that carries one request at a time. No method throws; failures of the
- * layers below are reported by {@link Exchange#broken}.
+ * layers below are reported by {@link Exchange#failed}.
  */
-public interface Link {
+public interface HttpConnection {
     /**
-     * Callbacks of one request and its response. Exactly one of {@link #done}, {@link #broken} and {@link #unasked} is
-     * called, unless the request was given up by {@link Link#leave}. The methods run on the selector thread or on the
-     * thread that sends, and must not block.
+     * Callbacks of one request and its response. Exactly one of {@link #completed}, {@link #failed} and {@link
+     * #failedLocally} is called, unless the request was given up by {@link HttpConnection#abandon}. The methods run on
+     * the selector thread or on the thread that sends, and must not block.
      */
     interface Exchange {
         /**
          * The connection is established and was opened without a request, so nothing has been sent on it. Events until
          * the first request is sent are reported to this exchange, too.
          */
-        default void up() {}
+        default void connected() {}
 
         /** A part of the response, but not all of it, has been received. */
-        default void begun() {}
+        default void responseBegun() {}
 
-        /** What {@link #begun} reported was an interim response, which is complete; the final one is yet to begin. */
-        default void interim() {}
+        /**
+         * What {@link #responseBegun} reported was an interim response, which is complete; the final one is yet to
+         * begin.
+         */
+        default void interimEnded() {}
 
         /** The status line of the response has been received; the rest may still turn out to be invalid. */
-        default void first(int status) {}
+        default void status(int status) {}
 
         /** A header line of the response has been received, its name in lower case; the rest may still be invalid. */
-        default void field(String name, String value) {}
+        default void header(String name, String value) {}
 
         /** Start line and headers of the response. */
-        void head(Head head);
+        void head(MessageHead head);
 
         /** A part of the response body. The array is valid during the call only. */
         void body(byte[] bytes, int offset, int length);
@@ -43,21 +46,21 @@
          * @param reusable whether the connection can carry another request
          * @param alone    whether no data came after the response
          */
-        void done(boolean reusable, boolean alone);
+        void completed(boolean reusable, boolean alone);
 
         /**
          * The connection was not established or broke, or the response was invalid and the connection has been closed.
          *
          * @param maybeArrived false if the last byte of the request was not written
          */
-        void broken(boolean maybeArrived);
+        void failed(boolean maybeArrived);
 
         /**
-         * Called in place of {@link #broken} if connecting failed on this machine, which says nothing about the peer
+         * Called in place of {@link #failed} if connecting failed on this machine, which says nothing about the peer
          * (no descriptor, no buffer, no port, no route).
          */
-        default void unasked() {
-            broken(false);
+        default void failedLocally() {
+            failed(false);
         }
     }
 
@@ -65,7 +68,7 @@
      * Sends a request.
      *
      * @return false if the connection has ended meanwhile; then {@code next} is not called. The exchange that the
-     *     connection was opened with, if no request has been sent yet, is notified by {@link Exchange#broken}
+     *     connection was opened with, if no request has been sent yet, is notified by {@link Exchange#failed}
      */
     boolean send(byte[] request, Exchange next);
 
@@ -78,7 +81,7 @@
      * @return whether the connection is idle; false, without any effect, if it has ended, is not established yet or
      *     data has been received on it
      */
-    boolean keep();
+    boolean keepIdle();
 
     /** Whether the connection is still being established. */
     boolean connecting();
@@ -88,7 +91,7 @@
      *
      * @return whether the request may have arrived
      */
-    boolean leave();
+    boolean abandon();
 
     /**
      * Gives up a request whose response is awaited by shutting down our output. The exchange lasts until the peer
--- a/src/main/java/firstair/relay/net/LinkFilter.java
+++ b/src/main/java/firstair/relay/net/HttpConnectionFilter.java
@@ -7,13 +7,14 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /** Passes data and the end of connections that the relay opened to their links. */
-final class LinkFilter extends BaseFilter {
-    static final Attribute<HttpLink> LINK = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.link");
+final class HttpConnectionFilter extends BaseFilter {
+    static final Attribute<GrizzlyHttpConnection> LINK =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("firstair.link");
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        byte[] bytes = Wire.bytes(ctx);
-        HttpLink link = LINK.get(ctx.getConnection());
+        byte[] bytes = NetworkTransport.bytes(ctx);
+        GrizzlyHttpConnection link = LINK.get(ctx.getConnection());
         if (link != null) {
             link.received(bytes);
         }
@@ -22,7 +23,7 @@
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-        HttpLink link = LINK.get(ctx.getConnection());
+        GrizzlyHttpConnection link = LINK.get(ctx.getConnection());
         if (link != null) {
             link.closed();
         }
--- a/src/main/java/firstair/relay/net/Wire.java
+++ b/src/main/java/firstair/relay/net/NetworkTransport.java
@@ -33,8 +33,8 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /** The transport of the relay's sockets for clients and HTTP peers, with one selector thread; filters never block. */
-public final class Wire implements Dialer {
-    private static final Logger LOG = Logger.getLogger(Wire.class.getName());
+public final class NetworkTransport implements Dialer {
+    private static final Logger LOG = Logger.getLogger(NetworkTransport.class.getName());
 
     private final TCPNIOTransport transport;
     private final FilterChain linkFilters;
@@ -43,7 +43,7 @@
     private final int backlog;
 
     /** Starts the selector thread. */
-    public Wire(Limits limits) throws IOException {
+    public NetworkTransport(Limits limits) throws IOException {
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName("wire")
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -61,7 +61,7 @@
         maxHead = limits.maxHead();
         readBuffer = limits.readBuffer();
         backlog = limits.backlog();
-        linkFilters = chain(new LinkFilter());
+        linkFilters = chain(new HttpConnectionFilter());
         transport.start();
     }
 
@@ -91,22 +91,22 @@
 
     /**
      * Makes the system refuse new connections, while those that it has completed are accepted as before. Where this is
-     * not supported, new connections are accepted until {@link #unlisten}.
+     * not supported, new connections are accepted until {@link #closeListener}.
      */
-    public static void refuseNew(Connection<?> listener) {
+    public static void refuseNewConnections(Connection<?> listener) {
         ConnectionRefusal.start((ServerSocketChannel) ((TCPNIOServerConnection) listener).getChannel());
     }
 
     /**
      * Closes a listener. When it closes, the system resets the connections that it has completed and the relay has not
-     * accepted. So {@link #refuseNew} is called before, and here the listener is first deregistered from the selector,
-     * since a registered one is not closed before the selector's next event. Then all completed connections are
-     * accepted.
+     * accepted. So {@link #refuseNewConnections} is called before, and here the listener is first deregistered from the
+     * selector, since a registered one is not closed before the selector's next event. Then all completed connections
+     * are accepted.
      *
      * @param afterwards run on the selector thread; tasks given to that thread from then on run after the close
      */
-    public void unlisten(Connection<?> listener, Runnable afterwards) {
-        between(listener, () -> {
+    public void closeListener(Connection<?> listener, Runnable afterwards) {
+        runOnSelectorThread(listener, () -> {
             TCPNIOServerConnection server = (TCPNIOServerConnection) listener;
             try {
                 server.getSelectionKey().cancel();
@@ -135,12 +135,16 @@
     }
 
     @Override
-    public Link open(
-            InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose) {
-        return new HttpLink(this, maxHead, to, maxBody, request, firstExchange, onIdleClose);
+    public HttpConnection open(
+            InetSocketAddress to,
+            long maxBody,
+            byte[] request,
+            HttpConnection.Exchange firstExchange,
+            Runnable onIdleClose) {
+        return new GrizzlyHttpConnection(this, maxHead, to, maxBody, request, firstExchange, onIdleClose);
     }
 
-    /** Opens a connection for a {@link HttpLink}. */
+    /** Opens a connection for a {@link GrizzlyHttpConnection}. */
     @SuppressWarnings("rawtypes") // Grizzly's future is declared so
     GrizzlyFuture<Connection> connect(InetSocketAddress to) {
         return TCPNIOConnectorHandler.builder(transport)
@@ -155,12 +159,12 @@
     }
 
     /** Number of bytes of one read. */
-    public static int size(FilterChainContext ctx) {
+    public static int readableBytes(FilterChainContext ctx) {
         return ((Buffer) ctx.getMessage()).remaining();
     }
 
     /** Discards the bytes of one read. */
-    public static void drop(FilterChainContext ctx) {
+    public static void discard(FilterChainContext ctx) {
         ((Buffer) ctx.getMessage()).tryDispose();
     }
 
@@ -177,7 +181,7 @@
      * Runs a task on the selector thread, between two reads: all bytes read from the connection have been passed to its
      * filter by then. Bytes that one thread has read while another closes their connection would be lost.
      */
-    public static void between(Connection<?> connection, Runnable task) {
+    public static void runOnSelectorThread(Connection<?> connection, Runnable task) {
         NIOConnection nioConnection = (NIOConnection) connection;
         SelectorRunner selector = nioConnection.getSelectorRunner();
         if (selector == null) {
@@ -205,7 +209,7 @@
     }
 
     /** Reads what has been received and not read yet, up to a size; may be empty. On the selector thread only. */
-    public static byte[] unread(Connection<?> connection, int maxBytes) {
+    public static byte[] readAvailable(Connection<?> connection, int maxBytes) {
         ByteBuffer bytes = ByteBuffer.allocate(maxBytes);
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel()).read(bytes);
--- a/src/main/java/firstair/relay/net/Inbox.java
+++ b/src/main/java/firstair/relay/net/PeerDataListener.java
@@ -1,10 +1,10 @@
 package firstair.relay.net;
 
 /** Receives what other relays send. Methods are called on a selector thread and must not block. */
-public interface Inbox {
+public interface PeerDataListener {
     /** A complete datagram or frame has been received. */
-    void bytes(byte[] bytes);
+    void received(byte[] bytes);
 
     /** Data has been received that is neither a valid datagram nor a valid frame. */
-    void garbage();
+    void malformed();
 }
--- a/src/main/java/firstair/relay/platform/Notices.java
+++ b/src/main/java/firstair/relay/platform/Notices.java
@@ -5,11 +5,11 @@
 import firstair.relay.Limits;
 import firstair.relay.Loop;
 import firstair.relay.RateLimitedLogger;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpWriter;
+import firstair.relay.http.MessageHead;
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
-import firstair.relay.store.OwedNotice;
+import firstair.relay.net.HttpConnection;
+import firstair.relay.store.PendingNotice;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -37,7 +37,7 @@
     private final NoticePlan plan;
     private final Map<NoticePlan.Post, Post> inFlight = new HashMap<>();
     private InetSocketAddress address;
-    private Link idle;
+    private HttpConnection idle;
     private Loop.Timer wakeTimer;
     private double wakeAt = Double.POSITIVE_INFINITY; // when wakeTimer is due
     private final RateLimitedLogger overdueLog = new RateLimitedLogger(LOG, Level.WARNING);
@@ -75,12 +75,12 @@
      *
      * @param dueAt when it is due, on the loop's clock
      */
-    public void add(long id, String requestId, OwedNotice notice, double dueAt) {
+    public void add(long id, String requestId, PendingNotice notice, double dueAt) {
         JsonObject o = new JsonObject();
         o.addProperty("message", requestId);
         o.addProperty("outcome", notice.handedBack() ? "handed_back" : "given_up");
-        if (notice.handedBack() && notice.afterMs() > 0) {
-            o.addProperty("retry_in_ms", Math.round(notice.afterMs()));
+        if (notice.handedBack() && notice.retryAfterMs() > 0) {
+            o.addProperty("retry_in_ms", Math.round(notice.retryAfterMs()));
         }
         plan.add(id, (o + "\n").getBytes(StandardCharsets.UTF_8), dueAt);
     }
@@ -89,7 +89,7 @@
      * Sends notices to a new address from now on. Notices in flight to the old address are posted again at once: their
      * answers may never arrive, so a notice may arrive twice.
      */
-    public void move(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
@@ -100,18 +100,18 @@
     }
 
     /** Replaces the limits. */
-    public void tune(Limits.Notices to) {
+    public void setLimits(Limits.Notices to) {
         limits = to;
         plan.setLimits(to);
     }
 
     /** Number of unconfirmed notices. */
-    public int owed() {
+    public int pending() {
         return plan.pending();
     }
 
     /** Whether the platform has not confirmed since it failed, and a notice can still be in time. */
-    public boolean pressing() {
+    public boolean failingWithUrgentNotices() {
         return plan.pressing(loop.now());
     }
 
@@ -142,11 +142,11 @@
     }
 
     /** Logs overdue notices, once until all of them have been confirmed. */
-    public void sweep() {
+    public void logOverdue() {
         int late = plan.countOverdue(loop.now());
         if (late > 0 && !overdueLogged) {
-            overdueLogged = overdueLog.log(
-                    late + " notices are overdue: the platform at " + HostPort.of(address) + " has not confirmed them");
+            overdueLogged = overdueLog.log(late + " notices are overdue: the platform at " + HostPort.format(address)
+                    + " has not confirmed them");
         }
         if (overdueLogged && plan.recovered()) {
             overdueLogged = false;
@@ -156,19 +156,19 @@
         }
     }
 
-    private void keepIdle(Link link) {
-        Link before = idle;
+    private void keepIdle(HttpConnection link) {
+        HttpConnection before = idle;
         idle = link;
         if (before != null && before != link) {
-            before.leave();
+            before.abandon();
         }
     }
 
     /** One post. Its timers are set before a connection is opened, so no exception can keep it in flight forever. */
-    private final class Post implements Link.Exchange {
+    private final class Post implements HttpConnection.Exchange {
         private final NoticePlan.Post planned;
         private final InetSocketAddress to = address;
-        private Link link;
+        private HttpConnection link;
         private Loop.Timer slowTimer;
         private Loop.Timer answerTimer;
         private volatile int status;
@@ -184,13 +184,13 @@
                 flush();
             });
             answerTimer = loop.after(limits.answerMs(), () -> end(status, false));
-            byte[] request = HttpWriter.request("POST", "/status", HostPort.of(to))
+            byte[] request = HttpWriter.request("POST", "/status", HostPort.format(to))
                     .header("Content-Type", "application/x-ndjson")
-                    .body(planned.body());
+                    .withBody(planned.body());
             trace((planned.newConnection() ? "post over a new connection, " : "post, ") + planned.slowAfterMs()
                     + " ms until slow: " + new String(planned.body(), StandardCharsets.UTF_8).replace('\n', ' '));
             try {
-                Link kept = planned.newConnection() ? null : idle;
+                HttpConnection kept = planned.newConnection() ? null : idle;
                 if (kept != null) {
                     idle = null;
                     if (kept.send(request, this)) {
@@ -207,7 +207,7 @@
 
         private void trace(String what) {
             if (LOG.isLoggable(Level.FINE)) {
-                LOG.fine("notices " + number + " to " + HostPort.of(to) + ": " + what);
+                LOG.fine("notices " + number + " to " + HostPort.format(to) + ": " + what);
             }
         }
 
@@ -221,7 +221,7 @@
             if (reusable && how == CONFIRMED && to.equals(address)) {
                 keepIdle(link);
             } else if (link != null) {
-                link.leave();
+                link.abandon();
             }
             if (how != NoticePlan.NO_ANSWER && how != CONFIRMED) {
                 answerLog.log("platform answered a notice with " + how);
@@ -231,7 +231,7 @@
         }
 
         @Override
-        public void head(Head head) {
+        public void head(MessageHead head) {
             status = head.status();
         }
 
@@ -241,12 +241,12 @@
         }
 
         @Override
-        public void done(boolean reusable, boolean alone) {
+        public void completed(boolean reusable, boolean alone) {
             loop.post(() -> end(status, reusable && alone));
         }
 
         @Override
-        public void broken(boolean maybeArrived) {
+        public void failed(boolean maybeArrived) {
             loop.post(() -> {
                 trace("connection broke");
                 end(NoticePlan.NO_ANSWER, false);
--- a/src/main/java/firstair/relay/store/OwedNotice.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package firstair.relay.store;
-
-/**
- * A notice that the platform has not confirmed yet.
- *
- * @param handedBack whether the message is handed back to its client; otherwise it is given up
- * @param afterMs    after how many milliseconds the client should retry, 0 to leave that out
- */
-public record OwedNotice(boolean handedBack, double afterMs) {}
--- a/src/main/java/firstair/relay/store/Records.java
+++ b/src/main/java/firstair/relay/store/Records.java
@@ -19,15 +19,15 @@
 
     /** Receives the decoded records. */
     interface Reader {
-        void taken(StoredMessage taken);
+        void accepted(StoredMessage taken);
 
-        void called(long id, StoredAttempt tried);
+        void attemptStarted(long id, StoredAttempt tried);
 
-        void ended(long id, int attempt, boolean maybeRan);
+        void attemptEnded(long id, int attempt, boolean maybeRan);
 
-        void owed(long id, OwedNotice owed);
+        void pendingNotice(long id, PendingNotice owed);
 
-        void over(long id);
+        void completed(long id);
 
         void clock(StoredTimes.ClockReading mark);
     }
@@ -50,7 +50,7 @@
 
     private Records() {}
 
-    static byte[] taken(StoredMessage t) {
+    static byte[] accepted(StoredMessage t) {
         return record(Type.TAKEN, t.id(), out -> {
             out.writeUTF(t.requestId());
             out.writeUTF(t.className());
@@ -58,8 +58,8 @@
             out.writeBoolean(t.key() != null);
             out.writeUTF(t.key() == null ? "" : t.key());
             out.writeLong(t.deadlineAt());
-            out.writeBoolean(t.again());
-            out.writeBoolean(t.fromDead());
+            out.writeBoolean(t.resubmitted());
+            out.writeBoolean(t.fromCrashedRelay());
             out.writeInt(t.body().length);
             out.write(t.body());
             if (t.tenant() != null || t.booking() != null) { // without both, the format is that of earlier versions
@@ -69,7 +69,7 @@
         });
     }
 
-    static byte[] called(long id, StoredAttempt t) {
+    static byte[] attemptStarted(long id, StoredAttempt t) {
         return record(Type.CALLED, id, out -> {
             out.writeUTF(t.endpoint());
             out.writeLong(t.sentAt());
@@ -77,17 +77,17 @@
         });
     }
 
-    static byte[] ended(long id, int attempt, boolean maybeRan) {
+    static byte[] attemptEnded(long id, int attempt, boolean maybeRan) {
         return record(Type.ENDED, id, out -> {
             out.writeInt(attempt);
             out.writeBoolean(maybeRan);
         });
     }
 
-    static byte[] owed(long id, OwedNotice o) {
+    static byte[] pendingNotice(long id, PendingNotice o) {
         return record(Type.OWED, id, out -> {
             out.writeBoolean(o.handedBack());
-            out.writeDouble(o.afterMs());
+            out.writeDouble(o.retryAfterMs());
         });
     }
 
@@ -100,7 +100,7 @@
         });
     }
 
-    static byte[] over(long id) {
+    static byte[] completed(long id) {
         return record(Type.OVER, id, out -> {});
     }
 
@@ -206,7 +206,7 @@
                     byte[] body = in.readNBytes(in.readInt());
                     String tenant = in.available() > 0 ? in.readUTF() : "";
                     String booking = in.available() > 0 ? in.readUTF() : "";
-                    reader.taken(new StoredMessage(
+                    reader.accepted(new StoredMessage(
                             id,
                             requestId,
                             className,
@@ -219,10 +219,11 @@
                             tenant.isEmpty() ? null : tenant,
                             booking.isEmpty() ? null : booking));
                 }
-                case CALLED -> reader.called(id, new StoredAttempt(in.readUTF(), in.readLong(), in.readBoolean()));
-                case ENDED -> reader.ended(id, in.readInt(), in.readBoolean());
-                case OWED -> reader.owed(id, new OwedNotice(in.readBoolean(), in.readDouble()));
-                case OVER -> reader.over(id);
+                case CALLED ->
+                    reader.attemptStarted(id, new StoredAttempt(in.readUTF(), in.readLong(), in.readBoolean()));
+                case ENDED -> reader.attemptEnded(id, in.readInt(), in.readBoolean());
+                case OWED -> reader.pendingNotice(id, new PendingNotice(in.readBoolean(), in.readDouble()));
+                case OVER -> reader.completed(id);
                 case CLOCK -> reader.clock(new StoredTimes.ClockReading(in.readUTF(), in.readLong(), in.readLong()));
                 default -> throw new IllegalStateException(type.name());
             }
--- a/src/main/java/firstair/relay/store/Store.java
+++ b/src/main/java/firstair/relay/store/Store.java
@@ -32,45 +32,45 @@
     private static final int MAX_BYTES_WITHOUT_BODY = 512; // upper bound for the record of a message without its body
 
     /** A message that is not completed, with its calls and its notice. */
-    public static final class Open {
-        private StoredMessage taken;
-        private final List<StoredAttempt> tries = new ArrayList<>();
-        private OwedNotice owed;
+    public static final class OpenMessage {
+        private StoredMessage message;
+        private final List<StoredAttempt> attempts = new ArrayList<>();
+        private PendingNotice pendingNotice;
         private int attemptBytes; // size of the records of its calls
 
-        private Open(StoredMessage taken) {
-            this.taken = taken;
+        private OpenMessage(StoredMessage taken) {
+            this.message = taken;
         }
 
         /** The message; without its body once only its notice is pending. */
-        public StoredMessage taken() {
-            return taken;
+        public StoredMessage message() {
+            return message;
         }
 
         /** The calls made so far. */
-        public List<StoredAttempt> tries() {
-            return List.copyOf(tries);
+        public List<StoredAttempt> attempts() {
+            return List.copyOf(attempts);
         }
 
         /** The notice that the platform has not confirmed yet, or null. */
-        public OwedNotice owed() {
-            return owed;
+        public PendingNotice pendingNotice() {
+            return pendingNotice;
         }
 
         private void convertTimes(StoredTimes times) {
-            taken = taken.withDeadlineAt(times.deadlineAt(taken.deadlineAt()));
-            tries.replaceAll(t -> new StoredAttempt(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
+            message = message.withDeadlineAt(times.deadlineAt(message.deadlineAt()));
+            attempts.replaceAll(t -> new StoredAttempt(t.endpoint(), times.sentAt(t.sentAt()), t.maybeRan()));
         }
 
         private int reservedBytes() {
-            return taken.body().length + MAX_BYTES_WITHOUT_BODY + Math.max(ATTEMPTS_RESERVE_BYTES, attemptBytes);
+            return message.body().length + MAX_BYTES_WITHOUT_BODY + Math.max(ATTEMPTS_RESERVE_BYTES, attemptBytes);
         }
     }
 
     private final StateFolder folder;
     private final long diskBytes;
     private final BootClock clock;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
+    private final Map<Long, OpenMessage> open = new LinkedHashMap<>();
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private FileChannel file;
     private Path path;
@@ -147,39 +147,39 @@
         StoredTimes.ClockReading[] fileClock = new StoredTimes.ClockReading[1];
         Records.ReadResult found = Records.read(file, new Records.Reader() {
             @Override
-            public void taken(StoredMessage t) {
-                open.put(t.id(), new Open(t));
+            public void accepted(StoredMessage t) {
+                open.put(t.id(), new OpenMessage(t));
             }
 
             @Override
-            public void called(long id, StoredAttempt t) {
-                Open o = open.get(id);
+            public void attemptStarted(long id, StoredAttempt t) {
+                OpenMessage o = open.get(id);
                 if (o != null) {
-                    o.tries.add(t);
-                    o.attemptBytes += Records.called(id, t).length;
+                    o.attempts.add(t);
+                    o.attemptBytes += Records.attemptStarted(id, t).length;
                 }
             }
 
             @Override
-            public void ended(long id, int attempt, boolean maybeRan) {
-                Open o = open.get(id);
-                if (o != null && attempt >= 0 && attempt < o.tries.size()) {
-                    StoredAttempt t = o.tries.get(attempt);
-                    o.tries.set(attempt, new StoredAttempt(t.endpoint(), t.sentAt(), maybeRan));
+            public void attemptEnded(long id, int attempt, boolean maybeRan) {
+                OpenMessage o = open.get(id);
+                if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
+                    StoredAttempt t = o.attempts.get(attempt);
+                    o.attempts.set(attempt, new StoredAttempt(t.endpoint(), t.sentAt(), maybeRan));
                 }
             }
 
             @Override
-            public void owed(long id, OwedNotice owed) {
-                Open o = open.get(id);
+            public void pendingNotice(long id, PendingNotice owed) {
+                OpenMessage o = open.get(id);
                 if (o != null) {
-                    o.owed = owed;
-                    o.taken = o.taken.withoutBody();
+                    o.pendingNotice = owed;
+                    o.message = o.message.withoutBody();
                 }
             }
 
             @Override
-            public void over(long id) {
+            public void completed(long id) {
                 open.remove(id);
             }
 
@@ -203,7 +203,7 @@
     }
 
     /** The messages that are not completed. */
-    public Collection<Open> open() {
+    public Collection<OpenMessage> open() {
         return List.copyOf(open.values());
     }
 
@@ -219,60 +219,60 @@
     }
 
     /** Records a message that is about to be accepted. */
-    public void taken(StoredMessage t) {
-        Open o = new Open(t);
+    public void accept(StoredMessage t) {
+        OpenMessage o = new OpenMessage(t);
         open.put(t.id(), o);
         reservedBytes += o.reservedBytes();
-        pending.writeBytes(Records.taken(t));
+        pending.writeBytes(Records.accepted(t));
     }
 
     /** Number of recorded calls of a message, -1 if the message is completed. */
-    public int tries(long id) {
-        Open o = open.get(id);
-        return o == null ? -1 : o.tries.size();
+    public int attemptCount(long id) {
+        OpenMessage o = open.get(id);
+        return o == null ? -1 : o.attempts.size();
     }
 
     /** Records a call that is about to be sent; returns its index among the calls of the message. */
-    public int called(long id, String endpoint, long sentAt) {
-        Open o = open.get(id);
+    public int attemptStarted(long id, String endpoint, long sentAt) {
+        OpenMessage o = open.get(id);
         StoredAttempt t = new StoredAttempt(endpoint, sentAt, true);
-        byte[] record = Records.called(id, t);
+        byte[] record = Records.attemptStarted(id, t);
         reservedBytes -= o.reservedBytes();
-        o.tries.add(t);
+        o.attempts.add(t);
         o.attemptBytes += record.length;
         reservedBytes += o.reservedBytes();
         pending.writeBytes(record);
-        return o.tries.size() - 1;
+        return o.attempts.size() - 1;
     }
 
     /** Records whether a call may have run. */
-    public void ended(long id, int attempt, boolean maybeRan) {
-        Open o = open.get(id);
-        if (o != null && attempt < o.tries.size()) {
-            StoredAttempt t = o.tries.get(attempt);
-            o.tries.set(attempt, new StoredAttempt(t.endpoint(), t.sentAt(), maybeRan));
-            pending.writeBytes(Records.ended(id, attempt, maybeRan));
+    public void attemptEnded(long id, int attempt, boolean maybeRan) {
+        OpenMessage o = open.get(id);
+        if (o != null && attempt < o.attempts.size()) {
+            StoredAttempt t = o.attempts.get(attempt);
+            o.attempts.set(attempt, new StoredAttempt(t.endpoint(), t.sentAt(), maybeRan));
+            pending.writeBytes(Records.attemptEnded(id, attempt, maybeRan));
         }
     }
 
     /** Records that the message has ended and its notice is pending; its body is no longer needed. */
-    public void owed(long id, OwedNotice owed) {
-        Open o = open.get(id);
+    public void setPendingNotice(long id, PendingNotice owed) {
+        OpenMessage o = open.get(id);
         if (o != null) {
             reservedBytes -= o.reservedBytes();
-            o.owed = owed;
-            o.taken = o.taken.withoutBody();
+            o.pendingNotice = owed;
+            o.message = o.message.withoutBody();
             reservedBytes += o.reservedBytes();
-            pending.writeBytes(Records.owed(id, owed));
+            pending.writeBytes(Records.pendingNotice(id, owed));
         }
     }
 
     /** Records that the message is completed. */
-    public void over(long id) {
-        Open o = open.remove(id);
+    public void complete(long id) {
+        OpenMessage o = open.remove(id);
         if (o != null) {
             reservedBytes -= o.reservedBytes();
-            pending.writeBytes(Records.over(id));
+            pending.writeBytes(Records.completed(id));
         }
     }
 
@@ -375,13 +375,13 @@
         ByteArrayOutputStream block = new ByteArrayOutputStream();
         block.writeBytes(Records.clock(StoredTimes.ClockReading.of(clock)));
         long written = 0;
-        for (Open o : open.values()) {
-            block.writeBytes(Records.taken(o.taken));
-            for (StoredAttempt t : o.tries) {
-                block.writeBytes(Records.called(o.taken.id(), t));
+        for (OpenMessage o : open.values()) {
+            block.writeBytes(Records.accepted(o.message));
+            for (StoredAttempt t : o.attempts) {
+                block.writeBytes(Records.attemptStarted(o.message.id(), t));
             }
-            if (o.owed != null) {
-                block.writeBytes(Records.owed(o.taken.id(), o.owed));
+            if (o.pendingNotice != null) {
+                block.writeBytes(Records.pendingNotice(o.message.id(), o.pendingNotice));
             }
             if (block.size() >= DISK_RESERVE_BYTES) {
                 write(next, block.toByteArray());
--- a/src/main/java/firstair/relay/store/StoredMessage.java
+++ b/src/main/java/firstair/relay/store/StoredMessage.java
@@ -3,16 +3,16 @@
 /**
  * A message that the relay has accepted.
  *
- * @param id         the relay's own number for it
- * @param requestId  the request id under which the client submitted it
- * @param className  name of its class
- * @param key        its key, or null
- * @param deadlineAt its deadline, by {@link BootClock#nowMs}
- * @param again      whether it was submitted before and refused
- * @param fromDead   whether a relay held it when that relay crashed
- * @param body       its bytes as received
- * @param tenant     the tenant that it belongs to, or null
- * @param booking    the booking that it is charged to, or null
+ * @param id               the relay's own number for it
+ * @param requestId        the request id under which the client submitted it
+ * @param className        name of its class
+ * @param key              its key, or null
+ * @param deadlineAt       its deadline, by {@link BootClock#nowMs}
+ * @param resubmitted      whether it was submitted before and refused
+ * @param fromCrashedRelay whether a relay held it when that relay crashed
+ * @param body             its bytes as received
+ * @param tenant           the tenant that it belongs to, or null
+ * @param booking          the booking that it is charged to, or null
  */
 public record StoredMessage(
         long id,
@@ -21,8 +21,8 @@
         int destination,
         String key,
         long deadlineAt,
-        boolean again,
-        boolean fromDead,
+        boolean resubmitted,
+        boolean fromCrashedRelay,
         byte[] body,
         String tenant,
         String booking) {
@@ -35,19 +35,29 @@
             int destination,
             String key,
             long deadlineAt,
-            boolean again,
-            boolean fromDead,
+            boolean resubmitted,
+            boolean fromCrashedRelay,
             byte[] body) {
-        this(id, requestId, className, destination, key, deadlineAt, again, fromDead, body, null, null);
+        this(id, requestId, className, destination, key, deadlineAt, resubmitted, fromCrashedRelay, body, null, null);
     }
 
     StoredMessage withDeadlineAt(long at) {
         return new StoredMessage(
-                id, requestId, className, destination, key, at, again, fromDead, body, tenant, booking);
+                id, requestId, className, destination, key, at, resubmitted, fromCrashedRelay, body, tenant, booking);
     }
 
     StoredMessage withoutBody() {
         return new StoredMessage(
-                id, requestId, className, destination, key, deadlineAt, again, fromDead, new byte[0], tenant, booking);
+                id,
+                requestId,
+                className,
+                destination,
+                key,
+                deadlineAt,
+                resubmitted,
+                fromCrashedRelay,
+                new byte[0],
+                tenant,
+                booking);
     }
 }
--- a/src/test/java/firstair/HangupsTest.java
+++ b/src/test/java/firstair/ReloadTriggerTest.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class HangupsTest {
+class ReloadTriggerTest {
     private final BlockingQueue<Integer> reloads = new LinkedBlockingQueue<>();
 
     @Test
     void aSignalDuringTheStartReloadsOnceTheRelayServes() throws Exception {
-        Hangups hangups = new Hangups();
+        ReloadTrigger hangups = new ReloadTrigger();
         hangups.signal();
         hangups.signal();
         assertThat(reloads).isEmpty();
@@ -24,7 +24,7 @@
 
     @Test
     void withoutASignalNothingIsReloaded() {
-        Hangups hangups = new Hangups();
+        ReloadTrigger hangups = new ReloadTrigger();
         hangups.startServing(() -> reloads.add(1));
         assertThat(reloads).isEmpty();
         hangups.signal();
--- a/src/test/java/firstair/cli/ReferenceTest.java
+++ b/src/test/java/firstair/cli/ReferenceTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstair.config.Item;
-import firstair.config.Read;
+import firstair.config.ParsedSettings;
+import firstair.config.Setting;
 import firstair.config.Values;
 import firstair.relay.Limits;
 import firstair.relay.TunableSettings;
@@ -24,38 +24,40 @@
     void setToTheirDefaultsTheSettingsChangeNoLimit() {
         Map<String, String> defaults = new HashMap<>();
         Map<String, String> origins = new HashMap<>();
-        for (Item item : TunableSettings.schema().items()) {
-            defaults.put(item.path(), item.usual());
+        for (Setting item : TunableSettings.schema().items()) {
+            defaults.put(item.path(), item.defaultText());
             origins.put(item.path(), "test");
         }
-        Values values = Read.texts(defaults, origins, TunableSettings.schema()).values();
+        Values values = ParsedSettings.fromTexts(defaults, origins, TunableSettings.schema())
+                .values();
         Limits limits = Limits.of(0, 0, 256_000_000, 0, 0, 0);
-        assertThat(limits.tuned(values)).isEqualTo(limits);
-        assertThat(limits.tuned(Values.NONE)).isSameAs(limits);
+        assertThat(limits.withLocalSettings(values)).isEqualTo(limits);
+        assertThat(limits.withLocalSettings(Values.NONE)).isSameAs(limits);
     }
 
     @Test
     void everyItemChangesALimit() {
         Limits limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-        for (Item item : TunableSettings.schema().items()) {
+        for (Setting item : TunableSettings.schema().items()) {
             if (item.path().startsWith("fleet.")) {
                 continue; // FleetConfigTest covers these
             }
             String changed =
-                    item.kind().format(item.kind().parse(item.usual()) == item.max() ? item.min() : item.max());
-            Values single = Read.texts(
+                    item.kind().format(item.kind().parse(item.defaultText()) == item.max() ? item.min() : item.max());
+            Values single = ParsedSettings.fromTexts(
                             Map.of(item.path(), changed), Map.of(item.path(), "test"), TunableSettings.schema())
                     .values();
-            assertThat(limits.tuned(single)).as(item.path()).isNotEqualTo(limits);
+            assertThat(limits.withLocalSettings(single)).as(item.path()).isNotEqualTo(limits);
         }
     }
 
     @Test
     void theFileUnderDeployIsValidAndHoldsTheDefaults() throws Exception {
         Path file = Path.of("deploy", "settings.toml");
-        Read result = Read.toml("settings.toml", Files.readAllBytes(file), TunableSettings.schema());
-        assertThat(result.faults()).isEmpty();
+        ParsedSettings result =
+                ParsedSettings.fromToml("settings.toml", Files.readAllBytes(file), TunableSettings.schema());
+        assertThat(result.errors()).isEmpty();
         Limits limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-        assertThat(limits.tuned(result.values())).isEqualTo(limits);
+        assertThat(limits.withLocalSettings(result.values())).isEqualTo(limits);
     }
 }
--- a/src/test/java/firstair/config/ReadTest.java
+++ b/src/test/java/firstair/config/ParsedSettingsTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-class ReadTest {
+class ParsedSettingsTest {
     private static final Schema SCHEMA = new Schema()
             .table("a", "First")
             .item("wait", Kind.DURATION, "1s", 10, 60_000, true, "waits")
@@ -26,22 +26,22 @@
             .item("word", Kind.TEXT, "", 0, 8, false, "a word")
             .item("some", Kind.NAMES, "x", 1, 3, false, "some words");
 
-    private static Read read(String text) {
-        return Read.toml("f", text.getBytes(StandardCharsets.UTF_8), SCHEMA);
+    private static ParsedSettings read(String text) {
+        return ParsedSettings.fromToml("f", text.getBytes(StandardCharsets.UTF_8), SCHEMA);
     }
 
     private static List<String> faults(String text) {
-        return read(text).faults().stream().map(Fault::toString).toList();
+        return read(text).errors().stream().map(ConfigError::toString).toList();
     }
 
     @Test
     void everyKindIsParsedIntoItsUnit() {
-        Read result = read("\uFEFF[a]\r\nwait = \"1.5s\"\r\nroom = \"2KiB\"\r\n"
+        ParsedSettings result = read("\uFEFF[a]\r\nwait = \"1.5s\"\r\nroom = \"2KiB\"\r\n"
                 + "[b.c]\r\nmany = 7\r\npart = \"12.5%\"\r\non = false\r\n");
-        assertThat(result.faults()).isEmpty();
+        assertThat(result.errors()).isEmpty();
         assertThat(result.values().number("a.wait", 0)).isEqualTo(1500);
-        assertThat(result.values().whole("a.room", 0)).isEqualTo(2048);
-        assertThat(result.values().whole("b.c.many", 0)).isEqualTo(7);
+        assertThat(result.values().integer("a.room", 0)).isEqualTo(2048);
+        assertThat(result.values().integer("b.c.many", 0)).isEqualTo(7);
         assertThat(result.values().number("b.c.part", 0)).isEqualTo(0.125);
         assertThat(result.values().number("b.c.on", 9)).isZero();
         assertThat(result.values().value("a.wait").origin()).isEqualTo("f:2");
@@ -67,11 +67,11 @@
         assertThat(values.names("d.some")).containsExactly("a=1:2", "b");
         assertThat(values.value("d.some").origin()).isEqualTo("f:3");
         assertThat(read("[d]\nsome = 'a , b'\n").values().names("d.some")).containsExactly("a", "b");
-        assertThat(values.under(Read.texts(Map.of("d.some", "c"), Map.of("d.some", "flag"), SCHEMA)
+        assertThat(values.overriddenBy(ParsedSettings.fromTexts(Map.of("d.some", "c"), Map.of("d.some", "flag"), SCHEMA)
                                 .values())
                         .value("d.some"))
                 .isEqualTo(new Values.Value(1, "c", "flag", "f:3"));
-        assertThat(SCHEMA.item("d.word").write(new Values.Value(2, "\\\"", "", "")))
+        assertThat(SCHEMA.item("d.word").format(new Values.Value(2, "\\\"", "", "")))
                 .isEqualTo("\"\\\\\\\"\"");
     }
 
@@ -105,12 +105,12 @@
                 .asString()
                 .startsWith("f:3:");
         assertThat(faults("[a]\nwait = \"1s")).singleElement().asString().startsWith("f:2:");
-        assertThat(Read.toml("f", new byte[] {'[', 'a', ']', '\n', 'x', (byte) 0xC3, '('}, SCHEMA)
-                        .faults())
+        assertThat(ParsedSettings.fromToml("f", new byte[] {'[', 'a', ']', '\n', 'x', (byte) 0xC3, '('}, SCHEMA)
+                        .errors())
                 .singleElement()
                 .asString()
                 .isEqualTo("f:2:2: a byte that is no UTF-8");
-        assertThat(Read.toml("f", new byte[10 << 20], SCHEMA).faults())
+        assertThat(ParsedSettings.fromToml("f", new byte[10 << 20], SCHEMA).errors())
                 .singleElement()
                 .asString()
                 .contains("1048576 at most");
@@ -129,12 +129,12 @@
     @Test
     void oneSourceOverridesTheOtherAndBothOriginsAreKnown() {
         Values file = read("[a]\nwait = \"1s\"\nroom = \"1B\"\n").values();
-        Values flags = Read.texts(Map.of("a.wait", "2s"), Map.of("a.wait", "flag"), SCHEMA)
+        Values flags = ParsedSettings.fromTexts(Map.of("a.wait", "2s"), Map.of("a.wait", "flag"), SCHEMA)
                 .values();
-        Values merged = file.under(flags);
+        Values merged = file.overriddenBy(flags);
         assertThat(merged.number("a.wait", 0)).isEqualTo(2000);
         assertThat(merged.value("a.wait").overriddenOrigin()).isEqualTo("f:2");
-        assertThat(merged.whole("a.room", 0)).isEqualTo(1);
+        assertThat(merged.integer("a.room", 0)).isEqualTo(1);
     }
 
     @Provide
@@ -180,15 +180,15 @@
 
     @Property(tries = 2000)
     void anyAlmostValidFileGivesValuesOrErrorsOfOneLine(@ForAll("almostValidFiles") String text) {
-        Read result = read(text);
-        for (Fault fault : result.faults()) {
+        ParsedSettings result = read(text);
+        for (ConfigError fault : result.errors()) {
             assertThat(fault.toString()).startsWith("f").doesNotContain("\n");
         }
     }
 
     @Property(tries = 2000)
     void anyBytesGiveValuesOrErrors(@ForAll byte[] bytes) {
-        assertThat(Read.toml("f", bytes, SCHEMA)).isNotNull();
+        assertThat(ParsedSettings.fromToml("f", bytes, SCHEMA)).isNotNull();
     }
 
     @Property
--- a/src/test/java/firstair/control/Bench.java
+++ b/src/test/java/firstair/control/Bench.java
@@ -146,7 +146,7 @@
 
     /** The same: returns the time-out of the answer in milliseconds, 0 if withheld. */
     double permittedTimeout(Sent attempt) {
-        double ms = control.mayGo(now, attempt.id(), attempt.attempt());
+        double ms = control.timeoutAtWrite(now, attempt.id(), attempt.attempt());
         if (ms <= 0) {
             end(attempt, Result.WITHHELD, 0);
             attempts.merge(attempt.id(), -1, Integer::sum);
--- a/src/test/java/firstair/control/LateConnectionTest.java
+++ b/src/test/java/firstair/control/LateConnectionTest.java
@@ -190,7 +190,7 @@
         assertThat(bench.connected(first(bench))).isFalse();
         bench.silence(3_000);
         assertThat(bench.sent).hasSize(1);
-        assertThat(bench.control.mayGo(bench.now, first(bench).id(), 0))
+        assertThat(bench.control.timeoutAtWrite(bench.now, first(bench).id(), 0))
                 .as("asked again")
                 .isZero();
     }
