--- a/src/test/java/firstair/control/RestartTest.java
+++ b/src/test/java/firstair/control/RestartTest.java
@@ -99,7 +99,7 @@
         Bench.Sent first = bench.inFlight.get(0);
         Bench.Sent late = bench.inFlight.get(1);
         bench.control.waitReceived(bench.now, first.endpoint(), first.id(), first.attempt(), 700);
-        assertThat(bench.control.mayGo(bench.now, late.id(), late.attempt()))
+        assertThat(bench.control.timeoutAtWrite(bench.now, late.id(), late.attempt()))
                 .as("its connection opens late")
                 .isZero();
         bench.end(first, Result.FULL, 700);
--- a/src/test/java/firstair/fleet/talk/Notes.java
+++ b/src/test/java/firstair/fleet/talk/Notes.java
@@ -55,7 +55,7 @@
         } else if (type == int.class) {
             return (int) (natural(random) & Integer.MAX_VALUE);
         } else if (type == double.class) {
-            double most = part.getName().equals("reach") ? 1 : FieldCodec.MAX_SPAN_MS;
+            double most = part.getName().equals("successRate") ? 1 : FieldCodec.MAX_SPAN_MS;
             return random.nextInt(4) == 0 ? (random.nextBoolean() ? 0 : most) : random.nextDouble() * most;
         } else if (type == boolean.class) {
             return random.nextBoolean();
--- a/src/test/java/firstair/kit/fleet/FaultyLinksTest.java
+++ b/src/test/java/firstair/kit/fleet/FaultyLinksTest.java
@@ -32,7 +32,7 @@
     private static final long SEED = 7;
 
     private final Loop loop = LoopThread.start(() -> {});
-    private final Map<String, InetSocketAddress> addresses = FaultyLinks.places(List.of("a", "b", "c"));
+    private final Map<String, InetSocketAddress> addresses = FaultyLinks.freeAddresses(List.of("a", "b", "c"));
     private final FaultyLinks links = new FaultyLinks(SEED, addresses);
     private final Map<String, PeerTransport> relays = new LinkedHashMap<>();
     private final Map<String, LinkedBlockingQueue<byte[]>> received = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
 
     private void start(String name) throws IOException {
         Map<String, InetSocketAddress> others = new LinkedHashMap<>();
-        addresses.keySet().stream().filter(o -> !o.equals(name)).forEach(o -> others.put(o, links.between(name, o)));
+        addresses.keySet().stream().filter(o -> !o.equals(name)).forEach(o -> others.put(o, links.address(name, o)));
         relays.put(
                 name,
                 new PeerTransport(
@@ -85,18 +85,18 @@
         assertThat(next("a")).isEqualTo(3);
         assertThat(links.counts("a", "b")).isEqualTo(new FaultyLinks.Counts(1, 1, 0, 0, 0));
         assertThat(links.counts("b", "a")).isEqualTo(new FaultyLinks.Counts(0, 0, 0, (1 << 20) + 4, 1));
-        assertThat(links.peers("b"))
-                .isEqualTo("a=127.0.0.1:" + links.between("b", "a").getPort() + ",b=127.0.0.1:"
+        assertThat(links.peersOf("b"))
+                .isEqualTo("a=127.0.0.1:" + links.address("b", "a").getPort() + ",b=127.0.0.1:"
                         + addresses.get("b").getPort() + ",c=127.0.0.1:"
-                        + links.between("b", "c").getPort());
-        assertThatThrownBy(() -> links.between("a", "a")).isInstanceOf(IllegalArgumentException.class);
+                        + links.address("b", "c").getPort());
+        assertThatThrownBy(() -> links.address("a", "a")).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
     void aOneWayCutLosesDatagramsAndStallsConnectionsInThatDirectionOnly() throws Exception {
         send("a", "b", 5000, 1);
         assertThat(next("b")).isEqualTo(1);
-        links.set("a", "b", Trouble.CUT);
+        links.setFaults("a", "b", LinkFaults.CUT);
         send("a", "b", 10, 2);
         send("a", "b", 5000, 3);
         Await.until(
@@ -106,7 +106,7 @@
         send("b", "a", 5000, 5);
         assertThat(List.of(next("a"), next("a"))).containsExactlyInAnyOrder(4, 5);
         assertThat(links.counts("a", "b").bytes()).isEqualTo(5004);
-        links.set("a", "b", Trouble.NONE);
+        links.setFaults("a", "b", LinkFaults.NONE);
         assertThat(next("b"))
                 .as("the message held back in the connection, not the datagram")
                 .isEqualTo(3);
@@ -116,7 +116,7 @@
 
     @Test
     void aGroupThatIsCutOffStillCommunicatesWithinItself() throws Exception {
-        links.around(List.of("a", "b"), Trouble.CUT);
+        links.setFaultsBetween(List.of("a", "b"), LinkFaults.CUT);
         send("a", "c", 10, 1);
         send("c", "b", 10, 2);
         send("a", "b", 10, 3);
@@ -124,14 +124,14 @@
         Await.until(
                 "lost on both links",
                 () -> links.counts("a", "c").lost() + links.counts("c", "b").lost() == 2);
-        links.everywhere(Trouble.NONE);
+        links.setAllFaults(LinkFaults.NONE);
         send("c", "b", 10, 4);
         assertThat(next("b")).isEqualTo(4);
     }
 
     @Test
     void theSeedDecidesWhatHappensToDatagrams() throws Exception {
-        Trouble faults = new Trouble(0.3, 0.2, 0, 0, false);
+        LinkFaults faults = new LinkFaults(0.3, 0.2, 0, 0, false);
         List<Integer> first = arrivals(links, faults);
         assertThat(links.counts("a", "b").lost()).as("seed %d", SEED).isBetween(10L, 60L);
         assertThat(first.size() - first.stream().distinct().count())
@@ -145,15 +145,15 @@
     }
 
     /** Sends a hundred datagrams one after the other; returns their marks in the order of arrival. */
-    private List<Integer> arrivals(FaultyLinks through, Trouble faults) throws Exception {
-        through.set("a", "b", faults);
+    private List<Integer> arrivals(FaultyLinks through, LinkFaults faults) throws Exception {
+        through.setFaults("a", "b", faults);
         try (DatagramSocket socket = new DatagramSocket()) {
             for (int i = 0; i <= 100; i++) {
                 int sent = i + 1;
                 if (i == 100) {
-                    through.set("a", "b", Trouble.NONE);
+                    through.setFaults("a", "b", LinkFaults.NONE);
                 }
-                socket.send(new DatagramPacket(new byte[] {(byte) i}, 1, through.between("a", "b")));
+                socket.send(new DatagramPacket(new byte[] {(byte) i}, 1, through.address("a", "b")));
                 Await.until(
                         "received by the link", () -> through.counts("a", "b").received() == sent);
             }
@@ -167,12 +167,12 @@
 
     @Test
     void delaysAreObservedAndReorderDatagramsOnly() throws Exception {
-        links.set("a", "b", Trouble.delay(80, 80));
+        links.setFaults("a", "b", LinkFaults.delay(80, 80));
         long before = System.nanoTime();
         send("a", "b", 10, 1);
         assertThat(next("b")).isEqualTo(1);
         assertThat(System.nanoTime() - before).isGreaterThanOrEqualTo(TimeUnit.MILLISECONDS.toNanos(80));
-        links.set("a", "b", Trouble.delay(0, 200));
+        links.setFaults("a", "b", LinkFaults.delay(0, 200));
         List<Integer> datagrams = new ArrayList<>();
         List<Integer> frames = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -210,25 +210,25 @@
      *
      * <p>The failure: the addresses were ephemeral ports, released again before they were used. When all tests ran in
      * two processes, the constructor of this class failed with {@code Bind Address already in use}; the links of that
-     * instance were never closed, and {@link #itEndsWhole} found their thread.
+     * instance were never closed, and {@link #closeReleasesThePortsAndEndsTheThread} found their thread.
      */
     @Test
-    void noPlaceIsAPortThatTheSystemGivesToOthers() throws Exception {
+    void freeAddressesLieOutsideTheEphemeralPortRange() throws Exception {
         String[] range;
         try (BufferedReader ephemeral = Files.newBufferedReader(Path.of("/proc/sys/net/ipv4/ip_local_port_range"))) {
             range = ephemeral.readLine().split("\\s+");
         }
         int first = Integer.parseInt(range[0]);
         int last = Integer.parseInt(range[1]);
-        assertThat(FaultyLinks.places(List.of("d", "e", "f")).values())
+        assertThat(FaultyLinks.freeAddresses(List.of("d", "e", "f")).values())
                 .allSatisfy(at -> assertThat(at.getPort() < first || at.getPort() > last)
                         .as("%s is outside %d to %d", at, first, last)
                         .isTrue());
     }
 
     @Test
-    void itEndsWhole() throws Exception {
-        InetSocketAddress at = links.between("a", "b");
+    void closeReleasesThePortsAndEndsTheThread() throws Exception {
+        InetSocketAddress at = links.address("a", "b");
         links.close();
         new ServerSocket(at.getPort(), 1, at.getAddress()).close();
         assertThat(Thread.getAllStackTraces().keySet())
--- a/src/test/java/firstair/kit/run/NodeTest.java
+++ b/src/test/java/firstair/kit/run/NodeTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.kit.fleet.FaultyLinks;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -17,20 +17,23 @@
 
     @Test
     void aProcessStartsWithAFleetBehindFaultyLinks() throws Exception {
-        Map<String, InetSocketAddress> addresses = FaultyLinks.places(List.of("a", "b", "c"));
-        Node node = new Node(folder, "127.0.0.1:1", Platform.list(1, true, "s1 7 127.0.0.1:1"));
-        node.group("b", 3, 1);
+        Map<String, InetSocketAddress> addresses = FaultyLinks.freeAddresses(List.of("a", "b", "c"));
+        Node node = new Node(folder, "127.0.0.1:1", StandInPlatform.list(1, true, "s1 7 127.0.0.1:1"));
+        node.relayGroup("b", 3, 1);
         node.zones(List.of("east", "west"), "west");
         try (FaultyLinks links = new FaultyLinks(1, addresses)) {
-            node.fleet("[fleet]\nname = 'f'\npeers = '" + links.peers("b") + "'\nvoters = ['a', 'b', 'c']\n");
+            node.fleet("[fleet]\nname = 'f'\npeers = '" + links.peersOf("b") + "'\nvoters = ['a', 'b', 'c']\n");
             node.start();
             assertThat(node.address().getPort()).isPositive();
             node.terminate();
-            assertThat(node.status()).as("ended by SIGTERM").isEqualTo(143);
+            assertThat(node.exitStatus()).as("ended by SIGTERM").isEqualTo(143);
             node.fleet("[fleet]\nname = 'f'\npeers = []\nvoters = ['a', 'b', 5]\n");
             node.launch();
-            assertThat(node.status()).isEqualTo(2);
-            assertThat(node.log()).singleElement().asString().contains("settings.toml:4:1: fleet.voters: found a list");
+            assertThat(node.exitStatus()).isEqualTo(2);
+            assertThat(node.completeLog())
+                    .singleElement()
+                    .asString()
+                    .contains("settings.toml:4:1: fleet.voters: found a list");
         } finally {
             node.kill();
         }
--- a/src/test/java/firstair/relay/AfterTheEndTest.java
+++ b/src/test/java/firstair/relay/AnswerAfterExitTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.kit.run.Node;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +14,7 @@
 
 /** An answer that the relay sent just before it exited must still reach its client. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class AfterTheEndTest {
+class AnswerAfterExitTest {
     @TempDir
     private Path folder;
 
@@ -28,16 +28,16 @@
      */
     @Test
     void anAnswerCanBeReadAfterTheProcessHasExited() throws Exception {
-        String list = Platform.list(3, true, "a 7 127.0.0.1:1");
-        try (Platform platform = new Platform(list);
+        String list = StandInPlatform.list(3, true, "a 7 127.0.0.1:1");
+        try (StandInPlatform platform = new StandInPlatform(list);
                 Socket client = new Socket()) {
             Node node = new Node(folder, platform.hostPort(), list);
             try {
                 node.start();
                 client.connect(node.address());
-                send(client, node.handInText("m", "safe", 9000, "dest=7", null, 1));
+                send(client, node.submissionHead("m", "safe", 9000, "dest=7", null, 1));
                 node.terminate();
-                node.line("draining");
+                node.awaitLine("draining");
                 boolean accepting = true;
                 while (accepting) {
                     try (Socket other = new Socket()) {
@@ -48,7 +48,7 @@
                 }
                 send(client, "x");
                 send(client, "and more");
-                assertThat(node.ended(3700)).isTrue();
+                assertThat(node.awaitExit(3700)).isTrue();
                 client.setSoTimeout(1000);
                 assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII))
                         .startsWith("HTTP/1.1 202 ")
--- a/src/test/java/firstair/relay/EndTest.java
+++ b/src/test/java/firstair/relay/DrainTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstair.config.Read;
+import firstair.config.ParsedSettings;
 import firstair.control.Control;
 import firstair.control.Controller;
 import firstair.kit.run.Node;
 import firstair.relay.standin.Await;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import firstair.relay.store.BootClock;
 import firstair.relay.store.Store;
 import java.io.IOException;
@@ -24,7 +24,7 @@
 
 /** The last rounds of a drain: each request that arrives complete is answered, and its message is stored. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class EndTest {
+class DrainTest {
     private static final Map<String, String> SHORT_DRAIN =
             Map.of("drain.accept", "100ms", "drain.calls", "200ms", "drain.end", "400ms");
 
@@ -67,8 +67,8 @@
      */
     @Test
     void aRequestThatIsReadAfterTheLastRoundIsAcceptedAndStored() throws Exception {
-        String list = Platform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1");
-        try (Platform platform = new Platform(list);
+        String list = StandInPlatform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1");
+        try (StandInPlatform platform = new StandInPlatform(list);
                 Socket first = new Socket();
                 Socket second = new Socket();
                 Socket third = new Socket()) {
@@ -79,7 +79,7 @@
                                     node.write().toString(),
                                     "ROUTER_STATE",
                                     node.state().toString()))
-                            .with(Read.texts(
+                            .withLocalSettings(ParsedSettings.fromTexts(
                                             SHORT_DRAIN,
                                             Map.of("drain.accept", "test", "drain.calls", "test", "drain.end", "test"),
                                             TunableSettings.schema())
@@ -99,7 +99,7 @@
                 clients[i].connect(relay.address());
                 clients[i]
                         .getOutputStream()
-                        .write(node.handInText("m" + i, "safe", 9000, i < 2 ? "dest=8" : "dest=7", null, 1)
+                        .write(node.submissionHead("m" + i, "safe", 9000, i < 2 ? "dest=8" : "dest=7", null, 1)
                                 .getBytes(StandardCharsets.US_ASCII));
             }
             long stoppedAt = System.nanoTime();
@@ -120,7 +120,7 @@
             stopping.join();
             serving.join();
             assertThat(Store.open(node.state(), 1_000_000, BootClock.SYSTEM).open().stream()
-                            .map(open -> open.taken().requestId()))
+                            .map(open -> open.message().requestId()))
                     .containsExactly("m0", "m1", "m2");
         } finally {
             released.release(2);
--- a/src/test/java/firstair/relay/FaultsTest.java
+++ b/src/test/java/firstair/relay/FaultsTest.java
@@ -13,13 +13,13 @@
 import firstair.relay.discovery.Zones;
 import firstair.relay.endpoints.Endpoints;
 import firstair.relay.endpoints.Item;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.platform.Notices;
 import firstair.relay.standin.Await;
 import firstair.relay.standin.FaultyDialer;
 import firstair.relay.standin.LoopThread;
-import firstair.relay.standin.Platform;
-import firstair.relay.store.OwedNotice;
+import firstair.relay.standin.StandInPlatform;
+import firstair.relay.store.PendingNotice;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -38,14 +38,14 @@
 /** The relay keeps its guarantees if a connection, or one of its own parts, fails in an unexpected way. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FaultsTest {
-    private static final String LIST = Platform.list(3, true, "a 7 127.0.0.1:1");
+    private static final String LIST = StandInPlatform.list(3, true, "a 7 127.0.0.1:1");
     private final Limits limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-    private Wire wire;
+    private NetworkTransport wire;
     private Loop loop;
 
     @BeforeEach
     void start() throws Exception {
-        wire = new Wire(limits);
+        wire = new NetworkTransport(limits);
     }
 
     @AfterEach
@@ -82,12 +82,12 @@
                     new Random(1),
                     confirmed::add,
                     () -> {});
-            loop.post(() -> notices[0].add(1, "r1", new OwedNotice(false, 0), loop.now() + 300));
+            loop.post(() -> notices[0].add(1, "r1", new PendingNotice(false, 0), loop.now() + 300));
             assertThat(next(confirmed)).isEqualTo(1);
-            loop.post(() -> notices[0].move(later.address()));
-            loop.post(() -> notices[0].add(2, "r2", new OwedNotice(false, 0), loop.now() + 300));
+            loop.post(() -> notices[0].setAddress(later.address()));
+            loop.post(() -> notices[0].add(2, "r2", new PendingNotice(false, 0), loop.now() + 300));
             assertThat(next(confirmed)).isEqualTo(2);
-            assertThat(later.accepted()).isPositive();
+            assertThat(later.acceptedCount()).isPositive();
         }
     }
 
@@ -98,7 +98,7 @@
     void aWatchWhoseDialerFailsIsReportedAndCanBeRetried(FaultyDialer.Fault fault) throws Exception {
         BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
-        try (Platform platform = new Platform(LIST)) {
+        try (StandInPlatform platform = new StandInPlatform(LIST)) {
             EndpointListWatch watch = new EndpointListWatch(
                     new FaultyDialer(wire, fault, 1),
                     limits,
@@ -120,8 +120,8 @@
     void aWatchWhoseDialerThrowsFollowsANewAddress() throws Exception {
         BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
         loop = LoopThread.start(() -> {});
-        try (Platform platform = new Platform(LIST);
-                Platform later = new Platform(LIST)) {
+        try (StandInPlatform platform = new StandInPlatform(LIST);
+                StandInPlatform later = new StandInPlatform(LIST)) {
             EndpointListWatch watch = new EndpointListWatch(
                     new FaultyDialer(wire, FaultyDialer.Fault.THROWS, 1),
                     limits,
@@ -172,9 +172,10 @@
 
     @Test
     void whatTheDecisionsLoseIsGivenUpInTimeAndWhatTheyThrowAtIsRefused(@TempDir Path folder) throws Exception {
-        try (Platform platform = new Platform(Platform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1"))) {
-            Node node =
-                    new Node(folder, platform.hostPort(), Platform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1"));
+        try (StandInPlatform platform =
+                new StandInPlatform(StandInPlatform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1"))) {
+            Node node = new Node(
+                    folder, platform.hostPort(), StandInPlatform.list(3, true, "a 7 127.0.0.1:1", "b 8 127.0.0.1:1"));
             Relay relay = new Relay(
                     Config.read(Map.of(
                             "ROUTER_CONFIG",
@@ -192,10 +193,10 @@
             serving.start();
             Await.until("ready", relay::ready);
             node.address(relay.address());
-            assertThat(node.handIn("m0", "safe", 1000, "dest=8", null, new byte[3]))
+            assertThat(node.submit("m0", "safe", 1000, "dest=8", null, new byte[3]))
                     .contains(" 503 ");
             long sent = System.nanoTime();
-            assertThat(node.handIn("m1", "safe", 2500, "dest=7", null, new byte[3]))
+            assertThat(node.submit("m1", "safe", 2500, "dest=7", null, new byte[3]))
                     .contains(" 202 ");
             assertThat(platform.notices.poll(10, TimeUnit.SECONDS))
                     .contains("m1")
--- a/src/test/java/firstair/relay/HeldMessagesTest.java
+++ b/src/test/java/firstair/relay/HeldMessagesTest.java
@@ -34,7 +34,7 @@
     void start() throws IOException {
         store = Store.open(folder, 1_000_000, BootClock.SYSTEM);
         messages = new HeldMessages(store);
-        store.taken(new StoredMessage(1, "r1", "unsafe", 7, null, 99_000, false, false, new byte[3], null, null));
+        store.accept(new StoredMessage(1, "r1", "unsafe", 7, null, 99_000, false, false, new byte[3], null, null));
     }
 
     /** The attempts that the next process would read if this one were killed now. */
@@ -49,7 +49,7 @@
                 .open()
                 .iterator()
                 .next()
-                .tries();
+                .attempts();
     }
 
     private void end(int attempt, Result result) {
--- a/src/test/java/firstair/relay/LargeListTest.java
+++ b/src/test/java/firstair/relay/LargeListTest.java
@@ -137,8 +137,8 @@
         }
 
         int submit(int destination) throws IOException {
-            byte[] text =
-                    bytes(node.handInText("m" + submissions++, "safe", 20_000, "dest=" + destination, null, 1) + "x");
+            byte[] text = bytes(
+                    node.submissionHead("m" + submissions++, "safe", 20_000, "dest=" + destination, null, 1) + "x");
             long startNs = System.nanoTime();
             socket.getOutputStream().write(text);
             InputStream in = socket.getInputStream();
@@ -261,12 +261,12 @@
             }
             int expected = sent;
             Await.until("all delivered by the old list", () -> delivered.get() >= expected);
-            assertThat(node.lines().stream().filter(l -> l.contains("list lost")))
+            assertThat(node.logLines().stream().filter(l -> l.contains("list lost")))
                     .singleElement()
                     .asString()
                     .contains("an object is too long");
             initialList = bytes(list(3, SERVERS));
-            node.line("list found again, version 3");
+            node.awaitLine("list found again, version 3");
             assertThat(client.submit(MARKER + 3)).isEqualTo(202);
             System.out.println(
                     summary("list too long", client.takeLatencies()) + ", memory " + node.mostMemoryKb() + " KiB");
--- a/src/test/java/firstair/relay/LimitsTest.java
+++ b/src/test/java/firstair/relay/LimitsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstair.config.Read;
+import firstair.config.ParsedSettings;
 import firstair.config.Values;
 import firstair.relay.fleet.PeerTransport;
 import java.util.Map;
@@ -30,12 +30,12 @@
         for (int[] fleet : new int[][] {{128, 5}, {1024, 32}, {4096, 100}}) {
             int sockets = fleet[0];
             int members = fleet[1];
-            Values localSettings = Read.texts(
+            Values localSettings = ParsedSettings.fromTexts(
                             Map.of("fleet.name", "f", "fleet.peers", "r=127.0.0.1:7000" + ",r".repeat(members - 1)),
                             Map.of("fleet.name", "test", "fleet.peers", "test"),
                             TunableSettings.schema())
                     .values();
-            Limits limits = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000).tuned(localSettings);
+            Limits limits = Limits.of(sockets, 3, HEAP, 5, 1000, 10_000).withLocalSettings(localSettings);
             int peers = PeerTransport.Bounds.of(members).connections() + members;
             assertThat(limits.maxClients() + limits.maxLinks() + peers)
                     .as("%s members, %s descriptors", members, sockets)
--- a/src/test/java/firstair/relay/ListClockTest.java
+++ b/src/test/java/firstair/relay/ListClockTest.java
@@ -10,12 +10,12 @@
 import firstair.relay.discovery.EndpointListWatch;
 import firstair.relay.discovery.Zones;
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
-import firstair.relay.net.Wire;
+import firstair.relay.net.HttpConnection;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.Await;
 import firstair.relay.standin.FaultyDialer;
 import firstair.relay.standin.LoopThread;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
@@ -112,9 +112,9 @@
         double pause = longestPause(ListUpdate.FAILED, ask, askEveryMs);
         double shortPause = longestPause(ListUpdate.OVERDUE, ask, askEveryMs);
         // Whichever way it fails.
-        double failedCall = Math.max(LIMITS.listWaitMs() + shortPause, LIMITS.listWaitMs() / 2 + pause);
+        double failedCall = Math.max(LIMITS.parallelListCallMs() + shortPause, LIMITS.parallelListCallMs() / 2 + pause);
         double silence = LIMITS.listSilenceMs() + LIMITS.sweepMs();
-        assertThat(LATE_REFUSAL_MS).isLessThan(LIMITS.listWaitMs());
+        assertThat(LATE_REFUSAL_MS).isLessThan(LIMITS.parallelListCallMs());
         // A call that may still be answered is not given up.
         assertThat(LATE_CONNECT_MS + LATE_REFUSAL_MS).isLessThan(LIMITS.listAnswerMs());
         assertThat(silence + 2 * failedCall)
@@ -139,7 +139,7 @@
 
     /** Lets each call follow the next step of a scenario, either here or, by a header, in {@link #discover}. */
     private static Dialer faultyDialer(
-            Wire wire, Loop loop, Queue<String> steps, AtomicLong startNs, Queue<String> timeline) {
+            NetworkTransport wire, Loop loop, Queue<String> steps, AtomicLong startNs, Queue<String> timeline) {
         return (address, maxBody, request, exchange, closedIdle) -> {
             String next = steps.poll();
             String step = next == null ? "list" : next;
@@ -149,19 +149,19 @@
                     .replace("Host:", "Step: " + step + "\r\nHost:")
                     .getBytes(StandardCharsets.US_ASCII);
             if (step.equals("never")) {
-                return FaultyDialer.deaf();
+                return FaultyDialer.silentLink();
             }
             if (!step.equals("late")) {
                 return wire.open(address, maxBody, marked, exchange, closedIdle);
             }
-            Link[] link = {FaultyDialer.deaf()};
+            HttpConnection[] link = {FaultyDialer.silentLink()};
             AtomicBoolean closed = new AtomicBoolean();
             loop.after(LATE_CONNECT_MS, () -> {
                 if (!closed.get()) {
                     link[0] = wire.open(address, maxBody, marked, exchange, closedIdle);
                 }
             });
-            return new Link() {
+            return new HttpConnection() {
                 @Override
                 public boolean send(byte[] request, Exchange exchange) {
                     return false;
@@ -173,7 +173,7 @@
                 }
 
                 @Override
-                public boolean keep() {
+                public boolean keepIdle() {
                     return false;
                 }
 
@@ -183,9 +183,9 @@
                 }
 
                 @Override
-                public boolean leave() {
+                public boolean abandon() {
                     closed.set(true);
-                    return link[0].leave();
+                    return link[0].abandon();
                 }
 
                 @Override
@@ -217,7 +217,7 @@
         switch (String.valueOf(request.header("step"))) {
             case "object" -> {
                 silentSinceNs.set(System.nanoTime());
-                write(request, HEAD + chunk(Platform.list(2, true, "s1 7 127.0.0.1:1")));
+                write(request, HEAD + chunk(StandInPlatform.list(2, true, "s1 7 127.0.0.1:1")));
             }
             case "head" -> write(request, HEAD);
             case "half" -> write(request, HEAD + chunk("{\"version\":3,"));
@@ -250,13 +250,13 @@
                     write(request, piece);
                     pause(20);
                 }
-                write(request, chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+                write(request, chunk(StandInPlatform.list(4, true, "s1 7 127.0.0.1:1")));
             }
             case "long" -> { // neither chunked nor with a length: ends with the connection
-                write(request, "HTTP/1.1 200 OK\r\n\r\n" + Platform.list(4, true, "s1 7 127.0.0.1:1"));
+                write(request, "HTTP/1.1 200 OK\r\n\r\n" + StandInPlatform.list(4, true, "s1 7 127.0.0.1:1"));
             }
             case "nothing" -> {}
-            default -> write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+            default -> write(request, HEAD + chunk(StandInPlatform.list(4, true, "s1 7 127.0.0.1:1")));
         }
     }
 
@@ -326,7 +326,7 @@
         Map<String, Double> tookMs = new ConcurrentHashMap<>();
         Map<String, Queue<String>> timelines = new ConcurrentHashMap<>();
         List<StandIn> servers = new ArrayList<>();
-        Wire wire = new Wire(LIMITS);
+        NetworkTransport wire = new NetworkTransport(LIMITS);
         Loop loop = LoopThread.start(() -> {});
         for (String scenario : scenarios) {
             AtomicLong startNs = new AtomicLong();
@@ -376,12 +376,12 @@
         AtomicInteger maxOpen = new AtomicInteger();
         StandIn[] server = new StandIn[1];
         server[0] = new StandIn(request -> {
-            maxOpen.accumulateAndGet(server[0].open(), Math::max);
+            maxOpen.accumulateAndGet(server[0].openCount(), Math::max);
             if (answering.get()) {
-                write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+                write(request, HEAD + chunk(StandInPlatform.list(4, true, "s1 7 127.0.0.1:1")));
             }
         });
-        Wire wire = new Wire(LIMITS);
+        NetworkTransport wire = new NetworkTransport(LIMITS);
         Loop loop = LoopThread.start(() -> {});
         BlockingQueue<ListUpdate> updates = new LinkedBlockingQueue<>();
         EndpointListWatch[] watch = new EndpointListWatch[1];
@@ -401,16 +401,16 @@
                 });
         loop.post(watch[0]::listen);
         try {
-            Await.until("six calls", () -> server[0].accepted() >= 6);
+            Await.until("six calls", () -> server[0].acceptedCount() >= 6);
             answering.set(true);
             Await.until("the list", () -> updates.contains(ListUpdate.COMPLETE));
             loop.post(watch[0]::listen); // as after an earlier failure; the watch in progress makes it superfluous
-            Await.until("one watch", () -> server[0].open() == 1);
-            int calls = server[0].accepted();
+            Await.until("one watch", () -> server[0].openCount() == 1);
+            int calls = server[0].acceptedCount();
             BlockingQueue<Boolean> current = new LinkedBlockingQueue<>();
             loop.post(() -> loop.post(() -> current.add(watch[0].current())));
             assertThat(current.take()).isTrue();
-            assertThat(server[0].accepted()).isEqualTo(calls);
+            assertThat(server[0].acceptedCount()).isEqualTo(calls);
             assertThat(maxOpen.get()).isLessThanOrEqualTo(3);
         } finally {
             loop.end();
@@ -448,12 +448,12 @@
             }
             try {
                 pause(20);
-                write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+                write(request, HEAD + chunk(StandInPlatform.list(4, true, "s1 7 127.0.0.1:1")));
             } finally {
                 oneAtATime.unlock();
             }
         });
-        Wire wire = new Wire(LIMITS);
+        NetworkTransport wire = new NetworkTransport(LIMITS);
         Loop loop = LoopThread.start(() -> {});
         Map<Integer, Double> knownMs = new ConcurrentHashMap<>();
         Set<Integer> failed = ConcurrentHashMap.newKeySet();
@@ -512,10 +512,10 @@
         Logger log = Logger.getLogger(EndpointListWatch.class.getName());
         log.addHandler(handler);
         StandIn server = new StandIn(request -> {
-            write(request, HEAD + chunk(Platform.list(4, true, "s1 7 127.0.0.1:1")));
+            write(request, HEAD + chunk(StandInPlatform.list(4, true, "s1 7 127.0.0.1:1")));
             request.socket().close();
         });
-        Wire wire = new Wire(LIMITS);
+        NetworkTransport wire = new NetworkTransport(LIMITS);
         Loop loop = LoopThread.start(() -> {});
         EndpointListWatch[] watch = new EndpointListWatch[1];
         watch[0] = new EndpointListWatch(
@@ -526,7 +526,7 @@
                 });
         loop.post(watch[0]::listen);
         try {
-            Await.until("many watches", () -> server.accepted() > 50);
+            Await.until("many watches", () -> server.acceptedCount() > 50);
             assertThat(lines).filteredOn(line -> line.startsWith("list lost")).hasSize(1);
             assertThat(lines)
                     .filteredOn(line -> line.startsWith("list found again"))
@@ -546,10 +546,12 @@
         BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
         try (StandIn server = new StandIn(request -> {
             calls.add(System.nanoTime());
-            write(request, HEAD + (response.equals("fin") ? "" : chunk(Platform.list(4, true, "s1 7 127.0.0.1:1"))));
+            write(
+                    request,
+                    HEAD + (response.equals("fin") ? "" : chunk(StandInPlatform.list(4, true, "s1 7 127.0.0.1:1"))));
             request.socket().close();
         })) {
-            Node node = new Node(folder, server.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
+            Node node = new Node(folder, server.hostPort(), StandInPlatform.list(1, true, "s1 7 127.0.0.1:1"));
             node.start();
             try {
                 long firstNs = calls.take();
@@ -572,25 +574,25 @@
         BlockingQueue<Long> hung = new LinkedBlockingQueue<>();
         try (StandIn old = new StandIn(request -> hung.add(System.nanoTime()));
                 StandIn between = new StandIn(request -> hung.add(System.nanoTime()));
-                Platform last = new Platform(Platform.list(7, true, "s1 7 127.0.0.1:1"))) {
-            Node node = new Node(folder, old.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
+                StandInPlatform last = new StandInPlatform(StandInPlatform.list(7, true, "s1 7 127.0.0.1:1"))) {
+            Node node = new Node(folder, old.hostPort(), StandInPlatform.list(1, true, "s1 7 127.0.0.1:1"));
             node.start();
             try {
                 hung.take();
                 node.discovery(between.hostPort());
-                node.hangUp();
-                node.line("discovery at " + between.hostPort());
-                Await.until("a call to the second address", () -> between.accepted() > 0);
+                node.writeAndSendSighup();
+                node.awaitLine("discovery at " + between.hostPort());
+                Await.until("a call to the second address", () -> between.acceptedCount() > 0);
                 node.discovery(last.hostPort());
                 long startNs = System.nanoTime();
-                node.hangUp();
-                node.hangUp(); // once more without a change
+                node.writeAndSendSighup();
+                node.writeAndSendSighup(); // once more without a change
                 Await.until("a watch", last::watched);
                 assertThat((System.nanoTime() - startNs) / 1e6).isLessThan(MOVED_MS - 2000);
-                node.line("discovery at " + last.hostPort());
-                Await.until("one call", () -> last.open() == 1);
-                Await.until("none at the old addresses", () -> old.open() + between.open() == 0);
-                assertThat(last.accepted()).isEqualTo(1);
+                node.awaitLine("discovery at " + last.hostPort());
+                Await.until("one call", () -> last.openCount() == 1);
+                Await.until("none at the old addresses", () -> old.openCount() + between.openCount() == 0);
+                assertThat(last.acceptedCount()).isEqualTo(1);
             } finally {
                 node.kill();
             }
@@ -610,9 +612,9 @@
     @Test
     void clientsThatFillTheDescriptorsWhileDiscoveryIsDownDoNotKeepTheListAway() throws Exception {
         int sockets = 96;
-        String known = Platform.list(1, true, "s1 7 127.0.0.1:1");
-        try (Platform platform = new Platform(known)) {
-            platform.down(true);
+        String known = StandInPlatform.list(1, true, "s1 7 127.0.0.1:1");
+        try (StandInPlatform platform = new StandInPlatform(known)) {
+            platform.setDown(true);
             Node node = new Node(folder, platform.hostPort(), known);
             node.sockets(sockets);
             node.start();
@@ -656,12 +658,12 @@
                     maxDescriptors = Math.max(maxDescriptors, node.descriptors());
                     TimeUnit.MILLISECONDS.sleep(5);
                 }
-                platform.holds(Platform.list(2, true, "s1 7 127.0.0.1:1", "s2 9 127.0.0.1:1"));
-                platform.down(false);
+                platform.setList(StandInPlatform.list(2, true, "s1 7 127.0.0.1:1", "s2 9 127.0.0.1:1"));
+                platform.setDown(false);
                 long startNs = System.nanoTime();
                 Await.until("a watch", platform::watched);
                 assertThat((System.nanoTime() - startNs) / 1e6).isLessThan(KNOWN_MS / 3);
-                node.line("list found again, version 2");
+                node.awaitLine("list found again, version 2");
                 maxDescriptors = Math.max(maxDescriptors, node.descriptors());
             } finally {
                 stopped.set(true);
@@ -681,7 +683,7 @@
     /** An object that is too long for a list ends the call before it fills the heap, however small that is. */
     @Test
     void anObjectOfManyMegabytesIsRejectedOnASmallHeap() throws Exception {
-        String list = Platform.list(2, true, "s1 7 127.0.0.1:1");
+        String list = StandInPlatform.list(2, true, "s1 7 127.0.0.1:1");
         String entry = list.substring(list.indexOf('[') + 1, list.indexOf(']'));
         StringBuilder object = new StringBuilder("{\"version\":2,\"full\":true,\"servers\":[").append(entry);
         while (object.length() < 4_000_000) {
@@ -693,16 +695,16 @@
             calls.add(request);
             write(request, response);
         })) {
-            Node node = new Node(folder, server.hostPort(), Platform.list(1, true, "s1 7 127.0.0.1:1"));
+            Node node = new Node(folder, server.hostPort(), StandInPlatform.list(1, true, "s1 7 127.0.0.1:1"));
             node.config(Files.readString(node.write()).replace("\"memory_mb\":192", "\"memory_mb\":112"));
             node.start();
             try {
-                node.line("list lost: an object is too long");
+                node.awaitLine("list lost: an object is too long");
                 for (int i = 0; i < 4; i++) {
                     calls.take();
                 }
                 assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
-                assertThat(node.lines())
+                assertThat(node.logLines())
                         .filteredOn(line -> line.contains("list lost"))
                         .hasSize(1);
             } finally {
--- a/src/test/java/firstair/relay/RateLimitedLoggerTest.java
+++ b/src/test/java/firstair/relay/RateLimitedLoggerTest.java
@@ -25,14 +25,14 @@
             now = 1000 + ms;
             assertThat(logger.log("bad answer " + ms)).isEqualTo(ms % 60_000 == 0);
         }
-        assertThat(lines.beginning(""))
+        assertThat(lines.startingWith(""))
                 .containsExactly("bad answer 0", "bad answer 60000 (5999 similar lines suppressed)");
     }
 
     @Test
     void remoteInputIsLoggedAsOneLineOfBoundedLength() {
         logger.log("list lost: not\na list\r\n" + "x".repeat(100_000));
-        assertThat(lines.beginning(""))
+        assertThat(lines.startingWith(""))
                 .singleElement()
                 .asString()
                 .startsWith("list lost: not a list xxx")
@@ -51,7 +51,7 @@
             }
             loop.post(loop::end);
             loop.run(() -> {});
-            assertThat(faults.beginning("fault in an event")).hasSizeLessThan(2);
+            assertThat(faults.startingWith("fault in an event")).hasSizeLessThan(2);
         }
     }
 }
--- a/src/test/java/firstair/relay/RelayProcessTest.java
+++ b/src/test/java/firstair/relay/RelayProcessTest.java
@@ -6,7 +6,7 @@
 import firstair.kit.run.Node;
 import firstair.kit.standin.StandIn;
 import firstair.relay.standin.Await;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -49,7 +49,7 @@
     private final BlockingQueue<StandIn.Request> calls = new LinkedBlockingQueue<>();
     private volatile StandIn.Handler endpointHandler = request -> request.answer(200);
     private StandIn endpoint;
-    private Platform platform;
+    private StandInPlatform platform;
     private Node node;
 
     @BeforeEach
@@ -58,7 +58,7 @@
             calls.add(request);
             endpointHandler.handle(request);
         });
-        platform = new Platform(list(1));
+        platform = new StandInPlatform(list(1));
         node = new Node(folder, platform.hostPort(), list(1));
     }
 
@@ -70,7 +70,7 @@
     }
 
     private String list(long version) {
-        return Platform.list(version, true, "s1 7 " + endpoint.hostPort());
+        return StandInPlatform.list(version, true, "s1 7 " + endpoint.hostPort());
     }
 
     private StandIn.Request nextCall() throws InterruptedException {
@@ -89,7 +89,7 @@
     private String killAndRestart() throws Exception {
         node.kill();
         node.start();
-        return node.line("ready");
+        return node.awaitLine("ready");
     }
 
     @Test
@@ -97,7 +97,7 @@
         node.start();
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
         byte[] binary = {0, 13, 10, -1, 'x'};
-        assertThat(node.handIn("m1", "keyed", 5000, DESTINATION, "key-1", binary))
+        assertThat(node.submit("m1", "keyed", 5000, DESTINATION, "key-1", binary))
                 .startsWith("HTTP/1.1 202");
         StandIn.Request call = nextCall();
         assertThat(call.target()).isEqualTo("/receive");
@@ -123,10 +123,10 @@
                 .isZero();
         node.config(Files.readString(migrated));
         node.start();
-        node.handIn("m1", "keyed", 5000, DESTINATION, "key-1", new byte[1]);
+        node.submit("m1", "keyed", 5000, DESTINATION, "key-1", new byte[1]);
         assertThat(nextCall().header("idempotency-key")).isEqualTo("key-1");
         endpointHandler = request -> request.answer(503);
-        node.handIn("m2", "unsafe", 1500, DESTINATION, null, new byte[1]);
+        node.submit("m2", "unsafe", 1500, DESTINATION, null, new byte[1]);
         assertThat(nextNotice()).contains("m2", "handed_back");
     }
 
@@ -140,7 +140,7 @@
             }
         };
         node.start();
-        node.handIn("m1", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 9000, DESTINATION, null, new byte[1]);
         long sentNs = System.nanoTime();
         Await.until("a second call", () -> calls.size() >= 2);
         assertThat(System.nanoTime() - sentNs).isGreaterThan(350_000_000L);
@@ -151,7 +151,7 @@
     void aMessageThatNeverRanIsHandedBackAtItsDeadline() throws Exception {
         endpointHandler = request -> request.answer(503);
         node.start();
-        assertThat(node.handIn("m1", "unsafe", 1500, DESTINATION, null, new byte[1]))
+        assertThat(node.submit("m1", "unsafe", 1500, DESTINATION, null, new byte[1]))
                 .startsWith("HTTP/1.1 202");
         assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("handed_back");
     }
@@ -159,8 +159,8 @@
     @Test
     void aMessageWhoseDeadlineCannotBeMetIsRejected() throws Exception {
         node.start();
-        assertThat(node.handIn("m1", "safe", 1, DESTINATION, null, new byte[1])).startsWith("HTTP/1.1 503");
-        assertThat(node.handIn("m2", "safe", 5000, DESTINATION, null, new byte[1]))
+        assertThat(node.submit("m1", "safe", 1, DESTINATION, null, new byte[1])).startsWith("HTTP/1.1 503");
+        assertThat(node.submit("m2", "safe", 5000, DESTINATION, null, new byte[1]))
                 .startsWith("HTTP/1.1 202");
         assertThat(nextCall().header("request-id")).isEqualTo("m2");
     }
@@ -176,11 +176,11 @@
             }
         };
         node.start();
-        node.handIn("m1", "safe", 9000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "safe", 9000, DESTINATION, null, new byte[1]);
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
         endpointHandler = StandIn.Request::reset;
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
-        node.handIn("m2", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        node.submit("m2", "unsafe", 9000, DESTINATION, null, new byte[1]);
         assertThat(nextNotice()).contains("\"message\":\"m2\"").contains("given_up");
         assertThat(calls.stream()
                         .filter(call -> call.header("request-id").equals("m2"))
@@ -193,7 +193,7 @@
         endpointHandler = request -> {};
         node.start();
         long startNs = System.nanoTime();
-        node.handIn("m1", "unsafe", 1200, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 1200, DESTINATION, null, new byte[1]);
         assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("given_up");
         assertThat((System.nanoTime() - startNs) / 1e6).isLessThan(1500);
     }
@@ -203,22 +203,22 @@
         endpointHandler = StandIn.Request::reset;
         platform.noticeStatus(503);
         node.start();
-        node.handIn("m1", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 9000, DESTINATION, null, new byte[1]);
         assertThat(nextNotice()).contains("given_up");
         assertThat(killAndRestart()).contains("0 messages and 1 notices");
         platform.noticeStatus(204);
         assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("given_up");
         for (String id : List.of("m2", "m3")) { // each is sent once the request before it has been confirmed
-            node.handIn(id, "unsafe", 9000, DESTINATION, null, new byte[1]);
+            node.submit(id, "unsafe", 9000, DESTINATION, null, new byte[1]);
             while (!nextNotice().contains(id)) {
                 // a repeat of the first one
             }
         }
         // Answered once everything before it is stored.
-        node.handIn("m4", "safe", 9000, DESTINATION, null, new byte[1]);
+        node.submit("m4", "safe", 9000, DESTINATION, null, new byte[1]);
         platform.notices.clear();
         killAndRestart();
-        node.handIn("m5", "unsafe", 9000, DESTINATION, null, new byte[1]);
+        node.submit("m5", "unsafe", 9000, DESTINATION, null, new byte[1]);
         String notice;
         do {
             notice = nextNotice();
@@ -230,12 +230,12 @@
     void anUnsafeMessageWithACallInProgressAtAKillIsNeverSentAgain() throws Exception {
         endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
         nextCall();
         assertThat(killAndRestart()).contains("0 messages and 1 notices");
         assertThat(nextNotice()).contains("\"message\":\"m1\"").contains("given_up");
         endpointHandler = request -> request.answer(200);
-        node.handIn("m2", "safe", 20_000, DESTINATION, null, new byte[1]);
+        node.submit("m2", "safe", 20_000, DESTINATION, null, new byte[1]);
         assertThat(nextCall().header("request-id")).isEqualTo("m2");
     }
 
@@ -243,7 +243,7 @@
     void aKeyedMessageWithACallInProgressAtAKillIsSentAgainWithItsKey() throws Exception {
         endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "keyed", 20_000, DESTINATION, "key-1", "text".getBytes(StandardCharsets.US_ASCII));
+        node.submit("m1", "keyed", 20_000, DESTINATION, "key-1", "text".getBytes(StandardCharsets.US_ASCII));
         nextCall();
         endpointHandler = request -> request.answer(200);
         assertThat(killAndRestart()).contains("1 messages");
@@ -255,13 +255,13 @@
 
     @Test
     void aMessageThatWasNeverSentIsSentAfterAKill() throws Exception {
-        platform.down(true); // so that the relay learns no other endpoint than the draining one
-        node.known(Platform.list(1, true, "s1 8 " + endpoint.hostPort() + " draining"));
+        platform.setDown(true); // so that the relay learns no other endpoint than the draining one
+        node.initialList(StandInPlatform.list(1, true, "s1 8 " + endpoint.hostPort() + " draining"));
         node.start();
-        assertThat(node.handIn("m1", "unsafe", 20_000, "dest=8", null, new byte[1]))
+        assertThat(node.submit("m1", "unsafe", 20_000, "dest=8", null, new byte[1]))
                 .contains(" 202 ");
         node.kill();
-        node.known(Platform.list(2, true, "s1 8 " + endpoint.hostPort()));
+        node.initialList(StandInPlatform.list(2, true, "s1 8 " + endpoint.hostPort()));
         node.start();
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
     }
@@ -286,15 +286,15 @@
     void anUnsafeMessageStillConnectingAtAKillIsSentByTheNextProcess() throws Exception {
         List<Socket> waiting = new ArrayList<>();
         try (ServerSocket unresponsive = unresponsiveListener(waiting)) {
-            platform.down(true); // the next process must not learn the old address
-            node.known(Platform.list(1, true, "s1 8 127.0.0.1:" + unresponsive.getLocalPort()));
+            platform.setDown(true); // the next process must not learn the old address
+            node.initialList(StandInPlatform.list(1, true, "s1 8 127.0.0.1:" + unresponsive.getLocalPort()));
             node.start();
-            assertThat(node.handIn("m1", "unsafe", 20_000, "dest=8", null, new byte[1]))
+            assertThat(node.submit("m1", "unsafe", 20_000, "dest=8", null, new byte[1]))
                     .contains(" 202 ");
             node.kill();
-            node.known(Platform.list(2, true, "s1 8 " + endpoint.hostPort()));
+            node.initialList(StandInPlatform.list(2, true, "s1 8 " + endpoint.hostPort()));
             node.start();
-            assertThat(node.line("ready")).contains("1 messages and 0 notices");
+            assertThat(node.awaitLine("ready")).contains("1 messages and 0 notices");
             assertThat(nextCall().header("request-id")).isEqualTo("m1");
             assertThat(platform.notices).isEmpty();
         } finally {
@@ -309,8 +309,10 @@
     void anAddressInUseEndsTheStartWithOneLine() throws Exception {
         node.listen(endpoint.hostPort());
         node.launch();
-        assertThat(node.status()).isEqualTo(1);
-        assertThat(node.log()).filteredOn(line -> line.startsWith("firstair: ")).hasSize(1);
+        assertThat(node.exitStatus()).isEqualTo(1);
+        assertThat(node.completeLog())
+                .filteredOn(line -> line.startsWith("firstair: "))
+                .hasSize(1);
     }
 
     /** Whenever the process is killed, each accepted message gets a final answer, and no unsafe one is sent twice. */
@@ -349,7 +351,7 @@
                     for (int i = 0; ; i++) {
                         String id = "k" + roundNumber + "-" + i;
                         String messageClass = i % 3 == 0 ? "unsafe" : i % 3 == 1 ? "safe" : "keyed";
-                        String answer = node.handIn(
+                        String answer = node.submit(
                                 id + messageClass, messageClass, 6_000, DESTINATION, "key" + id, new byte[100]);
                         if (answer.contains(" 202 ")) {
                             accepted.add(id + messageClass);
@@ -380,7 +382,7 @@
     void anIncompleteRecordIsDroppedAndTheOthersAreRead() throws Exception {
         endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "keyed", 20_000, DESTINATION, "key-1", new byte[50]);
+        node.submit("m1", "keyed", 20_000, DESTINATION, "key-1", new byte[50]);
         nextCall();
         node.kill();
         Path file;
@@ -389,7 +391,7 @@
         }
         Files.write(file, new byte[] {(byte) 0xf1, (byte) 0xa1, 0, 0, 0, 99, 1, 2}, StandardOpenOption.APPEND);
         node.start();
-        assertThat(node.line("store: incomplete last record")).contains("8 bytes dropped");
+        assertThat(node.awaitLine("store: incomplete last record")).contains("8 bytes dropped");
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
     }
 
@@ -398,19 +400,19 @@
         LinkedBlockingQueue<StandIn.Request> unanswered = new LinkedBlockingQueue<>();
         endpointHandler = unanswered::add;
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
         StandIn.Request inProgress = unanswered.poll(20, TimeUnit.SECONDS);
         assertThat(inProgress).isNotNull();
         node.terminate();
-        node.line("draining");
+        node.awaitLine("draining");
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 "); // new connections are still accepted for a while
         inProgress.answer(200);
-        assertThat(node.ended(3500)).isTrue();
-        assertThat(node.line("ended")).isNotNull();
+        assertThat(node.awaitExit(3500)).isTrue();
+        assertThat(node.awaitLine("ended")).isNotNull();
         calls.clear();
         node.start();
-        assertThat(node.line("ready")).contains("0 messages and 0 notices");
-        node.handIn("m3", "safe", 20_000, DESTINATION, null, new byte[1]);
+        assertThat(node.awaitLine("ready")).contains("0 messages and 0 notices");
+        node.submit("m3", "safe", 20_000, DESTINATION, null, new byte[1]);
         assertThat(nextCall().header("request-id")).isEqualTo("m3"); // m1 was not sent again
     }
 
@@ -427,19 +429,19 @@
             }
         };
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
         nextCall();
         node.terminate();
-        assertThat(node.ended(3500)).isTrue();
+        assertThat(node.awaitExit(3500)).isTrue();
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
-        assertThat(node.line("ended")).contains("0 messages kept");
+        assertThat(node.awaitLine("ended")).contains("0 messages kept");
     }
 
     @Test
     void anIdleRelayExitsInTimeAfterSigterm() throws Exception {
         node.start();
         node.terminate();
-        assertThat(node.ended(3500)).isTrue();
+        assertThat(node.awaitExit(3500)).isTrue();
     }
 
     @Test
@@ -449,7 +451,7 @@
         node.start();
         int rejected = 0;
         for (int i = 0; i < 60; i++) {
-            String answer = node.handIn("m" + i, "safe", 30_000, DESTINATION, null, new byte[30_000]);
+            String answer = node.submit("m" + i, "safe", 30_000, DESTINATION, null, new byte[30_000]);
             assertThat(answer).startsWith("HTTP/1.1 ").containsAnyOf(" 202 ", " 503 ");
             rejected += answer.contains(" 503 ") ? 1 : 0;
             long usedBytes = 0;
@@ -466,21 +468,22 @@
 
     @Test
     void whileDiscoveryIsDownItServesFromItsLastListAndLaterCatchesUp() throws Exception {
-        platform.down(true);
+        platform.setDown(true);
         node.start();
-        node.line("list lost");
-        node.handIn("m1", "safe", 9000, DESTINATION, null, new byte[1]);
+        node.awaitLine("list lost");
+        node.submit("m1", "safe", 9000, DESTINATION, null, new byte[1]);
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
-        platform.down(false);
-        node.line("list found again");
+        platform.setDown(false);
+        node.awaitLine("list found again");
         try (StandIn other = new StandIn(request -> {
             calls.add(request);
             request.answer(200);
         })) {
-            platform.tell(Platform.list(2, false, "s2 9 " + other.hostPort(), "s1 7 " + endpoint.hostPort()));
+            platform.sendChanges(
+                    StandInPlatform.list(2, false, "s2 9 " + other.hostPort(), "s1 7 " + endpoint.hostPort()));
             String answer;
             do { // 404 until the change has arrived
-                answer = node.handIn("m2", "safe", 9000, "dest=9", null, new byte[1]);
+                answer = node.submit("m2", "safe", 9000, "dest=9", null, new byte[1]);
             } while (answer.contains(" 404 "));
             assertThat(answer).contains(" 202 ");
             assertThat(nextCall().header("request-id")).isEqualTo("m2");
@@ -493,12 +496,12 @@
         node.config(Files.readString(node.write()).replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
         endpointHandler = request -> {};
         node.start();
-        node.handIn("m1", "safe", 20_000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "safe", 20_000, DESTINATION, null, new byte[1]);
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
         assertThat(platform.watched()).isTrue();
         node.kill();
         calls.clear();
-        platform.holds(Platform.list(2, true, "s1 7 " + endpoint.hostPort() + " draining"));
+        platform.setList(StandInPlatform.list(2, true, "s1 7 " + endpoint.hostPort() + " draining"));
         AtomicBoolean listSent = new AtomicBoolean();
         Set<String> calledBefore = ConcurrentHashMap.newKeySet();
         endpointHandler = request -> {
@@ -508,9 +511,9 @@
             request.answer(200);
         };
         node.start();
-        assertThat(node.line("ready")).contains("1 messages");
+        assertThat(node.awaitLine("ready")).contains("1 messages");
         listSent.set(true);
-        platform.tell(list(3));
+        platform.sendChanges(list(3));
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
         assertThat(calledBefore).isEmpty(); // with the list from its configuration m1 would have been sent
     }
@@ -526,29 +529,29 @@
         if (ignored) {
             node.ignoreSighup();
         } else {
-            node.takeSignals();
+            node.startWithoutScript();
         }
         LinkedBlockingQueue<StandIn.Request> unanswered = new LinkedBlockingQueue<>();
         endpointHandler = unanswered::add;
         node.start();
-        node.handIn("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 20_000, DESTINATION, null, new byte[1]);
         StandIn.Request inProgress = unanswered.poll(20, TimeUnit.SECONDS);
-        try (Platform first = new Platform(list(1));
-                Platform second = new Platform(
-                        Platform.list(3, true, "s1 7 " + endpoint.hostPort(), "s2 9 " + endpoint.hostPort()))) {
-            for (Platform next : List.of(first, second)) {
+        try (StandInPlatform first = new StandInPlatform(list(1));
+                StandInPlatform second = new StandInPlatform(
+                        StandInPlatform.list(3, true, "s1 7 " + endpoint.hostPort(), "s2 9 " + endpoint.hostPort()))) {
+            for (StandInPlatform next : List.of(first, second)) {
                 node.discovery(next.hostPort());
-                node.hangUp();
-                node.line("discovery at " + next.hostPort());
+                node.writeAndSendSighup();
+                node.awaitLine("discovery at " + next.hostPort());
                 Await.until("a watch at the new address", next::watched);
             }
             platform.close(); // the old address is gone, without effect
-            while (node.handIn("x", "safe", 9000, "dest=9", null, new byte[1]).contains(" 404 ")) {
+            while (node.submit("x", "safe", 9000, "dest=9", null, new byte[1]).contains(" 404 ")) {
                 // the list of the second platform has not arrived yet
             }
             inProgress.answer(200); // the call in progress was not interrupted
             endpointHandler = request -> request.answer(503);
-            assertThat(node.handIn("m2", "unsafe", 1500, DESTINATION, null, new byte[1]))
+            assertThat(node.submit("m2", "unsafe", 1500, DESTINATION, null, new byte[1]))
                     .startsWith("HTTP/1.1 202");
             String notice = second.notices.poll(20, TimeUnit.SECONDS);
             assertThat(notice).contains("\"message\":\"m2\"").contains("handed_back");
@@ -563,17 +566,17 @@
         node.start();
         Await.until("a watch", platform::watched);
         node.config("{\"listen\":");
-        node.hangUp();
-        node.line("the configuration read before stays");
+        node.writeAndSendSighup();
+        node.awaitLine("the configuration read before stays");
         node.config("{\"listen\":\"127.0.0.1:0\",\"settings\":{}}");
-        node.hangUp();
-        node.line("settings.classes: no class");
+        node.writeAndSendSighup();
+        node.awaitLine("settings.classes: no class");
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
         endpointHandler = request -> request.answer(503);
-        node.handIn("m1", "unsafe", 1500, DESTINATION, null, new byte[1]);
+        node.submit("m1", "unsafe", 1500, DESTINATION, null, new byte[1]);
         assertThat(nextNotice()).contains("m1");
         node.kill();
-        assertThat(node.log())
+        assertThat(node.completeLog())
                 .filteredOn(line -> line.contains("read before stays"))
                 .hasSize(2);
     }
@@ -586,16 +589,16 @@
         platform.noticeStatus(503); // notices are repeated without end
         endpointHandler = request -> request.answer(503);
         for (int i = 0; i < 40; i++) {
-            node.handIn("x" + i, "unsafe", 100, DESTINATION, null, body);
+            node.submit("x" + i, "unsafe", 100, DESTINATION, null, body);
         }
         for (int i = 0; i < 1300; i++) { // enough lines for a pipe, which holds 64 KiB
-            node.signalHangUp();
+            node.sendSighup();
         }
         endpointHandler = request -> request.answer(200);
-        assertThat(node.handIn("m1", "safe", 9000, DESTINATION, null, body)).contains(" 202 ");
+        assertThat(node.submit("m1", "safe", 9000, DESTINATION, null, body)).contains(" 202 ");
         Await.until("a delivery", () -> calls.stream().anyMatch(call -> "m1".equals(call.header("request-id"))));
         node.terminate();
-        assertThat(node.ended(3700)).isTrue();
+        assertThat(node.awaitExit(3700)).isTrue();
     }
 
     @Test
@@ -605,16 +608,16 @@
         node.settings(file);
         node.start();
         Files.writeString(file, "[platform]\nposts = 3\n[clients]\nidle = \"3s\"\n[start]\nreload = \"100ms\"\n");
-        node.signalHangUp();
-        assertThat(node.line("platform.posts")).contains("is 3, was 4").doesNotContain("next start");
-        assertThat(node.line("clients.idle")).contains("is 3s, was 2s; waits for the next start");
+        node.sendSighup();
+        assertThat(node.awaitLine("platform.posts")).contains("is 3, was 4").doesNotContain("next start");
+        assertThat(node.awaitLine("clients.idle")).contains("is 3s, was 2s; waits for the next start");
         Files.writeString(file, "[platform]\nposts = 1\nhalf");
-        node.signalHangUp();
-        assertThat(node.line("the settings read before stays")).contains("settings.toml:3:");
+        node.sendSighup();
+        assertThat(node.awaitLine("the settings read before stays")).contains("settings.toml:3:");
         Files.delete(file);
-        node.signalHangUp();
-        assertThat(node.line("cannot be read")).contains("the settings read before stays");
-        assertThat(node.handIn("m1", "safe", 5000, DESTINATION, null, new byte[1]))
+        node.sendSighup();
+        assertThat(node.awaitLine("cannot be read")).contains("the settings read before stays");
+        assertThat(node.submit("m1", "safe", 5000, DESTINATION, null, new byte[1]))
                 .contains(" 202 ");
     }
 
@@ -624,8 +627,8 @@
         Files.writeString(file, "[platform]\npost = 4\nleast = 5\n");
         node.settings(file);
         node.launch();
-        assertThat(node.status()).isEqualTo(2);
-        assertThat(node.log())
+        assertThat(node.exitStatus()).isEqualTo(2);
+        assertThat(node.completeLog())
                 .hasSize(2)
                 .allMatch(line -> line.matches("firstair: .*settings.toml:[23]:1: platform\\..*"));
     }
@@ -634,9 +637,9 @@
     void atSighupAFileThatIsStillBeingWrittenIsReadAgain() throws Exception {
         node.start();
         Await.until("a watch", platform::watched);
-        try (Platform later = new Platform(list(2))) {
+        try (StandInPlatform later = new StandInPlatform(list(2))) {
             node.config("{\"name\":\"n0\",\"listen\":\"127.0");
-            node.hangUp();
+            node.writeAndSendSighup();
             node.config(null);
             node.discovery(later.hostPort());
             node.write(); // without another signal
@@ -652,19 +655,19 @@
             request.answer(200);
             served.incrementAndGet();
         })) {
-            platform.tell(Platform.list(
+            platform.sendChanges(StandInPlatform.list(
                     2,
                     false,
                     "s1 7 " + endpoint.hostPort() + " draining",
                     "s2 7 " + other.hostPort(),
                     "s3 11 " + other.hostPort()));
-            while (node.handIn("x", "safe", 9000, "dest=11", null, new byte[1]).contains(" 404 ")) {
+            while (node.submit("x", "safe", 9000, "dest=11", null, new byte[1]).contains(" 404 ")) {
                 // the change has not arrived yet
             }
             calls.clear();
             int before = served.get();
             for (int i = 0; i < 20; i++) {
-                node.handIn("m" + i, "safe", 9000, DESTINATION, null, new byte[1]);
+                node.submit("m" + i, "safe", 9000, DESTINATION, null, new byte[1]);
             }
             Await.until("all delivered by the other endpoint", () -> served.get() >= before + 20);
             assertThat(calls).isEmpty();
@@ -683,10 +686,10 @@
             })
     void badRequestsAreAnsweredAtOnceAndNotStored(int status, String text) throws Exception {
         node.start();
-        long before = Files.size(node.file());
+        long before = Files.size(node.stateFile());
         String length = text.contains("65537") || text.startsWith("nonsense") ? "" : "Content-Length: 0\r\n";
-        assertThat(node.raw(text.replace("\\n", "\r\n") + length + "\r\n")).startsWith("HTTP/1.1 " + status + " ");
-        assertThat(Files.size(node.file())).isEqualTo(before);
+        assertThat(node.sendText(text.replace("\\n", "\r\n") + length + "\r\n")).startsWith("HTTP/1.1 " + status + " ");
+        assertThat(Files.size(node.stateFile())).isEqualTo(before);
         assertThat(node.get("/-/ready")).startsWith("HTTP/1.1 200");
         assertThat(calls).isEmpty();
     }
@@ -714,7 +717,7 @@
         String answer;
         int i = 0;
         do { // until the watch has received the list
-            answer = node.handIn("m" + i++, "safe", 9000, "dest=99", null, new byte[1]);
+            answer = node.submit("m" + i++, "safe", 9000, "dest=99", null, new byte[1]);
         } while (answer.contains(" 202 "));
         assertThat(answer).startsWith("HTTP/1.1 404");
     }
@@ -722,11 +725,11 @@
     /** Accepted, the message could not be sent; rejected with 503, it can be handed in again later or elsewhere. */
     @Test
     void anUnknownDestinationIsRejectedWith503WhileNoListIsCurrent() throws Exception {
-        platform.down(true);
+        platform.setDown(true);
         node.start();
-        assertThat(node.handIn("m1", "safe", 9000, "dest=99", null, new byte[1]))
+        assertThat(node.submit("m1", "safe", 9000, "dest=99", null, new byte[1]))
                 .startsWith("HTTP/1.1 503");
-        assertThat(node.handIn("m2", "safe", 9000, DESTINATION, null, new byte[1]))
+        assertThat(node.submit("m2", "safe", 9000, DESTINATION, null, new byte[1]))
                 .startsWith("HTTP/1.1 202");
     }
 
@@ -791,19 +794,19 @@
     @Test
     void aRequestHiddenByConflictingLengthsIsNotRead() throws Exception {
         node.start();
-        String hidden = node.handInText("hidden", "safe", 9000, DESTINATION, null, 1) + "x";
+        String hidden = node.submissionHead("hidden", "safe", 9000, DESTINATION, null, 1) + "x";
         for (String lengths : new String[] {
             "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
             "Transfer-Encoding: chunked\r\nContent-Length: " + (5 + hidden.length()) + "\r\n",
             "Transfer-Encoding: \tchunked\r\nContent-Length: 0\r\n"
         }) {
-            String response = node.rawAll("POST /api HTTP/1.1\r\n" + lengths + "\r\n0\r\n\r\n" + hidden);
+            String response = node.sendTextUntilClosed("POST /api HTTP/1.1\r\n" + lengths + "\r\n0\r\n\r\n" + hidden);
             assertThat(response)
                     .startsWith("HTTP/1.1 400")
                     .containsOnlyOnce("HTTP/1.1")
                     .contains("Connection: close");
         }
-        assertThat(node.handIn("m1", "safe", 9000, DESTINATION, null, new byte[1]))
+        assertThat(node.submit("m1", "safe", 9000, DESTINATION, null, new byte[1]))
                 .startsWith("HTTP/1.1 202");
         assertThat(nextCall().header("request-id")).isEqualTo("m1");
     }
@@ -819,7 +822,7 @@
                 socket.connect(node.address());
                 silent.add(socket);
                 if (i % 50 == 49) {
-                    assertThat(node.handIn("m" + i, "safe", 9000, DESTINATION, null, new byte[1]))
+                    assertThat(node.submit("m" + i, "safe", 9000, DESTINATION, null, new byte[1]))
                             .startsWith("HTTP/1.1 202");
                 }
             }
@@ -840,7 +843,7 @@
         node.sockets(192);
         node.start();
         String request = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-        assertThat(node.raw(request)).doesNotContain("Connection: close");
+        assertThat(node.sendText(request)).doesNotContain("Connection: close");
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 50; i++) {
@@ -848,7 +851,7 @@
                 socket.connect(node.address());
                 silent.add(socket);
             }
-            assertThat(node.rawAll(request))
+            assertThat(node.sendTextUntilClosed(request))
                     .startsWith("HTTP/1.1 200")
                     .contains("Connection: close"); // and the relay closes it
             long startNs = System.nanoTime();
@@ -869,7 +872,7 @@
     void aClientThatConnectsJustBeforeTheListenerClosesIsAnswered() throws Exception {
         node.start();
         node.terminate();
-        node.line("draining");
+        node.awaitLine("draining");
         List<Socket> connected = new ArrayList<>();
         try {
             while (true) {
@@ -884,10 +887,10 @@
         Socket last = connected.get(connected.size() - 2); // the very last one may not have been accepted
         last.setSoTimeout(3000);
         last.getOutputStream()
-                .write((node.handInText("m1", "safe", 9000, DESTINATION, null, 1) + "x")
+                .write((node.submissionHead("m1", "safe", 9000, DESTINATION, null, 1) + "x")
                         .getBytes(StandardCharsets.US_ASCII));
         assertThat(last.getInputStream().read()).isEqualTo('H');
-        assertThat(node.ended(3500)).isTrue();
+        assertThat(node.awaitExit(3500)).isTrue();
         for (Socket socket : connected) {
             socket.close();
         }
@@ -896,7 +899,7 @@
     @Test
     void aRequestWithoutALengthIsRejected() throws Exception {
         node.start();
-        assertThat(node.raw("POST /api HTTP/1.1\r\nHost: x\r\n\r\n")).startsWith("HTTP/1.1 411");
+        assertThat(node.sendText("POST /api HTTP/1.1\r\nHost: x\r\n\r\n")).startsWith("HTTP/1.1 411");
     }
 
     @Test
@@ -905,7 +908,8 @@
         String first = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
         String last = "GET /other HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         List<String> statuses = new ArrayList<>();
-        for (String line : node.rawAll(first + node.handInText("p1", "safe", 9000, DESTINATION, null, 3) + "abc" + last)
+        for (String line : node.sendTextUntilClosed(
+                        first + node.submissionHead("p1", "safe", 9000, DESTINATION, null, 3) + "abc" + last)
                 .split("\r\n")) {
             if (line.startsWith("HTTP/1.1 ")) {
                 statuses.add(line.substring(9, 12));
@@ -939,9 +943,9 @@
             throws Exception {
         node.config(config);
         node.launch();
-        assertThat(node.status()).isEqualTo(2);
-        assertThat(node.log()).hasSize(1);
-        assertThat(node.log().get(0)).startsWith("firstair: " + message);
+        assertThat(node.exitStatus()).isEqualTo(2);
+        assertThat(node.completeLog()).hasSize(1);
+        assertThat(node.completeLog().get(0)).startsWith("firstair: " + message);
     }
 
     @Test
--- a/src/test/java/firstair/relay/clients/ClientFilterTest.java
+++ b/src/test/java/firstair/relay/clients/ClientFilterTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.relay.Limits;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -50,8 +50,8 @@
         }
 
         @Override
-        public void handIn(Submission message) {
-            message.answer(202, 0);
+        public void submit(Submission message) {
+            message.respond(202, 0);
         }
     }
 
@@ -75,16 +75,18 @@
     private final CountDownLatch read = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
     private volatile boolean blocking;
-    private Wire wire;
+    private NetworkTransport wire;
     private ClientFilter filter;
     private InetSocketAddress address;
 
     @BeforeEach
     void start() throws IOException {
-        wire = new Wire(limits);
+        wire = new NetworkTransport(limits);
         filter = new ClientFilter(limits, handler);
         address = (InetSocketAddress) wire.listen(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new BlockingFilter(), filter::stays)
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        new BlockingFilter(),
+                        filter::keepsOpen)
                 .getLocalAddress();
     }
 
--- a/src/test/java/firstair/relay/clients/ClosingTest.java
+++ b/src/test/java/firstair/relay/clients/ClosingTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.relay.Limits;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.Await;
 import java.io.IOException;
 import java.io.InputStream;
@@ -73,12 +73,12 @@
         }
 
         @Override
-        public void handIn(Submission message) {
+        public void submit(Submission message) {
             submissions.incrementAndGet();
             if (deferring) {
                 waiting.add(message);
             } else {
-                message.answer(202, 0);
+                message.respond(202, 0);
             }
         }
     }
@@ -91,7 +91,7 @@
     private final CountDownLatch released = new CountDownLatch(1);
     private volatile boolean blocking;
     private Limits limits;
-    private Wire wire;
+    private NetworkTransport wire;
     private ClientFilter filter;
     private Connection<?> listener;
     private InetSocketAddress address;
@@ -99,10 +99,10 @@
     private void serve(int clients) throws IOException {
         // Half of the heap is for clients, each with a message of maximum size.
         limits = Limits.of(0, 0, clients > 0 ? 2L * clients * 80 * 1024 : 64_000_000, 0, 0, 0);
-        wire = new Wire(limits);
+        wire = new NetworkTransport(limits);
         filter = new ClientFilter(limits, handler);
         listener = wire.listen(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new BlockingFilter(), filter::stays);
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new BlockingFilter(), filter::keepsOpen);
         address = (InetSocketAddress) listener.getLocalAddress();
     }
 
@@ -120,7 +120,7 @@
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) throws IOException {
-            read.addAndGet(Wire.size(ctx));
+            read.addAndGet(NetworkTransport.readableBytes(ctx));
             return filter.handleRead(ctx);
         }
 
@@ -152,7 +152,7 @@
 
     /** Blocks the selector thread, so that nothing is read until {@link #released}. */
     private void blockSelector() throws InterruptedException {
-        Wire.between(listener, this::blockUntilReleased);
+        NetworkTransport.runOnSelectorThread(listener, this::blockUntilReleased);
         blocked.await();
     }
 
@@ -263,7 +263,7 @@
             send(client, MESSAGE.substring(0, part));
             end.step.accept(fixture.filter, fixture.handler);
             CountDownLatch done = new CountDownLatch(1);
-            Wire.between(fixture.listener, done::countDown);
+            NetworkTransport.runOnSelectorThread(fixture.listener, done::countDown);
             fixture.released.countDown();
             if (after) {
                 done.await();
@@ -373,8 +373,8 @@
             assertThat(nextStatus(all.get(MAX_CLIENTS))).isEqualTo("503");
             for (int i = 0; i < MAX_CLIENTS; i++) {
                 Submission submission = handler.waiting.take();
-                assertThat(submission.gone()).isFalse();
-                submission.answer(202, 0);
+                assertThat(submission.clientGone()).isFalse();
+                submission.respond(202, 0);
             }
             for (Socket client : all.subList(0, MAX_CLIENTS)) {
                 assertThat(statuses(client)).containsExactly("202");
@@ -444,8 +444,8 @@
             send(client, all);
             Await.until("everything to be read", () -> read.get() >= all.length() || closed.get() > 0);
             Submission submission = handler.waiting.take();
-            assertThat(submission.gone()).isFalse();
-            submission.answer(202, 0);
+            assertThat(submission.clientGone()).isFalse();
+            submission.respond(202, 0);
             assertThat(statuses(client)).containsExactly("202");
         }
     }
@@ -457,7 +457,7 @@
         handler.deferring = true;
         try (Socket client = client()) {
             send(client, MESSAGE + UNKNOWN_PATH_REQUEST.repeat(500));
-            handler.waiting.take().answer(202, 0);
+            handler.waiting.take().respond(202, 0);
             int responses = 0;
             String head;
             do {
@@ -574,11 +574,11 @@
             send(client, MESSAGE);
             disconnect.step.of(client);
             Submission submission = handler.waiting.take();
-            Await.until("gone", submission::gone);
+            Await.until("gone", submission::clientGone);
             send(next, MESSAGE);
             Submission other = handler.waiting.take();
-            submission.answer(503, 0);
-            other.answer(503, 0);
+            submission.respond(503, 0);
+            other.respond(503, 0);
             assertThat(nextStatus(next)).isEqualTo("503");
             if (!client.isClosed()) {
                 assertThat(statuses(client)).containsExactly("503");
@@ -611,10 +611,10 @@
         try (Socket client = client()) {
             send(client, MESSAGE + MESSAGE);
             Submission first = handler.waiting.take();
-            filter.refuse();
-            first.answer(status, 0);
+            filter.refusePending();
+            first.respond(status, 0);
             assertThat(statuses(client)).containsExactly("503");
-            assertThat(first.gone()).isTrue();
+            assertThat(first.clientGone()).isTrue();
             assertThat(handler.submissions).hasValue(1);
         }
     }
@@ -634,7 +634,7 @@
             send(partial, MESSAGE_HEAD);
             handler.waiting.take();
             Await.until("everything to be read", () -> read.get() == 2 * MESSAGE.length() + MESSAGE_HEAD.length());
-            filter.refuse();
+            filter.refusePending();
             wire.close();
             for (Socket client : Arrays.asList(pending, partial, silent)) {
                 assertThat(statuses(client)).containsExactly("503");
--- a/src/test/java/firstair/relay/discovery/EndpointListWatchTest.java
+++ b/src/test/java/firstair/relay/discovery/EndpointListWatchTest.java
@@ -10,16 +10,16 @@
 import firstair.kit.standin.StandIn;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpException;
 import firstair.relay.http.HttpParser;
+import firstair.relay.http.MessageHead;
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.FaultyDialer;
 import firstair.relay.standin.LogLines;
 import firstair.relay.standin.LoopThread;
-import firstair.relay.standin.Platform;
 import firstair.relay.standin.ShortTimes;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -46,13 +46,13 @@
     private final BlockingQueue<Update> updates = new LinkedBlockingQueue<>();
     private Limits limits;
     private Loop loop;
-    private Wire wire;
+    private NetworkTransport wire;
     private StandIn server;
 
     @BeforeEach
     void start() throws IOException {
-        limits = ShortTimes.ofList(400);
-        wire = new Wire(limits);
+        limits = ShortTimes.forDiscovery(400);
+        wire = new NetworkTransport(limits);
         loop = LoopThread.start(() -> {});
     }
 
@@ -91,12 +91,12 @@
 
     @Test
     void withoutAListItFetchesOneAndThenWatchesForChanges() throws Exception {
-        Platform platform = new Platform(Platform.list(41, true, "s1 7 127.0.0.1:1"));
+        StandInPlatform platform = new StandInPlatform(StandInPlatform.list(41, true, "s1 7 127.0.0.1:1"));
         server = platform;
         watch(-1);
         assertThat(next().news()).isEqualTo(ListUpdate.COMPLETE);
         assertThat(next().listed().version()).isEqualTo(41); // the watch's first object
-        platform.tell(Platform.list(42, false, "s1 7 127.0.0.1:1 draining"));
+        platform.sendChanges(StandInPlatform.list(42, false, "s1 7 127.0.0.1:1 draining"));
         Update change = next();
         assertThat(change.news()).isEqualTo(ListUpdate.CHANGES);
         assertThat(change.listed().entries().get(0).listing()).isEqualTo(Listing.LEAVING);
@@ -107,7 +107,7 @@
     void repeatedInvalidListsDoNotFloodTheLog() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         server = new StandIn(r -> {
-            String valid = Platform.list(41 + calls.incrementAndGet(), true, "s1 7 127.0.0.1:1") + "\n";
+            String valid = StandInPlatform.list(41 + calls.incrementAndGet(), true, "s1 7 127.0.0.1:1") + "\n";
             String invalid = "{\"version\":1,\"servers\":\"" + "x".repeat(5000) + "\"}\n";
             r.write((HEAD + Integer.toHexString(valid.length() + invalid.length()) + "\r\n" + valid + invalid + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
@@ -120,11 +120,11 @@
                 loop.post(watch::listen);
             }
             assertThat(next().news()).isEqualTo(ListUpdate.COMPLETE);
-            assertThat(lines.beginning("list lost: not a list of endpoints"))
+            assertThat(lines.startingWith("list lost: not a list of endpoints"))
                     .singleElement()
                     .asString()
                     .hasSizeLessThan(400);
-            assertThat(lines.beginning("list found again")).hasSize(1);
+            assertThat(lines.startingWith("list found again")).hasSize(1);
         }
     }
 
@@ -170,7 +170,7 @@
             AtomicBoolean complete = new AtomicBoolean();
             HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER, all.length, maxBody, new HttpParser.Sink() {
                 @Override
-                public void head(Head head) {
+                public void head(MessageHead head) {
                     exchange.head(head);
                 }
 
@@ -192,9 +192,9 @@
                 throw new IllegalStateException(e);
             }
             if (complete.get()) {
-                exchange.done(true, true);
+                exchange.completed(true, true);
             }
-            return FaultyDialer.deaf();
+            return FaultyDialer.silentLink();
         };
     }
 
@@ -203,7 +203,7 @@
         Gson indenting = new GsonBuilder().setPrettyPrinting().create();
         String[] lists = new String[3];
         for (int i = 0; i < lists.length; i++) {
-            lists[i] = Platform.list(41 + i, i == 0, "s\u00fc\ud83d\ude00 7 127.0.0.1:1")
+            lists[i] = StandInPlatform.list(41 + i, i == 0, "s\u00fc\ud83d\ude00 7 127.0.0.1:1")
                     .replace(",\"full", ",\r\n\"full");
         }
         for (boolean indented : new boolean[] {false, true}) {
@@ -251,10 +251,10 @@
         server = new StandIn(r -> {
             targets.add(r.target());
             if (targets.size() > 1) {
-                write(r, HEAD + chunk(Platform.list(44, true, "s1 7 127.0.0.1:1")));
+                write(r, HEAD + chunk(StandInPlatform.list(44, true, "s1 7 127.0.0.1:1")));
                 return;
             }
-            write(r, HEAD + chunk("\n" + Platform.list(42, false, "s1 7 127.0.0.1:1") + incomplete));
+            write(r, HEAD + chunk("\n" + StandInPlatform.list(42, false, "s1 7 127.0.0.1:1") + incomplete));
             while (emptyLines) { // until the relay closes
                 write(r, chunk("\n"));
                 pause();
@@ -301,7 +301,7 @@
 
     @Test
     void anInvalidListEndsTheWatch() throws Exception {
-        Platform platform = new Platform("nonsense");
+        StandInPlatform platform = new StandInPlatform("nonsense");
         server = platform;
         watch(1);
         assertThat(next().news()).isEqualTo(ListUpdate.FAILED);
@@ -316,8 +316,8 @@
             write(
                     r,
                     HEAD
-                            + chunk(Platform.list(43, true, "s1 7 127.0.0.1:1")
-                                    + Platform.list(40, false, "s1 7 127.0.0.1:1 draining")));
+                            + chunk(StandInPlatform.list(43, true, "s1 7 127.0.0.1:1")
+                                    + StandInPlatform.list(40, false, "s1 7 127.0.0.1:1 draining")));
         });
         watch(41);
         assertThat(next().listed().version()).isEqualTo(43);
--- a/src/test/java/firstair/relay/endpoints/CallRaceTest.java
+++ b/src/test/java/firstair/relay/endpoints/CallRaceTest.java
@@ -2,18 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstair.config.Read;
+import firstair.config.ParsedSettings;
 import firstair.control.Controller.Outcome;
 import firstair.control.Controller.Result;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
 import firstair.relay.TunableSettings;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.Await;
-import firstair.relay.standin.Kernel;
 import firstair.relay.standin.LoopThread;
-import firstair.relay.standin.SelectorGate;
+import firstair.relay.standin.SelectorPause;
 import firstair.relay.standin.ShortTimes;
+import firstair.relay.standin.TcpTable;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -53,21 +53,21 @@
     private final List<AutoCloseable> open = new ArrayList<>();
     private Limits limits;
     private Loop loop;
-    private Wire wire;
-    private SelectorGate selector;
+    private NetworkTransport wire;
+    private SelectorPause selector;
     private volatile Endpoints endpoints;
     private ServerSocket server;
 
     @BeforeEach
     void start() throws IOException {
-        limits = ShortTimes.ofCalls(HALT_MS, 5_000, IDLE_MS, 10)
-                .tuned(Read.texts(
+        limits = ShortTimes.forCalls(HALT_MS, 5_000, IDLE_MS, 10)
+                .withLocalSettings(ParsedSettings.fromTexts(
                                 Map.of("endpoints.answer", "1s"),
                                 Map.of("endpoints.answer", "test"),
                                 TunableSettings.schema())
                         .values()); // the test may get little CPU
-        wire = new Wire(limits);
-        selector = new SelectorGate(wire);
+        wire = new NetworkTransport(limits);
+        selector = new SelectorPause(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
                 endpoints.recheckConnected((id, attempt) -> LONG_MS);
@@ -192,7 +192,7 @@
         first.released.countDown();
         second.reached.await();
         action.run();
-        selector.pass();
+        selector.drain();
         second.released.countDown();
     }
 
@@ -201,7 +201,7 @@
     }
 
     private void assertEndedOnce() throws Exception {
-        selector.pass();
+        selector.drain();
         awaitLoop();
         assertThat(outcomes).as("a second outcome").isEmpty();
     }
@@ -290,7 +290,7 @@
         Socket socket = accept();
         request(socket);
         write(socket, "HTTP/1.1 200 x\\nContent-Length: 14\\n");
-        selector.pass();
+        selector.drain();
         awaitLoop();
         inRoundWithDueTimer(loop.now() + limits.answerMs() + 1, () -> write(socket, "\\nr1 ok\\nr2 ok\\n"));
         assertThat(next().result()).isEqualTo(Result.OK);
@@ -307,7 +307,7 @@
         hold.reached.await();
         loop.post(() -> endpoints.cancel(1, 0));
         write(socket, "HTTP/1.1 200 x\\nContent-Length: 0\\n\\n");
-        selector.pass();
+        selector.drain();
         hold.released.countDown();
         assertThat(next().result()).isEqualTo(Result.CANCELLED);
         assertThat(isClosed(socket)).as("connection closed").isTrue();
@@ -334,17 +334,17 @@
      * rejection would cause the call to be sent twice.
      *
      * <p>The end of a connection and its bytes are known once the selector's thread has read them, and
-     * {@link firstair.relay.net.Link#idle} knows no more than that. Here that thread is blocked until the call has been
-     * written.
+     * {@link firstair.relay.net.HttpConnection#idle} knows no more than that. Here that thread is blocked until the
+     * call has been written.
      */
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "HTTP/1.1 503 x\\nContent-Length: 0\\n\\n", "HTTP/1.1 5"})
     void inputOnAnIdleConnectionIsNoticedBeforeTheNextCallIsWritten(String action) throws Exception {
         Socket first = idleConnection();
-        Kernel.End ourEnd = Kernel.otherEnd(first);
+        TcpTable.End ourEnd = TcpTable.otherEnd(first);
         selector.hold();
         apply(first, action);
-        Await.until("it has reached the system", ourEnd::waits);
+        Await.until("it has reached the system", ourEnd::hasUnread);
         call(item(2, LONG_MS, 1));
         awaitLoop();
         selector.release();
@@ -480,7 +480,7 @@
         request(socket);
         for (byte b : text.replace("\\n", "\r\n").getBytes(StandardCharsets.US_ASCII)) {
             socket.getOutputStream().write(b);
-            selector.pass(); // so that each byte is read by itself
+            selector.drain(); // so that each byte is read by itself
         }
         Outcome outcome = next();
         assertThat(outcome.result()).isEqualTo(result);
--- a/src/test/java/firstair/relay/endpoints/DelayedConnectionTest.java
+++ b/src/test/java/firstair/relay/endpoints/DelayedConnectionTest.java
@@ -7,9 +7,9 @@
 import firstair.kit.standin.StandIn;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.Await;
-import firstair.relay.standin.GateDialer;
+import firstair.relay.standin.DelayedDialer;
 import firstair.relay.standin.LoopThread;
 import firstair.relay.standin.ShortTimes;
 import java.io.IOException;
@@ -47,15 +47,15 @@
     private final Set<Long> unrecorded = ConcurrentHashMap.newKeySet();
     private final Set<Long> recorded = ConcurrentHashMap.newKeySet();
     private Loop loop;
-    private Wire wire;
-    private GateDialer gate;
+    private NetworkTransport wire;
+    private DelayedDialer gate;
     private volatile Endpoints endpoints;
 
     @BeforeEach
     void start() throws IOException {
-        Limits limits = ShortTimes.ofCalls(50, CONNECT_MS, 10_000, 50);
-        wire = new Wire(limits);
-        gate = new GateDialer(wire);
+        Limits limits = ShortTimes.forCalls(50, CONNECT_MS, 10_000, 50);
+        wire = new NetworkTransport(limits);
+        gate = new DelayedDialer(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
                 endpoints.recheckConnected((id, attempt) -> withheld.contains(id) ? 0 : LONG_MS);
@@ -141,28 +141,28 @@
     @Test
     void aCallThatMustNotBeSentAnyMoreIsNotWrittenAndItsConnectionIsKept() throws Exception {
         StandIn standIn = endpoint(r -> r.answer(200));
-        gate.shut();
+        gate.delayReports();
         call(1);
-        gate.awaitOne();
+        gate.awaitConnection();
         assertThat(recorded).as("recorded while connecting").isEmpty();
         withheld.add(1L);
-        gate.pass();
+        gate.reportNext();
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
         call(2);
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(calls.stream().map(r -> r.header("request-id"))).containsExactly("r2");
-        assertThat(standIn.accepted()).as("connections").isEqualTo(1);
+        assertThat(standIn.acceptedCount()).as("connections").isEqualTo(1);
         assertThat(recorded).containsExactly(2L);
     }
 
     @Test
     void onlyMessagesThatMayBeSentAreWritten() throws Exception {
         endpoint(r -> r.answer(200, "r1 ok\r\nr3 ok\r\n".getBytes(StandardCharsets.US_ASCII)));
-        gate.shut();
+        gate.delayReports();
         call(1, 2, 3);
-        gate.awaitOne();
+        gate.awaitConnection();
         withheld.add(2L);
-        gate.pass();
+        gate.reportNext();
         Outcome held = next();
         assertThat(held.id() + " " + held.result()).isEqualTo("2 WITHHELD");
         assertThat(next().result()).isEqualTo(Result.OK);
@@ -175,11 +175,11 @@
     @Test
     void aSingleRemainingMessageIsSentWithoutABundle() throws Exception {
         endpoint(r -> r.answer(200));
-        gate.shut();
+        gate.delayReports();
         call(1, 2);
-        gate.awaitOne();
+        gate.awaitConnection();
         withheld.add(1L);
-        gate.pass();
+        gate.reportNext();
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
         assertThat(next().result()).isEqualTo(Result.OK);
         StandIn.Request r = next(calls);
@@ -192,13 +192,13 @@
     @Test
     void aMessagePastItsDeadlineIsNotSentWithItsBundle() throws Exception {
         endpoint(r -> r.answer(200));
-        gate.shut();
+        gate.delayReports();
         loop.post(() -> endpoints.call("e", List.of(item(1, 100, loop.now() + 100), item(2, LONG_MS, 1e9))));
-        gate.awaitOne();
+        gate.awaitConnection();
         Outcome outcome = next();
         assertThat(outcome.id()).isEqualTo(1);
         assertThat(outcome.result()).as("nothing of it was written").isEqualTo(Result.CONNECT_FAILED);
-        gate.pass();
+        gate.reportNext();
         assertThat(next().result()).isEqualTo(Result.OK);
         StandIn.Request r = next(calls);
         assertThat(r.target() + " " + r.header("request-id")).isEqualTo("/receive r2");
@@ -207,12 +207,12 @@
     @Test
     void aConnectionThatOpensAfterItsCallTimedOutIsClosedUnused() throws Exception {
         StandIn standIn = endpoint(r -> r.answer(200));
-        gate.shut();
+        gate.delayReports();
         call(List.of(item(1, 100, 1e9)));
-        gate.awaitOne();
+        gate.awaitConnection();
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
-        gate.pass();
-        Await.until("connection closed", () -> standIn.accepted() == 1 && standIn.open() == 0);
+        gate.reportNext();
+        Await.until("connection closed", () -> standIn.acceptedCount() == 1 && standIn.openCount() == 0);
         awaitLoop();
         assertThat(calls).isEmpty();
         assertThat(outcomes).isEmpty();
@@ -226,12 +226,12 @@
             Await.until("a while", () -> System.nanoTime() - from > 350_000_000L);
             r.answer(200);
         });
-        gate.shut();
+        gate.delayReports();
         double from = loop.now();
         call(List.of(item(1, 500, 1e9)));
-        gate.awaitOne();
+        gate.awaitConnection();
         Await.until("late", () -> loop.now() - from > 300);
-        gate.pass();
+        gate.reportNext();
         assertThat(next().result()).isEqualTo(Result.OK);
     }
 
@@ -246,37 +246,37 @@
         call(3);
         assertThat(next().result()).isEqualTo(Result.OK);
         assertThat(calls.stream().map(r -> r.header("request-id"))).containsExactly("r1", "r3");
-        assertThat(standIn.accepted()).isEqualTo(1);
+        assertThat(standIn.acceptedCount()).isEqualTo(1);
     }
 
     @Test
     void withheldCallsAreNotWritten() throws Exception {
         StandIn standIn = endpoint(r -> r.answer(200));
-        gate.shut();
+        gate.delayReports();
         call(1);
-        gate.awaitOne();
+        gate.awaitConnection();
         loop.post(endpoints::withhold);
         assertThat(next().result()).isEqualTo(Result.WITHHELD);
-        gate.pass();
+        gate.reportNext();
         awaitLoop();
         assertThat(calls).isEmpty();
         Await.until(
                 "connection kept or closed, and no call in progress",
-                () -> endpoints.callsInProgress() == 0 && standIn.accepted() == 1);
+                () -> endpoints.callsInProgress() == 0 && standIn.acceptedCount() == 1);
     }
 
     /** The old address may belong to another endpoint by now, which must not get the message. */
     @Test
     void nothingIsWrittenIfTheEndpointHasMovedMeanwhile() throws Exception {
         StandIn before = endpoint(r -> r.answer(200));
-        gate.shut();
+        gate.delayReports();
         call(1);
-        gate.awaitOne();
+        gate.awaitConnection();
         endpoint(r -> r.answer(200));
         awaitLoop();
-        gate.pass();
+        gate.reportNext();
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
-        Await.until("its connection closed", () -> before.open() == 0);
+        Await.until("its connection closed", () -> before.openCount() == 0);
         assertThat(calls).isEmpty();
     }
 
@@ -299,11 +299,11 @@
         open.add(server);
         loop.post(() ->
                 endpoints.updateAddresses(Map.of("e", (java.net.InetSocketAddress) server.getLocalSocketAddress())));
-        gate.shut();
+        gate.delayReports();
         call(1);
         Socket standIn = server.accept();
         open.add(standIn);
-        gate.awaitOne();
+        gate.awaitConnection();
         standIn.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         standIn.getOutputStream().flush();
         if (closes) {
@@ -315,7 +315,7 @@
     void aRejectionBeforeTheRequestIsProcessed() throws Exception {
         serverSendsFirst("HTTP/1.1 503 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true);
         assertThat(next().result()).isEqualTo(Result.CROWDED);
-        gate.pass();
+        gate.reportNext();
         awaitLoop();
         assertThat(outcomes).isEmpty();
     }
@@ -335,7 +335,7 @@
         Outcome outcome = next(); // at the latest when the response timeout expires
         assertThat(outcome.result()).isEqualTo(Result.CONNECT_FAILED);
         assertThat(outcome.messageEnded()).isFalse();
-        gate.pass();
+        gate.reportNext();
         awaitLoop();
         assertThat(outcomes).isEmpty();
     }
@@ -344,7 +344,7 @@
     void aCallWhoseConnectionEndsBeforeTheRequestNeverRan() throws Exception {
         serverSendsFirst("", true);
         assertThat(next().result()).isEqualTo(Result.CONNECT_FAILED);
-        gate.pass();
+        gate.reportNext();
         awaitLoop();
         assertThat(outcomes).isEmpty();
     }
@@ -430,7 +430,7 @@
         });
         open.add(standIn);
         StaleConnectionDialer staleDialer = new StaleConnectionDialer(wire);
-        Limits limits = ShortTimes.ofCalls(50, CONNECT_MS, 10_000, 50);
+        Limits limits = ShortTimes.forCalls(50, CONNECT_MS, 10_000, 50);
         Loop[] madeLoop = new Loop[1];
         Endpoints[] started = new Endpoints[1];
         madeLoop[0] = LoopThread.start(() -> {
--- a/src/test/java/firstair/relay/endpoints/EndpointsTest.java
+++ b/src/test/java/firstair/relay/endpoints/EndpointsTest.java
@@ -8,7 +8,7 @@
 import firstair.kit.standin.StandIn;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.Await;
 import firstair.relay.standin.LoopThread;
 import firstair.relay.standin.ShortTimes;
@@ -41,13 +41,13 @@
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final List<AutoCloseable> open = new ArrayList<>();
     private Loop loop;
-    private Wire wire;
+    private NetworkTransport wire;
     private volatile Endpoints endpoints;
 
     @BeforeEach
     void start() throws IOException {
-        Limits limits = ShortTimes.ofCalls(HALT_MS, 500, IDLE_MS, 2);
-        wire = new Wire(limits);
+        Limits limits = ShortTimes.forCalls(HALT_MS, 500, IDLE_MS, 2);
+        wire = new NetworkTransport(limits);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
                 endpoints.recheckConnected((id, attempt) -> LONG_MS);
@@ -132,7 +132,7 @@
             double answered = loop.now();
             Await.until("the rest time is over", () -> loop.now() - answered > REST_MS);
         }
-        assertThat(standIn.accepted()).isEqualTo(1);
+        assertThat(standIn.acceptedCount()).isEqualTo(1);
     }
 
     /** Another connection would take a handshake, and the endpoint may have reached its connection limit. */
@@ -143,10 +143,10 @@
         call(item(2, LONG_MS, 1e9));
         Outcome outcome = next();
         assertThat(outcome.result()).isEqualTo(Result.OK);
-        assertThat(standIn.accepted()).isEqualTo(1);
+        assertThat(standIn.acceptedCount()).isEqualTo(1);
         assertThat(resultOf(1)).as("timed out while the connection rests").isEqualTo(Result.CONNECT_FAILED);
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(standIn.accepted())
+        assertThat(standIn.acceptedCount())
                 .as("the reserved connection has been closed")
                 .isEqualTo(2);
     }
@@ -173,7 +173,7 @@
         StandIn standIn = endpoint(r -> r.answer(200, "Connection: close"));
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(standIn.accepted()).isEqualTo(2);
+        assertThat(standIn.acceptedCount()).isEqualTo(2);
     }
 
     /** A request on a connection that the endpoint has just closed would be lost, with an unknown outcome. */
@@ -196,7 +196,7 @@
         }
         assertThat(closedByRelay.poll()).isTrue();
         assertThat(loop.now() - idleSince[0]).isGreaterThanOrEqualTo(IDLE_MS - 50);
-        assertThat(standIn.accepted()).isEqualTo(1);
+        assertThat(standIn.acceptedCount()).isEqualTo(1);
     }
 
     /**
@@ -211,7 +211,7 @@
             TimeUnit.MILLISECONDS.sleep(10);
         }
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
-        assertThat(standIn.accepted()).isEqualTo(2);
+        assertThat(standIn.acceptedCount()).isEqualTo(2);
     }
 
     @Test
@@ -290,14 +290,14 @@
         first.take().answer(200);
         next();
         next();
-        assertThat(standIn.open()).isEqualTo(2); // both kept, and the limit is two
+        assertThat(standIn.openCount()).isEqualTo(2); // both kept, and the limit is two
         LinkedBlockingQueue<StandIn.Request> second = new LinkedBlockingQueue<>();
         try (StandIn other = new StandIn(second::add)) {
             loop.post(() -> endpoints.updateAddresses(Map.of("other", other.address())));
             loop.post(() -> endpoints.call("other", List.of(item(3, LONG_MS, 1e9))));
             second.take().answer(200);
             assertThat(next().result()).isEqualTo(Result.OK);
-            Await.until("one closed", () -> standIn.open() <= 1);
+            Await.until("one closed", () -> standIn.openCount() <= 1);
         }
     }
 
@@ -434,7 +434,7 @@
         assertThat(next().result()).isEqualTo(Result.OK);
         call(item(2, 300, 1e9));
         assertThat(next().result()).isEqualTo(Result.TIMEOUT); // there was no response to it
-        assertThat(standIn.accepted()).isEqualTo(2);
+        assertThat(standIn.acceptedCount()).isEqualTo(2);
     }
 
     @Test
@@ -446,7 +446,7 @@
         for (int i = 0; i < 2; i++) {
             assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         }
-        assertThat(standIn.accepted()).isEqualTo(2);
+        assertThat(standIn.acceptedCount()).isEqualTo(2);
     }
 
     @Test
@@ -463,9 +463,9 @@
         StandIn standIn = endpoint(r -> r.answer(200));
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.OK);
         loop.post(() -> endpoints.removeEndpoints(List.of("e")));
-        Await.until("its connection closed", () -> standIn.open() == 0);
+        Await.until("its connection closed", () -> standIn.openCount() == 0);
         assertThat(resultOf(LONG_MS)).isEqualTo(Result.CONNECT_FAILED);
-        assertThat(standIn.accepted()).isEqualTo(1);
+        assertThat(standIn.acceptedCount()).isEqualTo(1);
     }
 
     @Test
--- a/src/test/java/firstair/relay/endpoints/MultiMessageCallTest.java
+++ b/src/test/java/firstair/relay/endpoints/MultiMessageCallTest.java
@@ -7,9 +7,9 @@
 import firstair.kit.standin.StandIn;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.Await;
-import firstair.relay.standin.GateDialer;
+import firstair.relay.standin.DelayedDialer;
 import firstair.relay.standin.LoopThread;
 import firstair.relay.standin.ShortTimes;
 import java.io.IOException;
@@ -42,15 +42,15 @@
     private final List<AutoCloseable> open = new ArrayList<>();
     private final Map<Long, Double> timeoutsMs = new ConcurrentHashMap<>();
     private Loop loop;
-    private Wire wire;
-    private GateDialer gate;
+    private NetworkTransport wire;
+    private DelayedDialer gate;
     private volatile Endpoints endpoints;
 
     @BeforeEach
     void start() throws IOException {
-        Limits limits = ShortTimes.ofCalls(HALT_MS, 5_000, 10_000, 50);
-        wire = new Wire(limits);
-        gate = new GateDialer(wire);
+        Limits limits = ShortTimes.forCalls(HALT_MS, 5_000, 10_000, 50);
+        wire = new NetworkTransport(limits);
+        gate = new DelayedDialer(wire);
         loop = LoopThread.start(() -> {
             if (endpoints != null) {
                 endpoints.recheckConnected((id, attempt) -> timeoutsMs.getOrDefault(id, LONG_MS));
@@ -215,14 +215,14 @@
     @Test
     void aLateConnectionUsesTheTimeoutDecidedWhenItOpens() throws Exception {
         endpoint(r -> r.answer(200, ok(2)));
-        gate.shut();
+        gate.delayReports();
         call(
                 new TestMessage(1, LONG_MS, LONG_MS),
                 new TestMessage(2, LONG_MS, LONG_MS),
                 new TestMessage(3, LONG_MS, LONG_MS));
-        gate.awaitOne();
+        gate.awaitConnection();
         timeoutsMs.putAll(Map.of(1L, 900.0, 2L, 850.0, 3L, 0.0));
-        gate.pass();
+        gate.reportNext();
         Outcome withheld = next();
         assertThat(withheld.id() + " " + withheld.result()).isEqualTo("3 WITHHELD");
         assertThat(next().result()).isEqualTo(Result.OK);
--- a/src/test/java/firstair/relay/endpoints/ResponsesTest.java
+++ b/src/test/java/firstair/relay/endpoints/ResponsesTest.java
@@ -4,10 +4,10 @@
 
 import firstair.control.Controller.Load;
 import firstair.control.Controller.Result;
-import firstair.relay.http.Collector;
-import firstair.relay.http.Head;
 import firstair.relay.http.HttpException;
 import firstair.relay.http.HttpParser;
+import firstair.relay.http.MessageCollector;
+import firstair.relay.http.MessageHead;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ResponsesTest {
-    private static Head head(int status, String... headers) throws HttpException {
-        Head[] found = new Head[1];
-        HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER, 16_384, 0, new Collector() {
+    private static MessageHead head(int status, String... headers) throws HttpException {
+        MessageHead[] found = new MessageHead[1];
+        HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER, 16_384, 0, new MessageCollector() {
             @Override
-            protected void whole(Head head, byte[] body) {
+            protected void complete(MessageHead head, byte[] body) {
                 found[0] = head;
             }
         });
@@ -146,7 +146,7 @@
                     + (suffix == null ? "" : suffix);
             String closed = prefix + "[".repeat(7_000) + "1" + "]".repeat(7_000) + (suffix == null ? "" : suffix);
             for (String report : new String[] {text, closed}) {
-                Head head = head(200, "Server-Load: " + report);
+                MessageHead head = head(200, "Server-Load: " + report);
                 AtomicReference<Load> load = new AtomicReference<>();
                 AtomicReference<Throwable> fault = new AtomicReference<>();
                 Thread loop = new Thread(null, () -> load.set(Responses.load(head)), "small", 256 * 1024);
--- a/src/test/java/firstair/relay/endpoints/StaleConnectionDialer.java
+++ b/src/test/java/firstair/relay/endpoints/StaleConnectionDialer.java
@@ -1,7 +1,7 @@
 package firstair.relay.endpoints;
 
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
+import firstair.relay.net.HttpConnection;
 import java.net.InetSocketAddress;
 
 /** A dialer whose existing connections can turn stale: they seem to be alive until something is sent on them. */
@@ -14,14 +14,15 @@
     }
 
     @Override
-    public Link open(InetSocketAddress to, long maxBody, byte[] request, Link.Exchange first, Runnable closedIdle) {
+    public HttpConnection open(
+            InetSocketAddress to, long maxBody, byte[] request, HttpConnection.Exchange first, Runnable closedIdle) {
         boolean openedWhileStale = stale;
-        Link link = real.open(to, maxBody, request, first, closedIdle);
-        return new Link() {
+        HttpConnection link = real.open(to, maxBody, request, first, closedIdle);
+        return new HttpConnection() {
             @Override
             public boolean send(byte[] nextRequest, Exchange next) {
                 if (stale && !openedWhileStale) {
-                    link.leave();
+                    link.abandon();
                     return false;
                 }
                 return link.send(nextRequest, next);
@@ -33,8 +34,8 @@
             }
 
             @Override
-            public boolean keep() {
-                return link.keep();
+            public boolean keepIdle() {
+                return link.keepIdle();
             }
 
             @Override
@@ -43,8 +44,8 @@
             }
 
             @Override
-            public boolean leave() {
-                return link.leave();
+            public boolean abandon() {
+                return link.abandon();
             }
 
             @Override
--- a/src/test/java/firstair/relay/faults/BoundaryValuesTest.java
+++ b/src/test/java/firstair/relay/faults/BoundaryValuesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.kit.standin.StandIn;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.InputStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -25,7 +25,7 @@
     @CsvSource({"0, 202", "65536, 202", "65537, 413"})
     void aBodyMayHaveSixtyFourKibibytes(int bytes, int status) throws Exception {
         fixture.node.start();
-        String answer = fixture.node.handIn("m1", "safe", 5000, "dest=7", null, new byte[bytes]);
+        String answer = fixture.node.submit("m1", "safe", 5000, "dest=7", null, new byte[bytes]);
         assertThat(answer).startsWith("HTTP/1.1 " + status);
         if (status == 202) {
             fixture.awaitCalls("m1", 1, fixture.now() + 2000);
@@ -53,8 +53,9 @@
                     }
                     r.answer(200, outcomes.toString().getBytes(StandardCharsets.US_ASCII));
                 });
-                Platform platform = new Platform(Platform.list(1, true, "b1 8 " + sharing.hostPort() + " up many"))) {
-            fixture.node.known(Platform.list(1, true, "b1 8 " + sharing.hostPort() + " up many"));
+                StandInPlatform platform =
+                        new StandInPlatform(StandInPlatform.list(1, true, "b1 8 " + sharing.hostPort() + " up many"))) {
+            fixture.node.initialList(StandInPlatform.list(1, true, "b1 8 " + sharing.hostPort() + " up many"));
             fixture.node.discovery(platform.hostPort());
             fixture.node.start();
             ExecutorService clients = Executors.newFixedThreadPool(8);
@@ -62,7 +63,7 @@
             for (int i = 0; i < 8; i++) {
                 int n = i;
                 answers.add(clients.submit(
-                        () -> fixture.node.handIn("x" + n, "safe", 8000, "dest=8", null, new byte[30_000])));
+                        () -> fixture.node.submit("x" + n, "safe", 8000, "dest=8", null, new byte[30_000])));
             }
             for (Future<String> answer : answers) {
                 assertThat(answer.get()).startsWith("HTTP/1.1 202");
@@ -84,7 +85,7 @@
         fixture.node.start();
         double submittedAt = fixture.submitAccepted("m1", "unsafe", 3000);
         assertThat(fixture.submit("m1", "unsafe", 3000)).isEqualTo(202);
-        fixture.node.handIn("m1", "safe", 9000, "dest=7", null, new byte[9]);
+        fixture.node.submit("m1", "safe", 9000, "dest=7", null, new byte[9]);
         fixture.awaitNotice("m1", submittedAt + 3350);
         fixture.sleepUntil(submittedAt + 4000);
         assertThat(fixture.notices).hasSize(1);
@@ -94,7 +95,7 @@
     @Test
     void aMessageThatTheEndpointReportsAsExhaustedEnds() throws Exception {
         fixture.behaviour = r -> r.answer(504);
-        fixture.node.adjust(c -> c.replace("\"maxAttempts\":12", "\"maxAttempts\":1"));
+        fixture.node.editConfig(c -> c.replace("\"maxAttempts\":12", "\"maxAttempts\":1"));
         fixture.node.start();
         double submittedAt = fixture.submitAccepted("m1", "unsafe", 9000);
         assertThat(fixture.awaitNotice("m1", submittedAt + 1000).outcome()).isEqualTo("handed_back");
@@ -147,7 +148,7 @@
             callsInProgress.decrementAndGet();
             r.answer(r.header("request-id").hashCode() % 3 == 0 ? 500 : 200);
         };
-        fixture.node.adjust(c -> c.replace("\"maxAttempts\":12", "\"maxAttempts\":1")
+        fixture.node.editConfig(c -> c.replace("\"maxAttempts\":12", "\"maxAttempts\":1")
                 .replace("\"maxCalls\":8", "\"maxCalls\":1")
                 .replace("\"repeatWindow\":30000.0", "\"repeatWindow\":1000.0")
                 .replace("\"deadline\":30000.0", "\"deadline\":900.0"));
@@ -177,7 +178,7 @@
     /** All connections are stale after a long idle time; messages that must not be repeated are delivered anyway. */
     @Test
     void noMessageIsLostAfterALongIdleTime() throws Exception {
-        fixture.node.adjust(c -> c.replace("\"connIdle\":10000.0", "\"connIdle\":1000.0"));
+        fixture.node.editConfig(c -> c.replace("\"connIdle\":10000.0", "\"connIdle\":1000.0"));
         fixture.node.start();
         for (int i = 0; i < 3; i++) {
             double submittedAt = fixture.submitAccepted("m" + i, "unsafe", 5000);
@@ -185,7 +186,7 @@
             fixture.sleepUntil(submittedAt + 1900 + 50 * i);
         }
         assertThat(fixture.notices).isEmpty();
-        assertThat(fixture.endpoint.accepted()).isEqualTo(3);
+        assertThat(fixture.endpoint.acceptedCount()).isEqualTo(3);
     }
 
     /** A client that shuts down its output after its request gets an answer like any other; it may be 503. */
@@ -198,7 +199,7 @@
                     fixture.node.address().getAddress(), fixture.node.address().getPort())) {
                 socket.setSoTimeout(1000);
                 socket.getOutputStream()
-                        .write((fixture.node.handInText(id, "safe", 5000, "dest=7", null, 3) + "abc")
+                        .write((fixture.node.submissionHead(id, "safe", 5000, "dest=7", null, 3) + "abc")
                                 .getBytes(StandardCharsets.US_ASCII));
                 socket.shutdownOutput();
                 InputStream in = socket.getInputStream();
--- a/src/test/java/firstair/relay/faults/ClockStepTest.java
+++ b/src/test/java/firstair/relay/faults/ClockStepTest.java
@@ -12,18 +12,18 @@
     private static final double DOWN_MS = 600; // from the kill to the restart
     private static final double NOTICE_MS = 350; // a notice is in time this long after its message's deadline
 
-    private Preload preload;
+    private FaultInjector preload;
 
     @BeforeEach
     void start() throws Exception {
-        preload = new Preload(fixture.node, folder);
+        preload = new FaultInjector(fixture.node, folder);
         fixture.node.start();
     }
 
     private void restartWithStep(long seconds) throws Exception {
         fixture.node.kill();
         double killedAt = fixture.now();
-        preload.step(seconds);
+        preload.stepWallClock(seconds);
         fixture.sleepUntil(killedAt + DOWN_MS);
         fixture.node.start();
     }
@@ -53,7 +53,7 @@
         fixture.behaviour = r -> r.answer(503);
         double submittedAt = fixture.submitAccepted("m1", "keyed", 3000);
         fixture.sleepUntil(submittedAt + 500);
-        preload.step(seconds);
+        preload.stepWallClock(seconds);
         assertHandedBackInTime("m1", submittedAt, 3000);
     }
 
@@ -73,7 +73,7 @@
     void aWindowIncludesTheTimeOfARestart(long seconds) throws Exception {
         double window = 4000;
         fixture.node.kill();
-        fixture.node.adjust(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
+        fixture.node.editConfig(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
         fixture.node.start();
         fixture.behaviour = r -> {};
         double submittedAt = fixture.submitAccepted("m1", "keyed", 20_000);
--- a/src/test/java/firstair/relay/faults/FailingStateFolderTest.java
+++ b/src/test/java/firstair/relay/faults/FailingStateFolderTest.java
@@ -1,6 +1,6 @@
 package firstair.relay.faults;
 
-import static firstair.relay.faults.Preload.rule;
+import static firstair.relay.faults.FaultInjector.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.file.Files;
@@ -16,11 +16,11 @@
 class FailingStateFolderTest extends FaultTest {
     private static final int STATUS_FAILED = 1;
 
-    private Preload preload;
+    private FaultInjector preload;
 
     @BeforeEach
     void start() throws Exception {
-        preload = new Preload(fixture.node, folder);
+        preload = new FaultInjector(fixture.node, folder);
     }
 
     /** Accepted messages are still pending, whichever system call of the start fails, once or a few times. */
@@ -49,11 +49,11 @@
         }
         fixture.behaviour = r -> r.answer(200);
         fixture.calls.clear();
-        preload.rules(rule(call, 0, times, Preload.EIO, part));
+        preload.rules(rule(call, 0, times, FaultInjector.EIO, part));
         fixture.node.start();
         fixture.awaitCalls("m1", 1, submittedAt + 10_000);
         assertThat(fixture.notices).isEmpty();
-        assertThat(fixture.node.lines()).noneMatch(line -> line.contains("Exception"));
+        assertThat(fixture.node.logLines()).noneMatch(line -> line.contains("Exception"));
     }
 
     /**
@@ -73,8 +73,8 @@
         Files.createDirectories(obstacle.getParent());
         Files.writeString(obstacle, "not ours");
         fixture.node.launch();
-        assertThat(fixture.node.status()).isEqualTo(STATUS_FAILED);
-        List<String> log = fixture.node.log();
+        assertThat(fixture.node.exitStatus()).isEqualTo(STATUS_FAILED);
+        List<String> log = fixture.node.completeLog();
         assertThat(log).hasSize(1);
         String unusable = path.replace("/x", "");
         assertThat(log.get(0)).contains(folder.resolve(unusable).toString()).doesNotContain("Exception");
@@ -87,8 +87,8 @@
         fixture.node.start();
         deliver("first");
         preload.rules(
-                rule("file_write", 0, 1, Preload.SHORT, "messages"),
-                rule("file_write", 1, Preload.ALWAYS, Preload.ENOSPC, "messages"));
+                rule("file_write", 0, 1, FaultInjector.SHORT, "messages"),
+                rule("file_write", 1, FaultInjector.ALWAYS, FaultInjector.ENOSPC, "messages"));
         assertThat(fixture.submit("m1", "unsafe", 20_000)).isEqualTo(503);
         fixture.node.kill();
         preload.rules();
@@ -104,9 +104,9 @@
         fixture.node.start();
         deliver("first");
         preload.rules(
-                rule("file_write", 0, 1, Preload.SHORT, "messages"),
-                rule("file_write", 1, Preload.ALWAYS, Preload.EIO, "messages"),
-                rule("truncate", 0, Preload.ALWAYS, Preload.EIO, "messages"));
+                rule("file_write", 0, 1, FaultInjector.SHORT, "messages"),
+                rule("file_write", 1, FaultInjector.ALWAYS, FaultInjector.EIO, "messages"),
+                rule("truncate", 0, FaultInjector.ALWAYS, FaultInjector.EIO, "messages"));
         assertThat(fixture.submit("m1", "unsafe", 20_000)).isEqualTo(500);
     }
 
@@ -115,8 +115,8 @@
     void aMessageStoredInANewFileIsNotRejectedBecauseOfTheOldFile() throws Exception {
         fixture.node.start();
         preload.rules(
-                rule("file_write", 0, 1, Preload.ENOSPC, "messages"),
-                rule("unlink", 0, Preload.ALWAYS, Preload.EIO, "messages-"));
+                rule("file_write", 0, 1, FaultInjector.ENOSPC, "messages"),
+                rule("unlink", 0, FaultInjector.ALWAYS, FaultInjector.EIO, "messages-"));
         int status = fixture.submit("m1", "safe", 20_000);
         double answeredAt = fixture.now();
         fixture.sleepUntil(answeredAt + 300);
@@ -136,10 +136,10 @@
         fixture.node.diskMb(1);
         fixture.node.start();
         preload.rules(
-                rule("unlink", 0, Preload.ALWAYS, Preload.EIO, "messages-"),
-                rule("truncate", 0, Preload.ALWAYS, Preload.EIO, "messages-"));
+                rule("unlink", 0, FaultInjector.ALWAYS, FaultInjector.EIO, "messages-"),
+                rule("truncate", 0, FaultInjector.ALWAYS, FaultInjector.EIO, "messages-"));
         for (int i = 0; i < 60; i++) {
-            fixture.node.handIn("b" + i, "safe", 5000, "dest=7", null, new byte[50_000]);
+            fixture.node.submit("b" + i, "safe", 5000, "dest=7", null, new byte[50_000]);
             long bytes = 0;
             try (var files = Files.list(fixture.node.state())) {
                 for (Path file : files.toList()) {
--- a/src/test/java/firstair/relay/faults/Preload.java
+++ b/src/test/java/firstair/relay/faults/FaultInjector.java
@@ -13,7 +13,7 @@
  * Injects failing system calls and steps of the wall clock into a relay's process, with a preloaded library. Its source
  * is in {@code src/test/native}; the first test that uses it builds it with gcc.
  */
-public final class Preload {
+public final class FaultInjector {
     // Error numbers of Linux.
     static final int EINTR = 4;
     static final int EIO = 5;
@@ -41,7 +41,7 @@
      *
      * @param folder for the files that control the library
      */
-    public Preload(Node node, Path folder) throws Exception {
+    public FaultInjector(Node node, Path folder) throws Exception {
         rulesFile = folder.resolve("rules");
         stepFile = folder.resolve("step");
         node.environment("LD_PRELOAD", library().toString());
@@ -93,7 +93,7 @@
     }
 
     /** Sets how many seconds the wall clock is ahead of the true time; negative if it is behind. */
-    public void step(long seconds) throws IOException {
+    public void stepWallClock(long seconds) throws IOException {
         replace(stepFile, seconds + "\n");
     }
 
--- a/src/test/java/firstair/relay/faults/FaultTest.java
+++ b/src/test/java/firstair/relay/faults/FaultTest.java
@@ -24,7 +24,7 @@
         fixture.close();
     }
 
-    /** Matches the endpoint's address in a rule of {@link Preload}. */
+    /** Matches the endpoint's address in a rule of {@link FaultInjector}. */
     String endpointPort() {
         return ":" + fixture.endpoint.address().getPort();
     }
--- a/src/test/java/firstair/relay/faults/HangupAtStartTest.java
+++ b/src/test/java/firstair/relay/faults/HangupAtStartTest.java
@@ -17,9 +17,9 @@
         double launchedAt = fixture.now();
         fixture.node.launch();
         fixture.sleepUntil(launchedAt + afterMs);
-        fixture.node.signalHangUp();
-        fixture.node.line("ready at");
-        assertThat(fixture.node.ended(50)).isFalse();
+        fixture.node.sendSighup();
+        fixture.node.awaitLine("ready at");
+        assertThat(fixture.node.awaitExit(50)).isFalse();
     }
 
     /** The command in deploy/balancer.toml covers the time before the script runs as well. */
--- a/src/test/java/firstair/relay/faults/ListenerCloseTest.java
+++ b/src/test/java/firstair/relay/faults/ListenerCloseTest.java
@@ -1,6 +1,6 @@
 package firstair.relay.faults;
 
-import static firstair.relay.faults.Preload.rule;
+import static firstair.relay.faults.FaultInjector.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -35,7 +35,7 @@
 
     @RepeatedTest(3)
     void noConnectionIsResetWhenTheListenerClosesSlowly() throws Exception {
-        Preload preload = new Preload(fixture.node, folder);
+        FaultInjector preload = new FaultInjector(fixture.node, folder);
         fixture.node.start();
         preload.rules(rule("listener_close", 0, 1, -GAP_MS, ""));
         double terminatedAt = fixture.now();
--- a/src/test/java/firstair/relay/faults/NoticeAfterStartTest.java
+++ b/src/test/java/firstair/relay/faults/NoticeAfterStartTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void aNoticeIsInTimeAfterTheFirstStartThoughTwoPostsAreLost() throws Exception {
-        fixture.platform.silentPosts(2);
+        fixture.platform.ignorePosts(2);
         fixture.behaviour = r -> {}; // so that the message ends at its deadline
         fixture.node.start();
         double deadline = fixture.submitAccepted("m", "unsafe", TIMEOUT_MS) + TIMEOUT_MS;
--- a/src/test/java/firstair/relay/faults/RelayFixture.java
+++ b/src/test/java/firstair/relay/faults/RelayFixture.java
@@ -6,7 +6,7 @@
 import com.google.gson.JsonParser;
 import firstair.kit.run.Node;
 import firstair.kit.standin.StandIn;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,7 +26,7 @@
     final List<Call> calls = new CopyOnWriteArrayList<>();
     final List<Notice> notices = new CopyOnWriteArrayList<>();
     final StandIn endpoint;
-    final Platform platform;
+    final StandInPlatform platform;
     final Node node;
     volatile StandIn.Handler behaviour = r -> r.answer(200);
 
@@ -40,7 +40,7 @@
             }
             behaviour.handle(request);
         });
-        platform = new Platform(endpointList(1));
+        platform = new StandInPlatform(endpointList(1));
         node = new Node(folder, platform.hostPort(), endpointList(1));
         noticeReader = new Thread(this::readNotices, "notices");
         noticeReader.setDaemon(true);
@@ -71,7 +71,7 @@
 
     /** A complete list that holds the one endpoint, for destination 7. */
     String endpointList(long version) {
-        return Platform.list(version, true, "s1 7 " + endpoint.hostPort());
+        return StandInPlatform.list(version, true, "s1 7 " + endpoint.hostPort());
     }
 
     /** Milliseconds since the fixture was created. */
@@ -89,7 +89,7 @@
 
     /** Submits a message for the endpoint; returns the status of the answer. */
     int submit(String id, String type, long timeoutMs) throws Exception {
-        String answer = node.handIn(
+        String answer = node.submit(
                 id, type, timeoutMs, "dest=7", type.equals("keyed") ? "key-" + id : null, new byte[] {1, 2, 3});
         return Integer.parseInt(answer.substring(9, 12));
     }
@@ -113,10 +113,10 @@
         };
         double submittedAt = submitAccepted(id, type, timeoutMs);
         awaitCalls(id, 1, now() + 2000);
-        long bytes = Files.size(node.file());
+        long bytes = Files.size(node.stateFile());
         behaviour = answer;
         sizeRead.countDown();
-        while (Files.size(node.file()) == bytes) {
+        while (Files.size(node.stateFile()) == bytes) {
             assertThat(now()).as("end of a call of %s", id).isLessThan(submittedAt + 5000);
             TimeUnit.MILLISECONDS.sleep(5);
         }
@@ -145,7 +145,7 @@
                 }
             }
             assertThat(now())
-                    .as("no notice of %s, calls %s, log %s", id, callsOf(id), node.lines())
+                    .as("no notice of %s, calls %s, log %s", id, callsOf(id), node.logLines())
                     .isLessThan(byMs);
             TimeUnit.MILLISECONDS.sleep(5);
         }
@@ -155,7 +155,7 @@
     void awaitCalls(String id, int times, double byMs) throws InterruptedException {
         while (callsOf(id).size() < times) {
             assertThat(now())
-                    .as("calls of %s: %s, log %s", id, callsOf(id), node.lines())
+                    .as("calls of %s: %s, log %s", id, callsOf(id), node.logLines())
                     .isLessThan(byMs);
             TimeUnit.MILLISECONDS.sleep(5);
         }
--- a/src/test/java/firstair/relay/faults/SignalTest.java
+++ b/src/test/java/firstair/relay/faults/SignalTest.java
@@ -1,9 +1,9 @@
 package firstair.relay.faults;
 
-import static firstair.relay.faults.Preload.rule;
+import static firstair.relay.faults.FaultInjector.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
@@ -21,16 +21,16 @@
 class SignalTest extends FaultTest {
     private static final long KILL_MS = 3700; // earliest SIGKILL after SIGTERM
 
-    private Preload preload;
+    private FaultInjector preload;
 
     @BeforeEach
     void start() throws Exception {
-        preload = new Preload(fixture.node, folder);
+        preload = new FaultInjector(fixture.node, folder);
     }
 
     private void assertOrderlyEnd() throws Exception {
-        assertThat(fixture.node.ended(KILL_MS)).as("ended before the kill").isTrue();
-        assertThat(fixture.node.log()).noneMatch(line -> line.contains("Exception") || line.contains("SEVERE"));
+        assertThat(fixture.node.awaitExit(KILL_MS)).as("ended before the kill").isTrue();
+        assertThat(fixture.node.completeLog()).noneMatch(line -> line.contains("Exception") || line.contains("SEVERE"));
     }
 
     /** Two new configurations within 50 ms: the relay uses the discovery of the last, with signals and without. */
@@ -38,18 +38,18 @@
     @ValueSource(booleans = {true, false})
     void twoHangUpsWithinFiftyMillisecondsFollowTheLast(boolean signals) throws Exception {
         if (signals) {
-            fixture.node.takeSignals();
+            fixture.node.startWithoutScript();
         }
         fixture.node.start();
         fixture.behaviour = r -> {};
-        try (Platform second = new Platform(fixture.endpointList(2));
-                Platform third = new Platform(fixture.endpointList(3))) {
+        try (StandInPlatform second = new StandInPlatform(fixture.endpointList(2));
+                StandInPlatform third = new StandInPlatform(fixture.endpointList(3))) {
             double submittedAt = fixture.submitAccepted("m1", "unsafe", 1500);
             fixture.node.discovery(second.hostPort());
-            fixture.node.hangUp();
+            fixture.node.writeAndSendSighup();
             TimeUnit.MILLISECONDS.sleep(20);
             fixture.node.discovery(third.hostPort());
-            fixture.node.hangUp();
+            fixture.node.writeAndSendSighup();
             String notice = third.notices.poll(3, TimeUnit.SECONDS);
             assertThat(notice).contains("m1").contains("given_up");
             assertThat(fixture.now() - submittedAt).isLessThan(1500 + 350);
@@ -64,10 +64,10 @@
     @Test
     void aDueNoticeReachesTheNewPlatformAtOnceWhenTheOldOneRefuses() throws Exception {
         fixture.node.start();
-        Platform current = fixture.platform;
+        StandInPlatform current = fixture.platform;
         List<Double> tookMs = new ArrayList<>();
         for (int move = 0; move < 9; move++) {
-            Platform next = new Platform(fixture.endpointList(2 + move));
+            StandInPlatform next = new StandInPlatform(fixture.endpointList(2 + move));
             fixture.behaviour = r -> r.answer(200); // so that the endpoint counts as healthy
             fixture.submitAccepted("w" + move, "safe", 5000);
             fixture.awaitCalls("w" + move, 1, fixture.now() + 3000);
@@ -82,7 +82,7 @@
             fixture.node.write();
             assertThat(next.notices.poll(3, TimeUnit.SECONDS)).contains("m" + move);
             tookMs.add(fixture.now() - changedAt);
-            fixture.node.signalHangUp();
+            fixture.node.sendSighup();
             current = next;
         }
         current.close();
@@ -95,10 +95,10 @@
     void aStopRightAfterANewConfigurationIsOrderly() throws Exception {
         fixture.node.start();
         fixture.behaviour = r -> {};
-        try (Platform second = new Platform(fixture.endpointList(2))) {
+        try (StandInPlatform second = new StandInPlatform(fixture.endpointList(2))) {
             fixture.submitAccepted("m1", "safe", 20_000);
             fixture.node.discovery(second.hostPort());
-            fixture.node.hangUp();
+            fixture.node.writeAndSendSighup();
             fixture.node.terminate();
             assertOrderlyEnd();
             fixture.behaviour = r -> r.answer(200);
@@ -134,7 +134,7 @@
         fixture.node.launch();
         TimeUnit.MILLISECONDS.sleep(afterMs);
         fixture.node.terminate();
-        assertThat(fixture.node.ended(KILL_MS)).isTrue();
+        assertThat(fixture.node.awaitExit(KILL_MS)).isTrue();
         fixture.behaviour = r -> r.answer(200);
         fixture.calls.clear();
         fixture.node.start();
@@ -169,7 +169,7 @@
             }
             assertThat(answered.get()).isPositive();
             assertThat(unanswered).hasValue(0);
-            assertThat(fixture.node.ended(KILL_MS)).isTrue();
+            assertThat(fixture.node.awaitExit(KILL_MS)).isTrue();
         }
     }
 
@@ -223,10 +223,10 @@
         fixture.node.start();
         fixture.behaviour = r -> r.answer(503);
         fixture.submitAccepted("m1", "safe", 20_000);
-        preload.rules(rule("file_write", 0, Preload.ALWAYS, Preload.ENOSPC, "messages"));
+        preload.rules(rule("file_write", 0, FaultInjector.ALWAYS, FaultInjector.ENOSPC, "messages"));
         fixture.node.terminate();
-        assertThat(fixture.node.ended(KILL_MS)).isTrue();
-        assertThat(fixture.node.status()).isIn(0, 143);
+        assertThat(fixture.node.awaitExit(KILL_MS)).isTrue();
+        assertThat(fixture.node.exitStatus()).isIn(0, 143);
         preload.rules();
         fixture.behaviour = r -> r.answer(200);
         fixture.calls.clear();
--- a/src/test/java/firstair/relay/faults/SimultaneousStartsTest.java
+++ b/src/test/java/firstair/relay/faults/SimultaneousStartsTest.java
@@ -26,7 +26,7 @@
     /** Raises the limit of open messages, so that the size of the folder is the limit that applies. */
     private static void limitByFolder(Node node) {
         node.diskMb(3);
-        node.adjust(c -> c.replace("\"maxOpen\":100", "\"maxOpen\":10000"));
+        node.editConfig(c -> c.replace("\"maxOpen\":100", "\"maxOpen\":10000"));
     }
 
     /** Submits messages until the relay refuses one from each client; returns how many it accepted. */
@@ -41,7 +41,7 @@
             counts.add(clients.submit(() -> {
                 int accepted = 0;
                 while (fixture.node
-                        .handIn(client + accepted, "unsafe", 600_000, "dest=7", null, new byte[BODY_BYTES])
+                        .submit(client + accepted, "unsafe", 600_000, "dest=7", null, new byte[BODY_BYTES])
                         .startsWith("HTTP/1.1 202")) {
                     accepted++;
                 }
@@ -62,7 +62,7 @@
         Node node = new Node(copyFolder, fixture.platform.hostPort(), fixture.endpointList(1));
         limitByFolder(node);
         Files.createDirectories(node.state());
-        Path full = fixture.node.file();
+        Path full = fixture.node.stateFile();
         Files.copy(full, node.state().resolve(full.getFileName()));
         return node;
     }
@@ -92,7 +92,7 @@
             System.out.println(STARTS + " starts with " + messages + " messages each, ms until ready: "
                     + readyMs.stream().sorted().map(Math::round).toList());
             assertThat(readyMs).allSatisfy(ms -> assertThat(ms).isLessThan(READY_MS));
-            assertThat(nodes).allSatisfy(node -> assertThat(node.line("ready at"))
+            assertThat(nodes).allSatisfy(node -> assertThat(node.awaitLine("ready at"))
                     .contains(messages + " messages and 0 notices"));
         } finally {
             starters.shutdown();
--- a/src/test/java/firstair/relay/faults/SlowDiscoveryTest.java
+++ b/src/test/java/firstair/relay/faults/SlowDiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.kit.standin.StandIn;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
@@ -30,7 +30,7 @@
                     successorCalls.add(r.header("request-id"));
                     r.answer(200);
                 })) {
-            String list = Platform.list(
+            String list = StandInPlatform.list(
                     2, true, "s1 7 " + fixture.endpoint.hostPort() + " draining", "s2 7 " + successor.hostPort());
             StandIn slowDiscovery = new StandIn(r -> {
                 if (r.target().contains("follow=1")) {
@@ -43,7 +43,7 @@
                     r.answer(204);
                 }
             });
-            fixture.node.adjust(c -> c.replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
+            fixture.node.editConfig(c -> c.replace("\"discovery\":\"ask\"", "\"discovery\":\"push\""));
             fixture.behaviour = r -> {};
             fixture.node.start();
             double submittedAt = fixture.submitAccepted("m1", "safe", 20_000);
--- a/src/test/java/firstair/relay/faults/StalledRelayTest.java
+++ b/src/test/java/firstair/relay/faults/StalledRelayTest.java
@@ -1,6 +1,6 @@
 package firstair.relay.faults;
 
-import static firstair.relay.faults.Preload.rule;
+import static firstair.relay.faults.FaultInjector.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.Socket;
@@ -17,22 +17,22 @@
     private static final double CHECKED_WAIT_MS = 650; // of the 0.7 s that the endpoint asks for
     private static final double TOLERANCE_MS = 100; // calls this soon after the answer are allowed
 
-    private Preload preload;
+    private FaultInjector preload;
 
     @BeforeEach
     void start() throws Exception {
-        preload = new Preload(fixture.node, folder);
+        preload = new FaultInjector(fixture.node, folder);
     }
 
     /** Delays each further write to the endpoint by {@link #STALL_MS}. */
     private void stallWrites() throws Exception {
-        preload.rules(rule("sock_write", 0, Preload.ALWAYS, -STALL_MS, endpointPort()));
+        preload.rules(rule("sock_write", 0, FaultInjector.ALWAYS, -STALL_MS, endpointPort()));
     }
 
     @Test
     void everyRepeatedCallOfAKeyedMessageArrivesInsideItsWindow() throws Exception {
         double window = 1500;
-        fixture.node.adjust(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
+        fixture.node.editConfig(c -> c.replace("\"repeatWindow\":30000.0", "\"repeatWindow\":" + window));
         fixture.node.start();
         for (int i = 0; i < 4; i++) {
             preload.rules();
@@ -63,8 +63,8 @@
             fixture.submit("m" + i, "safe", 2000);
         }
         double drainedAt = fixture.now();
-        fixture.platform.tell(
-                firstair.relay.standin.Platform.list(2, false, "s1 7 " + fixture.endpoint.hostPort() + " draining"));
+        fixture.platform.sendChanges(firstair.relay.standin.StandInPlatform.list(
+                2, false, "s1 7 " + fixture.endpoint.hostPort() + " draining"));
         fixture.sleepUntil(drainedAt + 1500);
         assertThat(fixture.calls)
                 .allSatisfy(c -> assertThat(c.atMs() - drainedAt).isLessThan(250 + STALL_MS));
@@ -255,7 +255,7 @@
         }
         preload.rules(
                 rule("file_write", 0, 1, -STALL_MS, "messages"), // collects all of them in one round
-                rule("sock_write", 0, Preload.ALWAYS, -STALL_MS, endpointPort()));
+                rule("sock_write", 0, FaultInjector.ALWAYS, -STALL_MS, endpointPort()));
         fixture.sleepUntil(deadline - 2 * STALL_MS);
         for (int i = 0; i < others; i++) {
             writeRequest(sockets.get(i), "n" + i);
@@ -287,7 +287,7 @@
 
     private void writeRequest(Socket client, String id) throws Exception {
         client.getOutputStream()
-                .write((fixture.node.handInText(id, "safe", 9000, "dest=7", null, 1) + "x")
+                .write((fixture.node.submissionHead(id, "safe", 9000, "dest=7", null, 1) + "x")
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
--- a/src/test/java/firstair/relay/faults/SystemCallTest.java
+++ b/src/test/java/firstair/relay/faults/SystemCallTest.java
@@ -1,6 +1,6 @@
 package firstair.relay.faults;
 
-import static firstair.relay.faults.Preload.rule;
+import static firstair.relay.faults.FaultInjector.rule;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -19,11 +19,11 @@
     private static final int MESSAGES = 12;
     private static final long TIMEOUT_MS = 5000;
 
-    private Preload preload;
+    private FaultInjector preload;
 
     @BeforeEach
     void start() throws Exception {
-        preload = new Preload(fixture.node, folder);
+        preload = new FaultInjector(fixture.node, folder);
         fixture.node.start();
     }
 
@@ -59,13 +59,13 @@
         preload.rules(rule(call, 0, times, error, call.equals("connect") ? endpointPort() : ""));
         double startedAt = fixture.now();
         assertAllDeliveredOnce(submitConcurrently("unsafe"), startedAt + 2000);
-        assertThat(fixture.node.lines()).noneMatch(line -> line.contains("held to be sick"));
+        assertThat(fixture.node.logLines()).noneMatch(line -> line.contains("held to be sick"));
     }
 
     /** A local failure that lasts uses up no attempt: twelve are allowed, and there are far more failures. */
     @Test
     void aLongLocalFailureUsesUpNoAttempt() throws Exception {
-        preload.rules(rule("connect", 0, Preload.ALWAYS, Preload.ENETUNREACH, endpointPort()));
+        preload.rules(rule("connect", 0, FaultInjector.ALWAYS, FaultInjector.ENETUNREACH, endpointPort()));
         fixture.submitAccepted("m1", "unsafe", 9000);
         fixture.sleepUntil(fixture.now() + 500);
         int descriptors = fixture.node.descriptors();
@@ -75,11 +75,11 @@
         preload.rules();
         double endedAt = fixture.now();
         fixture.awaitCalls("m1", 1, endedAt + 1000);
-        assertThat(fixture.node.lines()).noneMatch(line -> line.contains("held to be sick"));
+        assertThat(fixture.node.logLines()).noneMatch(line -> line.contains("held to be sick"));
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {Preload.ECONNABORTED, Preload.ENFILE, Preload.EMFILE, Preload.ENOBUFS})
+    @ValueSource(ints = {FaultInjector.ECONNABORTED, FaultInjector.ENFILE, FaultInjector.EMFILE, FaultInjector.ENOBUFS})
     void anAcceptThatFailsTemporarilyRejectsNoClient(int error) throws Exception {
         preload.rules(rule("accept", 0, 3, error, ""));
         double startedAt = fixture.now();
@@ -100,27 +100,27 @@
 
     @Test
     void interruptedWaitsHaveNoEffect() throws Exception {
-        preload.rules(rule("epoll_wait", 0, 50, Preload.EINTR, ""));
+        preload.rules(rule("epoll_wait", 0, 50, FaultInjector.EINTR, ""));
         assertAllDeliveredOnce(submitConcurrently("unsafe"), fixture.now() + 2000);
     }
 
     @Test
     void shortReadsAndWritesAreContinued() throws Exception {
         preload.rules(
-                rule("sock_read", 0, Preload.ALWAYS, Preload.SHORT, ""),
-                rule("sock_write", 0, Preload.ALWAYS, Preload.SHORT, ""),
-                rule("file_write", 0, Preload.ALWAYS, Preload.SHORT, "messages"));
+                rule("sock_read", 0, FaultInjector.ALWAYS, FaultInjector.SHORT, ""),
+                rule("sock_write", 0, FaultInjector.ALWAYS, FaultInjector.SHORT, ""),
+                rule("file_write", 0, FaultInjector.ALWAYS, FaultInjector.SHORT, "messages"));
         assertAllDeliveredOnce(submitConcurrently("unsafe"), fixture.now() + 4000);
         fixture.sleepUntil(fixture.now() + 1500); // it has to read the answers before it is killed
         preload.rules();
         fixture.node.kill();
         fixture.node.start();
-        assertThat(fixture.node.line("ready at")).contains("0 messages and 0 notices");
+        assertThat(fixture.node.awaitLine("ready at")).contains("0 messages and 0 notices");
     }
 
     /** After a request's last byte a broken connection may give any of these errors, and the request may have run. */
     @ParameterizedTest
-    @ValueSource(ints = {Preload.ETIMEDOUT, Preload.EHOSTUNREACH})
+    @ValueSource(ints = {FaultInjector.ETIMEDOUT, FaultInjector.EHOSTUNREACH})
     void aRequestOnABrokenConnectionMayHaveRunWhateverTheError(int error) throws Exception {
         preload.rules(rule("sock_read", 0, 2, error, endpointPort()));
         double startedAt = fixture.now();
@@ -133,7 +133,7 @@
 
     /** A write that fails before any byte of the request was sent: it has not run, and is sent again. */
     @ParameterizedTest
-    @ValueSource(ints = {Preload.EHOSTUNREACH, Preload.ETIMEDOUT, Preload.ENOBUFS})
+    @ValueSource(ints = {FaultInjector.EHOSTUNREACH, FaultInjector.ETIMEDOUT, FaultInjector.ENOBUFS})
     void aRequestWhoseWriteFailedIsSentAgain(int error) throws Exception {
         preload.rules(rule("sock_write", 0, 1, error, endpointPort()));
         assertAllDeliveredOnce(submitConcurrently("unsafe"), fixture.now() + 3000);
@@ -141,12 +141,12 @@
 
     /** Writes to the folder fail for a while: a rejected message never runs, accepted ones are still delivered. */
     @ParameterizedTest
-    @ValueSource(ints = {Preload.ENOSPC, Preload.EIO})
+    @ValueSource(ints = {FaultInjector.ENOSPC, FaultInjector.EIO})
     void aFolderThatFailsForAWhileLosesNoMessage(int error) throws Exception {
         fixture.behaviour = r -> r.answer(503);
         double submittedAt = fixture.submitAccepted("before", "unsafe", 9000);
         fixture.awaitCalls("before", 1, submittedAt + 2000);
-        preload.rules(rule("file_write", 0, Preload.ALWAYS, error, "messages"));
+        preload.rules(rule("file_write", 0, FaultInjector.ALWAYS, error, "messages"));
         assertThat(fixture.submit("meanwhile", "unsafe", TIMEOUT_MS)).isEqualTo(503);
         fixture.sleepUntil(fixture.now() + 500);
         fixture.behaviour = r -> r.answer(200);
--- a/src/test/java/firstair/relay/fleet/FleetConfigTest.java
+++ b/src/test/java/firstair/relay/fleet/FleetConfigTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import firstair.config.Item;
-import firstair.config.Read;
+import firstair.config.ParsedSettings;
+import firstair.config.Setting;
 import firstair.config.Values;
 import firstair.fleet.Setup;
 import firstair.fleet.booking.Calendar;
@@ -42,7 +42,7 @@
     @BeforeEach
     void threeRelays() {
         node = new Node(folder, "127.0.0.1:1", "null");
-        node.group("b", 3, 1);
+        node.relayGroup("b", 3, 1);
         node.zones(List.of("east", "west"), "west");
         node.fleet("");
         settings.put("fleet.name", "f");
@@ -57,8 +57,8 @@
     private static Values values(Map<String, String> texts) {
         Map<String, String> origins = new HashMap<>();
         texts.keySet().forEach(k -> origins.put(k, "test"));
-        Read r = Read.texts(texts, origins, TunableSettings.schema());
-        assertThat(r.faults()).isEmpty();
+        ParsedSettings r = ParsedSettings.fromTexts(texts, origins, TunableSettings.schema());
+        assertThat(r.errors()).isEmpty();
         return r.values();
     }
 
@@ -111,7 +111,8 @@
         Config c = config();
         FleetConfig f = FleetConfig.of(
                 TunableSettings.read(Map.of(
-                        TunableSettings.FILE, folder.resolve("settings.toml").toString())),
+                        TunableSettings.FILE_VARIABLE,
+                        folder.resolve("settings.toml").toString())),
                 c);
         assertThat(f.setup())
                 .isEqualTo(new Setup(
@@ -130,7 +131,7 @@
         FleetConfig defaults = fleet();
         TunableSettings.schema().items().stream()
                 .filter(i -> i.path().startsWith("fleet."))
-                .forEach(i -> settings.putIfAbsent(i.path(), i.usual()));
+                .forEach(i -> settings.putIfAbsent(i.path(), i.defaultText()));
         assertThat(fleet()).isEqualTo(defaults);
         assertThat(defaults.listen())
                 .as("own address among the peers")
@@ -179,12 +180,12 @@
                 Files.writeString(folder.resolve("c.toml"), CONTRACTS).toString(),
                 "calendars",
                 Files.writeString(folder.resolve("k.toml"), CALENDARS).toString()));
-        for (Item item : TunableSettings.schema().items()) {
+        for (Setting item : TunableSettings.schema().items()) {
             if (item.path().startsWith("fleet.")) {
-                assertThat(item.atReload()).as(item.path()).isFalse();
+                assertThat(item.appliedAtReload()).as(item.path()).isFalse();
                 String before = settings.put(item.path(), others.get(item.path().substring("fleet.".length())));
                 assertThat(fleet()).as(item.path()).isNotNull().isNotEqualTo(defaults);
-                settings.put(item.path(), before == null ? item.usual() : before);
+                settings.put(item.path(), before == null ? item.defaultText() : before);
             }
         }
     }
--- a/src/test/java/firstair/relay/fleet/FleetProcessTest.java
+++ b/src/test/java/firstair/relay/fleet/FleetProcessTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.kit.fleet.FaultyLinks;
-import firstair.kit.fleet.Trouble;
+import firstair.kit.fleet.LinkFaults;
 import firstair.kit.run.Node;
 import firstair.kit.standin.StandIn;
 import firstair.relay.HostPort;
-import firstair.relay.faults.Preload;
+import firstair.relay.faults.FaultInjector;
 import firstair.relay.standin.Await;
-import firstair.relay.standin.Platform;
+import firstair.relay.standin.StandInPlatform;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -55,7 +55,7 @@
     private final Set<String> deliveredIds = ConcurrentHashMap.newKeySet();
     private final Set<String> failing = ConcurrentHashMap.newKeySet(); // names of endpoints
     private final List<AutoCloseable> closeables = new ArrayList<>();
-    private Platform platform;
+    private StandInPlatform platform;
     private FleetProcesses fleet;
 
     @AfterEach
@@ -92,12 +92,12 @@
         for (String zone : zones.stream().distinct().toList()) {
             endpoints.add("s-" + zone + " 7 " + endpoint(zone).hostPort() + " up one " + zone);
         }
-        return Platform.list(1, true, endpoints.toArray(String[]::new));
+        return StandInPlatform.list(1, true, endpoints.toArray(String[]::new));
     }
 
     private void start(List<String> zones, String moreSettings) throws Exception {
         String list = list(zones);
-        platform = closeAtEnd(new Platform(list));
+        platform = closeAtEnd(new StandInPlatform(list));
         fleet = closeAtEnd(new FleetProcesses(folder, platform.hostPort(), list, zones, moreSettings));
         fleet.start();
     }
@@ -111,7 +111,7 @@
         ScheduledExecutorService pool = Executors.newScheduledThreadPool(2);
         Runnable send = () -> {
             try {
-                node.handIn(relay + "-" + number.incrementAndGet(), "safe", 1000, DEST, null, new byte[1]);
+                node.submit(relay + "-" + number.incrementAndGet(), "safe", 1000, DEST, null, new byte[1]);
             } catch (IOException e) {
                 throw new IllegalStateException(e); // ends the load, so that the test fails on the awaited rate
             }
@@ -166,7 +166,7 @@
     void theLimitIsNotExceededDuringAndAfterPartitions() throws Exception {
         start(ONE_ZONE, "");
         for (String relay : List.of("a", "e")) { // a relay learns the limit from its first answer
-            fleet.node(relay).handIn(relay + "-0", "safe", 5000, DEST, null, new byte[1]);
+            fleet.node(relay).submit(relay + "-0", "safe", 5000, DEST, null, new byte[1]);
             Await.until("the limit is known to " + relay, () -> rate(relay) == 1);
         }
         load("a", 3 * LIMIT / 2);
@@ -179,10 +179,10 @@
             for (String one : cut) {
                 for (String other : rest) {
                     if (!way.startsWith("from")) {
-                        fleet.links.set(one, other, Trouble.CUT);
+                        fleet.links.setFaults(one, other, LinkFaults.CUT);
                     }
                     if (!way.startsWith("to")) {
-                        fleet.links.set(other, one, Trouble.CUT);
+                        fleet.links.setFaults(other, one, LinkFaults.CUT);
                     }
                 }
             }
@@ -195,7 +195,7 @@
                     0.6 * CUT_PART,
                     1.3 * CUT_PART,
                     0);
-            fleet.links.everywhere(Trouble.NONE);
+            fleet.links.setAllFaults(LinkFaults.NONE);
             awaitRates("restored after a cut " + way, 0.8 * EVEN_PART, 0.8 * EVEN_PART, LIMIT, 2.8 * EVEN_PART);
         }
         assertWithinTheLimit(2);
@@ -230,24 +230,24 @@
         start(TWO_ZONES, contracts());
         Node east = fleet.node("a");
         Node west = fleet.node("b");
-        assertThat(east.handIn("m0", "safe", 9000, DEST, null, new byte[1])).contains(" 400 ", "X-Reason: ", "F302");
-        assertThat(west.handIn("m1", "safe", 9000, DEST + ";tenant=bound", null, new byte[1]))
+        assertThat(east.submit("m0", "safe", 9000, DEST, null, new byte[1])).contains(" 400 ", "X-Reason: ", "F302");
+        assertThat(west.submit("m1", "safe", 9000, DEST + ";tenant=bound", null, new byte[1]))
                 .contains(" 503 ", "X-Reason: ", "F304");
         failing.add("east"); // so that messages without restriction are sent to the other zone
-        assertThat(east.handIn("m2", "safe", 30_000, DEST + ";tenant=free", null, new byte[1]))
+        assertThat(east.submit("m2", "safe", 30_000, DEST + ";tenant=free", null, new byte[1]))
                 .contains(" 202 ");
         Await.until("a message without restriction is sent to west", () -> reached("m2", "west"));
         List<String> bound = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             bound.add("bound-" + i);
-            assertThat(east.handIn("bound-" + i, "safe", 30_000, DEST + ";tenant=bound", null, new byte[1]))
+            assertThat(east.submit("bound-" + i, "safe", 30_000, DEST + ";tenant=bound", null, new byte[1]))
                     .contains(" 202 ");
         }
         Await.until("they are tried", () -> bound.stream().anyMatch(m -> reached(m, "east")));
         east.kill();
         double restarted = now();
         east.start();
-        assertThat(east.line("ready at ")).contains("6 messages");
+        assertThat(east.awaitLine("ready at ")).contains("6 messages");
         // Three consecutive failures make an endpoint unavailable: the fourth call of an unrestricted message avoids
         // it.
         Await.until(
@@ -273,7 +273,7 @@
     private String booking(String relay, String method, String id, String json) {
         try {
             return fleet.node(relay)
-                    .rawAll(method + " /-/bookings/" + id + " HTTP/1.1\r\nHost: x\r\n"
+                    .sendTextUntilClosed(method + " /-/bookings/" + id + " HTTP/1.1\r\nHost: x\r\n"
                             + "Connection: close\r\nContent-Length: " + json.length() + "\r\n\r\n" + json);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -302,7 +302,7 @@
         AtomicReference<String> leader = new AtomicReference<>();
         Await.until("a leader that has committed the contracts", () -> {
             FleetProcesses.VOTERS.stream()
-                    .filter(v -> fleet.node(v).lines().stream().anyMatch(l -> l.contains("contracts, version 1: ")))
+                    .filter(v -> fleet.node(v).logLines().stream().anyMatch(l -> l.contains("contracts, version 1: ")))
                     .findFirst()
                     .ifPresent(leader::set);
             return leader.get() != null;
@@ -325,7 +325,7 @@
                 .as("no capacity left")
                 .startsWith("HTTP/1.1 409")
                 .contains("F404");
-        fleet.links.around(List.of(left.get(0)), Trouble.CUT);
+        fleet.links.setFaultsBetween(List.of(left.get(0)), LinkFaults.CUT);
         CompletableFuture.allOf(Stream.of(left.get(0), "e")
                         .map(relay -> CompletableFuture.runAsync(() -> Await.until(
                                 "nothing is committed at " + relay, () -> booking(relay, "PUT", "late", request(7, 1))
@@ -335,7 +335,7 @@
         assertThat(booking(left.get(0), "GET", "fees", ""))
                 .as("known bookings remain")
                 .contains(" 200 ");
-        fleet.links.everywhere(Trouble.NONE);
+        fleet.links.setAllFaults(LinkFaults.NONE);
         commit("e", "later", request(9, 1));
     }
 
@@ -347,12 +347,12 @@
     @Test
     void aSteppedWallClockEndsNoBooking() throws Exception {
         String list = list(TWO_ZONES);
-        platform = closeAtEnd(new Platform(list));
+        platform = closeAtEnd(new StandInPlatform(list));
         fleet = closeAtEnd(
                 new FleetProcesses(folder, platform.hostPort(), list, TWO_ZONES, contracts() + "bookings = true\n"));
-        List<Preload> clocks = new ArrayList<>();
+        List<FaultInjector> clocks = new ArrayList<>();
         for (String relay : FleetProcesses.NAMES) {
-            clocks.add(new Preload(fleet.node(relay), Files.createDirectories(folder.resolve("clock-" + relay))));
+            clocks.add(new FaultInjector(fleet.node(relay), Files.createDirectories(folder.resolve("clock-" + relay))));
         }
         fleet.start();
         commit("d", "x", "{\"kind\":\"set-team\",\"team\":\"billing\",\"quota\":1000000,\"zone\":\"Europe/Berlin\"}");
@@ -361,8 +361,8 @@
         Await.until(
                 "the booking is known", () -> booking("e", "GET", "fees", "").contains(" 200 "));
         String before = state(booking("e", "GET", "fees", ""));
-        for (Preload clock : clocks) {
-            clock.step(4 * 3600);
+        for (FaultInjector clock : clocks) {
+            clock.stepWallClock(4 * 3600);
         }
         TimeUnit.SECONDS.sleep(3); // several heartbeats and rounds of the ledger
         commit("e", "more", request(6, 10)); // the leader has read its clock
@@ -380,13 +380,13 @@
     @Test
     void theOlderOfTwoProcessesWithTheSameNameStepsBack() throws Exception {
         start(ONE_ZONE, "");
-        String listen = HostPort.of(FaultyLinks.places(List.of("d")).get("d"));
-        Node duplicate = fleet.duplicate("d", listen, platform.hostPort(), Platform.list(1, true));
+        String listen = HostPort.format(FaultyLinks.freeAddresses(List.of("d")).get("d"));
+        Node duplicate = fleet.duplicate("d", listen, platform.hostPort(), StandInPlatform.list(1, true));
         closeAtEnd((AutoCloseable) duplicate::kill);
         duplicate.start();
-        assertThat(fleet.node("d").line("F105")).contains("steps back");
-        assertThat(duplicate.lines()).noneMatch(l -> l.contains("F105"));
-        assertThat(fleet.node("d").handIn("m1", "safe", 9000, DEST, null, new byte[1]))
+        assertThat(fleet.node("d").awaitLine("F105")).contains("steps back");
+        assertThat(duplicate.logLines()).noneMatch(l -> l.contains("F105"));
+        assertThat(fleet.node("d").submit("m1", "safe", 9000, DEST, null, new byte[1]))
                 .contains(" 202 ");
         Await.until("it continues with its cut part", () -> reached("m1", "z"));
     }
--- a/src/test/java/firstair/relay/fleet/FleetProcesses.java
+++ b/src/test/java/firstair/relay/fleet/FleetProcesses.java
@@ -31,7 +31,7 @@
     FleetProcesses(Path folder, String discovery, String list, List<String> zones, String moreSettings)
             throws Exception {
         this.folder = folder;
-        links = new FaultyLinks(SEED, FaultyLinks.places(NAMES));
+        links = new FaultyLinks(SEED, FaultyLinks.freeAddresses(NAMES));
         List<String> distinctZones = zones.stream().distinct().toList();
         for (int i = 0; i < NAMES.size(); i++) {
             String name = NAMES.get(i);
@@ -44,13 +44,13 @@
 
     private Node node(String name, String discovery, String list, int number, String suffix) throws Exception {
         Node node = new Node(Files.createDirectories(folder.resolve(name + suffix)), discovery, list);
-        node.group(name, NAMES.size(), number);
+        node.relayGroup(name, NAMES.size(), number);
         return node;
     }
 
     private String settings(String name, String listen, String moreSettings) {
         List<String> peers = new ArrayList<>();
-        for (String peer : links.peers(name).split(",")) {
+        for (String peer : links.peersOf(name).split(",")) {
             peers.add("'" + peer + "'");
         }
         return "[fleet]\nname = 'f'\npeers = [" + String.join(", ", peers) + "]\nvoters = ['"
--- a/src/test/java/firstair/relay/http/HttpParserTest.java
+++ b/src/test/java/firstair/relay/http/HttpParserTest.java
@@ -17,17 +17,17 @@
     /** Records what a parser reports. */
     private static final class RecordingSink implements HttpParser.Sink {
         final List<String> messages = new ArrayList<>();
-        Head head;
+        MessageHead head;
         int status;
         private final StringBuilder body = new StringBuilder();
 
         @Override
-        public void first(int received) {
+        public void status(int received) {
             status = received;
         }
 
         @Override
-        public void head(Head received) {
+        public void head(MessageHead received) {
             head = received;
         }
 
--- a/src/test/java/firstair/relay/http/BundlesTest.java
+++ b/src/test/java/firstair/relay/http/MultiMessageBodyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class BundlesTest {
+class MultiMessageBodyTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -18,14 +18,15 @@
     @Test
     void eachMessageHasAHeaderLineAndItsUnchangedBytes() {
         byte[] binary = {0, '\r', '\n', (byte) 0xff};
-        byte[] body = Bundles.write(
-                List.of(new Bundles.Part("9b1f", null, bytes("hello")), new Bundles.Part("9b20", "k1", binary)));
+        byte[] body = MultiMessageBody.write(List.of(
+                new MultiMessageBody.Part("9b1f", null, bytes("hello")),
+                new MultiMessageBody.Part("9b20", "k1", binary)));
         assertThat(body).isEqualTo(bytes("9b1f - 5\r\nhello\r\n9b20 k1 4\r\n\0\r\n\u00ff\r\n"));
     }
 
     @Test
     void resultsAreReadWithEitherLineEnd() {
-        assertThat(Bundles.read(bytes("a ok\r\nb later\nc gone\r\n"), Set.of("a", "b", "c")))
+        assertThat(MultiMessageBody.readResults(bytes("a ok\r\nb later\nc gone\r\n"), Set.of("a", "b", "c")))
                 .isEqualTo(Map.of("a", "ok", "b", "later", "c", "gone"));
     }
 
@@ -43,6 +44,6 @@
                 "a ok yes\r\nb ok\r\n"
             })
     void anInvalidBodyHasNoResults(String text) {
-        assertThat(Bundles.read(bytes(text), Set.of("a", "b"))).isNull();
+        assertThat(MultiMessageBody.readResults(bytes(text), Set.of("a", "b"))).isNull();
     }
 }
--- a/src/test/java/firstair/relay/net/FrameDecoderTest.java
+++ b/src/test/java/firstair/relay/net/FrameDecoderTest.java
@@ -19,14 +19,14 @@
     private long reserved;
     private long limit = Long.MAX_VALUE;
     private final FrameDecoder decoder = new FrameDecoder(
-            MAX_FRAME_BYTES, bytes -> reserved + bytes <= limit && (reserved += bytes) >= 0, new Inbox() {
+            MAX_FRAME_BYTES, bytes -> reserved + bytes <= limit && (reserved += bytes) >= 0, new PeerDataListener() {
                 @Override
-                public void bytes(byte[] bytes) {
+                public void received(byte[] bytes) {
                     received.add(ByteBuffer.wrap(bytes)); // compares by content and has a short toString
                 }
 
                 @Override
-                public void garbage() {
+                public void malformed() {
                     throw new AssertionError("only the owner of the connection reports malformed data");
                 }
             });
--- a/src/test/java/firstair/relay/net/HttpLinkTest.java
+++ b/src/test/java/firstair/relay/net/GrizzlyHttpConnectionTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstair.relay.Limits;
-import firstair.relay.http.Head;
+import firstair.relay.http.MessageHead;
 import firstair.relay.standin.Await;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,17 +22,17 @@
 
 /** Links that are given up while their connection is being established: nothing is written, and it is closed. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class HttpLinkTest {
+class GrizzlyHttpConnectionTest {
     private static final long MAX_BODY = 1000;
     private final AtomicInteger calls = new AtomicInteger();
     private final AtomicReference<Thread> selector = new AtomicReference<>();
     private final CountDownLatch resume = new CountDownLatch(1);
-    private Wire wire;
+    private NetworkTransport wire;
     private ServerSocket server;
 
     @BeforeEach
     void start() throws Exception {
-        wire = new Wire(Limits.of(0, 0, 64_000_000, 0, 0, 0));
+        wire = new NetworkTransport(Limits.of(0, 0, 64_000_000, 0, 0, 0));
         server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
     }
 
@@ -52,14 +52,14 @@
     }
 
     /** Counts the calls of all exchanges. */
-    private class CountingExchange implements Link.Exchange {
+    private class CountingExchange implements HttpConnection.Exchange {
         @Override
-        public void up() {
+        public void connected() {
             calls.incrementAndGet();
         }
 
         @Override
-        public void head(Head head) {
+        public void head(MessageHead head) {
             calls.incrementAndGet();
         }
 
@@ -69,12 +69,12 @@
         }
 
         @Override
-        public void done(boolean reusable, boolean alone) {
+        public void completed(boolean reusable, boolean alone) {
             calls.incrementAndGet();
         }
 
         @Override
-        public void broken(boolean maybeArrived) {
+        public void failed(boolean maybeArrived) {
             calls.incrementAndGet();
         }
     }
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public void up() {
+        public void connected() {
             if (Thread.currentThread() == opener) {
                 called.countDown();
                 return;
@@ -121,7 +121,7 @@
         }
 
         @Override
-        public void broken(boolean maybeArrived) {} // when the test closes the connection
+        public void failed(boolean maybeArrived) {} // when the test closes the connection
     }
 
     /** The system has established the connection, and the selector thread has not handled it yet. */
@@ -129,10 +129,10 @@
     @ValueSource(booleans = {true, false})
     void givenUpBeforeTheSelectorSeesTheConnection(boolean sends) throws Exception {
         try (Socket other = blockSelector()) {
-            Link link = wire.open(address(), MAX_BODY, request(sends), new CountingExchange(), () -> {});
+            HttpConnection link = wire.open(address(), MAX_BODY, request(sends), new CountingExchange(), () -> {});
             try (Socket peer = server.accept()) {
                 assertThat(link.connecting()).isTrue();
-                assertThat(link.leave()).as("may have arrived").isFalse();
+                assertThat(link.abandon()).as("may have arrived").isFalse();
                 resume.countDown();
                 peer.setSoTimeout(10_000);
                 assertThat(peer.getInputStream().read())
@@ -149,14 +149,14 @@
     @ValueSource(booleans = {true, false})
     void givenUpAfterTheConnectAndBeforeTheLinkIsNotified(boolean sends) throws Exception {
         try (Socket other = blockSelector()) {
-            Link link = wire.open(address(), MAX_BODY, request(sends), new CountingExchange(), () -> {});
+            HttpConnection link = wire.open(address(), MAX_BODY, request(sends), new CountingExchange(), () -> {});
             try (Socket peer = server.accept()) {
                 synchronized (link) { // the link's own lock
                     resume.countDown();
                     Await.until(
                             "the selector thread to wait for the lock",
                             () -> selector.get().getState() == Thread.State.BLOCKED);
-                    assertThat(link.leave()).isFalse();
+                    assertThat(link.abandon()).isFalse();
                 }
                 peer.setSoTimeout(10_000);
                 assertThat(peer.getInputStream().read())
@@ -172,22 +172,22 @@
     @Test
     void givenUpWhenEstablishedItIsClosedAndTakesNoRequest() throws Exception {
         CountDownLatch up = new CountDownLatch(1);
-        Link link = wire.open(
+        HttpConnection link = wire.open(
                 address(),
                 MAX_BODY,
                 null,
                 new CountingExchange() {
                     @Override
-                    public void up() {
+                    public void connected() {
                         up.countDown();
                     }
                 },
                 () -> {});
         try (Socket peer = server.accept()) {
             up.await();
-            assertThat(link.leave()).isFalse();
+            assertThat(link.abandon()).isFalse();
             assertThat(link.send(request(true), new CountingExchange())).isFalse();
-            assertThat(link.keep()).isFalse();
+            assertThat(link.keepIdle()).isFalse();
             peer.setSoTimeout(10_000);
             assertThat(peer.getInputStream().read()).isEqualTo(-1);
         }
@@ -198,13 +198,13 @@
     void anUnusedConnectionCanBeKeptIdleAndReportsItsEnd() throws Exception {
         CountDownLatch up = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
-        Link link = wire.open(
+        HttpConnection link = wire.open(
                 address(),
                 MAX_BODY,
                 null,
                 new CountingExchange() {
                     @Override
-                    public void up() {
+                    public void connected() {
                         up.countDown();
                     }
                 },
@@ -212,7 +212,7 @@
         try (Socket peer = server.accept()) {
             up.await();
             assertThat(link.idle()).as("before keep()").isFalse();
-            assertThat(link.keep()).isTrue();
+            assertThat(link.keepIdle()).isTrue();
             assertThat(link.idle()).isTrue();
             peer.close();
             ended.await();
--- a/src/test/java/firstair/relay/net/WireTest.java
+++ b/src/test/java/firstair/relay/net/NetworkTransportTest.java
@@ -13,11 +13,11 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class NetworkTransportTest {
     /** Without TCP_NODELAY a small write waits for the acknowledgement of the one before, and a reset discards it. */
     @Test
     void requestsAreWrittenWithTcpNoDelay() throws Exception {
-        Wire wire = new Wire(Limits.of(0, 0, 64_000_000, 0, 0, 0));
+        NetworkTransport wire = new NetworkTransport(Limits.of(0, 0, 64_000_000, 0, 0, 0));
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Connection<?> connection = wire.connect((InetSocketAddress) server.getLocalSocketAddress())
                     .get(10, TimeUnit.SECONDS);
--- a/src/test/java/firstair/relay/platform/NoticesTest.java
+++ b/src/test/java/firstair/relay/platform/NoticesTest.java
@@ -5,10 +5,10 @@
 import firstair.kit.standin.StandIn;
 import firstair.relay.Limits;
 import firstair.relay.Loop;
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import firstair.relay.standin.LogLines;
 import firstair.relay.standin.LoopThread;
-import firstair.relay.store.OwedNotice;
+import firstair.relay.store.PendingNotice;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
@@ -28,14 +28,14 @@
     private final AtomicInteger calls = new AtomicInteger();
     private Limits limits;
     private Loop loop;
-    private Wire wire;
+    private NetworkTransport wire;
     private StandIn platform;
     private volatile Notices notices;
 
     @BeforeEach
     void start() throws IOException {
         limits = Limits.of(0, 0, 64_000_000, 0, 0, 0);
-        wire = new Wire(limits);
+        wire = new NetworkTransport(limits);
         loop = LoopThread.start(() -> {
             if (notices != null) {
                 notices.flush();
@@ -55,10 +55,11 @@
     void aPlatformThatConfirmsNothingDoesNotFillTheLog() throws Exception {
         platform(r -> r.answer(calls.get() <= 12 ? 503 : 204));
         try (LogLines lines = new LogLines(Notices.class)) {
-            loop.post(() -> notices.add(1, "r1", new OwedNotice(false, 0), loop.now() + 20_000));
+            loop.post(() -> notices.add(1, "r1", new PendingNotice(false, 0), loop.now() + 20_000));
             assertThat(confirmed.poll(20, TimeUnit.SECONDS)).isEqualTo(1);
             assertThat(calls.get()).isGreaterThan(12);
-            assertThat(lines.beginning("platform answered a notice with 503")).hasSize(1);
+            assertThat(lines.startingWith("platform answered a notice with 503"))
+                    .hasSize(1);
         }
     }
 
@@ -72,7 +73,7 @@
     }
 
     private void addNotice(long id, boolean handedBack, double afterMs) {
-        loop.post(() -> notices.add(id, "r" + id, new OwedNotice(handedBack, afterMs), loop.now() + 300));
+        loop.post(() -> notices.add(id, "r" + id, new PendingNotice(handedBack, afterMs), loop.now() + 300));
     }
 
     private <T> T next(BlockingQueue<T> queue) throws InterruptedException {
@@ -116,8 +117,8 @@
     void anUnreadableNoticeDelaysNoOther() throws Exception {
         platform(r -> r.answer(new String(r.body(), StandardCharsets.UTF_8).contains("r1") ? 400 : 204));
         loop.post(() -> {
-            notices.add(1, "r1", new OwedNotice(false, 0), loop.now() + 300);
-            notices.add(2, "r2", new OwedNotice(false, 0), loop.now() + 300);
+            notices.add(1, "r1", new PendingNotice(false, 0), loop.now() + 300);
+            notices.add(2, "r2", new PendingNotice(false, 0), loop.now() + 300);
         });
         assertThat(next(confirmed)).isEqualTo(2);
     }
--- a/src/test/java/firstair/relay/standin/GateDialer.java
+++ b/src/test/java/firstair/relay/standin/DelayedDialer.java
@@ -1,31 +1,31 @@
 package firstair.relay.standin;
 
-import firstair.relay.http.Head;
+import firstair.relay.http.MessageHead;
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
+import firstair.relay.net.HttpConnection;
 import java.net.InetSocketAddress;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
 /** Opens connections by another dialer, and can delay the reports that they are established until a test allows it. */
-public final class GateDialer implements Dialer {
+public final class DelayedDialer implements Dialer {
     private final Dialer real;
     private final BlockingQueue<Runnable> delayedReports = new LinkedBlockingQueue<>();
     private volatile boolean reportAtOnce = true;
 
-    /** Creates a dialer that delays nothing until {@link #shut}. */
-    public GateDialer(Dialer real) {
+    /** Creates a dialer that delays nothing until {@link #delayReports}. */
+    public DelayedDialer(Dialer real) {
         this.real = real;
     }
 
     /** From now on the reports are delayed. */
-    public void shut() {
+    public void delayReports() {
         reportAtOnce = false;
     }
 
     /** Waits until the next connection is established, and reports it. */
-    public void pass() throws InterruptedException {
+    public void reportNext() throws InterruptedException {
         Runnable report = delayedReports.poll(10, TimeUnit.SECONDS);
         if (report == null) {
             throw new AssertionError("no connection was established");
@@ -34,44 +34,48 @@
     }
 
     /** Waits until a connection is established and not reported yet. */
-    public void awaitOne() {
+    public void awaitConnection() {
         Await.until("a connection to be established", () -> !delayedReports.isEmpty());
     }
 
     @Override
-    public Link open(
-            InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose) {
+    public HttpConnection open(
+            InetSocketAddress to,
+            long maxBody,
+            byte[] request,
+            HttpConnection.Exchange firstExchange,
+            Runnable onIdleClose) {
         return real.open(
                 to,
                 maxBody,
                 request,
-                new Link.Exchange() {
+                new HttpConnection.Exchange() {
                     @Override
-                    public void up() {
+                    public void connected() {
                         if (reportAtOnce) {
-                            firstExchange.up();
+                            firstExchange.connected();
                         } else {
-                            delayedReports.add(firstExchange::up);
+                            delayedReports.add(firstExchange::connected);
                         }
                     }
 
                     @Override
-                    public void begun() {
-                        firstExchange.begun();
+                    public void responseBegun() {
+                        firstExchange.responseBegun();
                     }
 
                     @Override
-                    public void first(int status) {
-                        firstExchange.first(status);
+                    public void status(int status) {
+                        firstExchange.status(status);
                     }
 
                     @Override
-                    public void field(String name, String value) {
-                        firstExchange.field(name, value);
+                    public void header(String name, String value) {
+                        firstExchange.header(name, value);
                     }
 
                     @Override
-                    public void head(Head head) {
+                    public void head(MessageHead head) {
                         firstExchange.head(head);
                     }
 
@@ -81,13 +85,13 @@
                     }
 
                     @Override
-                    public void done(boolean reusable, boolean alone) {
-                        firstExchange.done(reusable, alone);
+                    public void completed(boolean reusable, boolean alone) {
+                        firstExchange.completed(reusable, alone);
                     }
 
                     @Override
-                    public void broken(boolean maybeArrived) {
-                        firstExchange.broken(maybeArrived);
+                    public void failed(boolean maybeArrived) {
+                        firstExchange.failed(maybeArrived);
                     }
                 },
                 onIdleClose);
--- a/src/test/java/firstair/relay/standin/FaultyDialer.java
+++ b/src/test/java/firstair/relay/standin/FaultyDialer.java
@@ -1,7 +1,7 @@
 package firstair.relay.standin;
 
 import firstair.relay.net.Dialer;
-import firstair.relay.net.Link;
+import firstair.relay.net.HttpConnection;
 import java.net.InetSocketAddress;
 import java.util.concurrent.atomic.AtomicInteger;
 
@@ -29,8 +29,12 @@
     }
 
     @Override
-    public Link open(
-            InetSocketAddress to, long maxBody, byte[] request, Link.Exchange firstExchange, Runnable onIdleClose) {
+    public HttpConnection open(
+            InetSocketAddress to,
+            long maxBody,
+            byte[] request,
+            HttpConnection.Exchange firstExchange,
+            Runnable onIdleClose) {
         if (remaining.getAndDecrement() <= 0) {
             return real.open(to, maxBody, request, firstExchange, onIdleClose);
         }
@@ -38,14 +42,14 @@
             throw new IllegalStateException("thrown by a test");
         }
         if (fault == Fault.FAILS_AT_ONCE) {
-            firstExchange.broken(false);
+            firstExchange.failed(false);
         }
-        return deaf();
+        return silentLink();
     }
 
     /** A connection that is never established and does nothing. */
-    public static Link deaf() {
-        return new Link() {
+    public static HttpConnection silentLink() {
+        return new HttpConnection() {
             @Override
             public boolean send(byte[] request, Exchange next) {
                 return false;
@@ -57,7 +61,7 @@
             }
 
             @Override
-            public boolean keep() {
+            public boolean keepIdle() {
                 return false;
             }
 
@@ -67,7 +71,7 @@
             }
 
             @Override
-            public boolean leave() {
+            public boolean abandon() {
                 return false;
             }
 
--- a/src/test/java/firstair/relay/standin/LogLines.java
+++ b/src/test/java/firstair/relay/standin/LogLines.java
@@ -19,7 +19,7 @@
     }
 
     /** The messages that begin with a text. */
-    public List<String> beginning(String text) {
+    public List<String> startingWith(String text) {
         return lines.stream().filter(line -> line.startsWith(text)).toList();
     }
 
--- a/src/test/java/firstair/relay/standin/SelectorGate.java
+++ b/src/test/java/firstair/relay/standin/SelectorPause.java
@@ -1,6 +1,6 @@
 package firstair.relay.standin;
 
-import firstair.relay.net.Wire;
+import firstair.relay.net.NetworkTransport;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -15,7 +15,7 @@
  * Blocks the selector thread of a wire, as if the process got no CPU time: what arrives meanwhile is received by the
  * system but not read.
  */
-public final class SelectorGate extends BaseFilter implements AutoCloseable {
+public final class SelectorPause extends BaseFilter implements AutoCloseable {
     private static final int MORE_PERMITS_THAN_NEEDED = 1000;
 
     private final Semaphore reached = new Semaphore(0);
@@ -23,7 +23,7 @@
     private final Socket trigger = new Socket();
 
     /** Creates a gate that does not block the thread until {@link #hold}. */
-    public SelectorGate(Wire wire) throws IOException {
+    public SelectorPause(NetworkTransport wire) throws IOException {
         Connection<?> listener =
                 wire.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this, c -> false);
         trigger.connect((InetSocketAddress) listener.getLocalAddress());
@@ -32,7 +32,7 @@
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-        Wire.drop(ctx);
+        NetworkTransport.discard(ctx);
         reached.release();
         released.acquireUninterruptibly();
         return ctx.getStopAction();
@@ -50,7 +50,7 @@
     }
 
     /** Returns once everything received before this call has been passed to its filters. */
-    public void pass() throws IOException, InterruptedException {
+    public void drain() throws IOException, InterruptedException {
         for (int i = 0; i < 2; i++) { // events selected together with the first trigger may be handled after it
             hold();
             release();
--- a/src/test/java/firstair/relay/standin/ShortTimes.java
+++ b/src/test/java/firstair/relay/standin/ShortTimes.java
@@ -9,13 +9,13 @@
     private ShortTimes() {}
 
     /** Default limits except for these limits of calls; times in milliseconds. */
-    public static Limits ofCalls(double haltMs, double connectMs, double idleMs, int maxLinks) {
+    public static Limits forCalls(double haltMs, double connectMs, double idleMs, int maxLinks) {
         Limits limits = Limits.of(0, 0, HEAP_BYTES, 0, connectMs, 0);
         return with(limits, maxLinks, idleMs, haltMs, limits.listAnswerMs());
     }
 
     /** Default limits, but a call to discovery is given up after {@code ms} without a response or a line. */
-    public static Limits ofList(double ms) {
+    public static Limits forDiscovery(double ms) {
         Limits limits = Limits.of(0, 0, HEAP_BYTES, 0, 0, 0);
         return with(limits, limits.maxLinks(), limits.idleMs(), limits.haltMs(), ms);
     }
--- a/src/test/java/firstair/relay/standin/Platform.java
+++ b/src/test/java/firstair/relay/standin/StandInPlatform.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** A stand-in for the platform: discovery and the receiver of notices, according to the relay's protocol. */
-public final class Platform extends StandIn {
+public final class StandInPlatform extends StandIn {
     /** The notices received, one JSON object each. */
     public final BlockingQueue<String> notices;
 
@@ -63,11 +63,11 @@
     }
 
     /** Starts with a list of endpoints. */
-    public Platform(String list) throws IOException {
+    public StandInPlatform(String list) throws IOException {
         this(list, new State());
     }
 
-    private Platform(String list, State state) throws IOException {
+    private StandInPlatform(String list, State state) throws IOException {
         super(state::handle);
         this.state = state;
         this.notices = state.notices;
@@ -75,12 +75,12 @@
     }
 
     /** Makes requests for the list fail from now on, or work again. */
-    public void down(boolean down) {
+    public void setDown(boolean down) {
         state.down = down;
     }
 
     /** Replaces the list without sending it to the relays that watch it. */
-    public void holds(String list) {
+    public void setList(String list) {
         state.list = list;
     }
 
@@ -97,14 +97,14 @@
     }
 
     /** Makes the next {@code count} posts of notices be read but neither recorded nor answered. */
-    public void silentPosts(int count) {
+    public void ignorePosts(int count) {
         synchronized (state) {
             state.silentPosts = count;
         }
     }
 
     /** Sends changes to all relays that watch the list. */
-    public void tell(String changes) {
+    public void sendChanges(String changes) {
         state.broadcast(changes);
     }
 
--- a/src/test/java/firstair/relay/standin/Kernel.java
+++ b/src/test/java/firstair/relay/standin/TcpTable.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** The TCP connections of this machine, as reported by Linux. */
-public final class Kernel {
+public final class TcpTable {
     private static final List<Path> TABLES = List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
     // Columns of a line of the tables
     private static final int LOCAL = 1;
@@ -17,7 +17,7 @@
     private static final int QUEUE_SIZES = 4;
     private static final int ESTABLISHED = 1;
 
-    private Kernel() {}
+    private TcpTable() {}
 
     /** The peer's end of a connection of this process. The socket may be closed afterwards. */
     public static End otherEnd(Socket local) {
@@ -32,7 +32,7 @@
      */
     public record End(int port, int peer) {
         /** Whether bytes, an end or a reset have arrived there; bytes and an end only until they are read. */
-        public boolean waits() {
+        public boolean hasUnread() {
             String[] line = line(port, peer);
             return line == null
                     || Integer.parseInt(line[STATE], 16) != ESTABLISHED
