--- a/src/test/java/firstair/relay/store/StoreTest.java
+++ b/src/test/java/firstair/relay/store/StoreTest.java
@@ -42,7 +42,7 @@
         return sum;
     }
 
-    private static Store.Open only(Store store) {
+    private static Store.OpenMessage only(Store store) {
         assertThat(store.open()).hasSize(1);
         return store.open().iterator().next();
     }
@@ -50,55 +50,55 @@
     @Test
     void whatWasFlushedIsThereAfterARestart() throws IOException {
         Store s = reopened();
-        s.taken(message(3, 5));
-        int first = s.called(3, "e1", 11);
-        s.ended(3, first, false);
-        s.called(3, "e2", 12);
+        s.accept(message(3, 5));
+        int first = s.attemptStarted(3, "e1", 11);
+        s.attemptEnded(3, first, false);
+        s.attemptStarted(3, "e2", 12);
         assertThat(s.flush()).isTrue();
 
-        Store.Open o = only(reopened());
-        assertThat(o.taken()).usingRecursiveComparison().isEqualTo(message(3, 5));
-        assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 11, false), new StoredAttempt("e2", 12, true));
-        assertThat(o.owed()).isNull();
+        Store.OpenMessage o = only(reopened());
+        assertThat(o.message()).usingRecursiveComparison().isEqualTo(message(3, 5));
+        assertThat(o.attempts()).containsExactly(new StoredAttempt("e1", 11, false), new StoredAttempt("e2", 12, true));
+        assertThat(o.pendingNotice()).isNull();
     }
 
     @Test
     void completedMessagesAreRemovedAndIdsContinue() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 5));
-        s.taken(message(2, 5));
-        s.over(1);
+        s.accept(message(1, 5));
+        s.accept(message(2, 5));
+        s.complete(1);
         s.flush();
         Store again = reopened();
-        assertThat(only(again).taken().id()).isEqualTo(2);
+        assertThat(only(again).message().id()).isEqualTo(2);
         assertThat(again.lastId()).isEqualTo(2);
     }
 
     @Test
     void aPendingNoticeKeepsNoBody() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 5_000));
-        s.owed(1, new OwedNotice(true, 250));
+        s.accept(message(1, 5_000));
+        s.setPendingNotice(1, new PendingNotice(true, 250));
         s.flush();
-        Store.Open o = only(reopened());
-        assertThat(o.owed()).isEqualTo(new OwedNotice(true, 250));
-        assertThat(o.taken().body()).isEmpty();
+        Store.OpenMessage o = only(reopened());
+        assertThat(o.pendingNotice()).isEqualTo(new PendingNotice(true, 250));
+        assertThat(o.message().body()).isEmpty();
     }
 
     /** A process killed during a write leaves an incomplete record; the records before it must be kept. */
     @Test
     void aTornLastRecordIsDroppedWhereverItWasCut() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 40));
+        s.accept(message(1, 40));
         s.flush();
         byte[] before = Files.readAllBytes(files().get(0));
-        s.taken(message(2, 40));
+        s.accept(message(2, 40));
         s.flush();
         Path file = files().get(0);
         byte[] all = Files.readAllBytes(file);
         for (int cut = before.length; cut < all.length; cut++) {
             Files.write(file, java.util.Arrays.copyOf(all, cut));
-            assertThat(only(reopened()).taken().id()).as("cut at %d", cut).isEqualTo(1);
+            assertThat(only(reopened()).message().id()).as("cut at %d", cut).isEqualTo(1);
             Files.delete(files().get(0));
         }
     }
@@ -106,12 +106,12 @@
     @Test
     void aDamagedRecordIsReportedAndTheOthersAreKept() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 40));
+        s.accept(message(1, 40));
         s.flush();
         Path file = files().get(0);
         int end = (int) Files.size(file);
-        s.taken(message(2, 40));
-        s.taken(message(4, 40));
+        s.accept(message(2, 40));
+        s.accept(message(4, 40));
         s.flush();
         byte[] all = Files.readAllBytes(file);
         all[end + Records.HEADER + 20] ^= 1;
@@ -133,7 +133,7 @@
         Logger logger = Logger.getLogger(Store.class.getName());
         logger.addHandler(handler);
         try {
-            assertThat(reopened().open()).extracting(o -> o.taken().id()).containsExactly(1L, 4L);
+            assertThat(reopened().open()).extracting(o -> o.message().id()).containsExactly(1L, 4L);
         } finally {
             logger.removeHandler(handler);
         }
@@ -143,34 +143,34 @@
     @Test
     void aValidRecordOfUnknownTypeIsSkipped() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 40));
+        s.accept(message(1, 40));
         s.flush();
-        byte[] odd = Records.over(9);
+        byte[] odd = Records.completed(9);
         odd[Records.HEADER] = 99;
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
         crc.update(odd, Records.HEADER, odd.length - Records.HEADER);
         java.nio.ByteBuffer.wrap(odd).putInt(6, (int) crc.getValue());
         Files.write(files().get(0), odd, java.nio.file.StandardOpenOption.APPEND);
-        assertThat(only(reopened()).taken().id()).isEqualTo(1);
+        assertThat(only(reopened()).message().id()).isEqualTo(1);
     }
 
     /** A record with a valid checksum but impossible values must not keep the relay from starting. */
     @Test
     void aValidRecordWithImpossibleValuesIsSkipped() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 40));
-        s.called(1, "e1", 11);
+        s.accept(message(1, 40));
+        s.attemptStarted(1, "e1", 11);
         s.flush();
-        byte[] taken = Records.taken(message(2, 0));
+        byte[] taken = Records.accepted(message(2, 0));
         java.nio.ByteBuffer.wrap(taken).putInt(taken.length - Integer.BYTES, -1); // length of the body
-        byte[] ended = Records.ended(1, -1, false);
+        byte[] ended = Records.attemptEnded(1, -1, false);
         Path file = files().get(0);
         for (byte[] odd : List.of(taken, ended)) {
             Files.write(file, Records.withHeader(odd), java.nio.file.StandardOpenOption.APPEND);
         }
-        Store.Open o = only(reopened());
-        assertThat(o.taken().id()).isEqualTo(1);
-        assertThat(o.tries()).containsExactly(new StoredAttempt("e1", 11, true));
+        Store.OpenMessage o = only(reopened());
+        assertThat(o.message().id()).isEqualTo(1);
+        assertThat(o.attempts()).containsExactly(new StoredAttempt("e1", 11, true));
     }
 
     /** Bytes overwritten, removed or inserted at random: each message whose records are intact is still read. */
@@ -186,8 +186,8 @@
             }
             long[] ends = new long[20];
             for (int id = 0; id < ends.length; id++) {
-                s.taken(message(id, random.nextInt(100)));
-                s.called(id, "e" + id, 10 + id);
+                s.accept(message(id, random.nextInt(100)));
+                s.attemptStarted(id, "e" + id, 10 + id);
                 s.flush();
                 ends[id] = Files.size(file);
             }
@@ -203,8 +203,8 @@
             out.write(all, to, all.length - to);
             Files.write(file, out.toByteArray());
             List<Long> found = Store.open(folderOfSeed, DISK, BootClock.SYSTEM).open().stream()
-                    .filter(o -> o.tries().size() == 1)
-                    .map(o -> o.taken().id())
+                    .filter(o -> o.attempts().size() == 1)
+                    .map(o -> o.message().id())
                     .toList();
             for (int id = 0; id < ends.length; id++) {
                 long begin = id == 0 ? 0 : ends[id - 1];
@@ -223,9 +223,9 @@
         Store s = reopened();
         int taken = 0;
         while (s.fits(100) && taken < 40) {
-            s.taken(message(taken, 100));
+            s.accept(message(taken, 100));
             for (int i = 0; i < 200; i++) {
-                s.called(taken, "endpoint-with-a-name", 1);
+                s.attemptStarted(taken, "endpoint-with-a-name", 1);
             }
             s.flush();
             taken++;
@@ -238,11 +238,11 @@
     void oldAndNewFileTogetherStayWithinTheDiskLimit() throws IOException {
         Store s = reopened();
         for (int i = 0; i < 3_000; i++) {
-            s.taken(message(i, 300));
-            s.called(i, "endpoint-with-a-name", 1);
+            s.accept(message(i, 300));
+            s.attemptStarted(i, "endpoint-with-a-name", 1);
             s.flush();
             if (i >= 20) {
-                s.over(i - 20);
+                s.complete(i - 20);
             }
             assertThat(onDisk()).isLessThanOrEqualTo(DISK / 2); // a successor of the same size must fit beside it
         }
@@ -256,17 +256,17 @@
         Store s = reopened();
         int taken = 0;
         while (s.fits(1_000)) {
-            s.taken(message(taken, 1_000));
+            s.accept(message(taken, 1_000));
             for (int attempt = 0; attempt < 6; attempt++) {
-                s.called(taken, "endpoint-with-a-name", 1);
-                s.ended(taken, attempt, true);
+                s.attemptStarted(taken, "endpoint-with-a-name", 1);
+                s.attemptEnded(taken, attempt, true);
             }
             assertThat(s.flush()).isTrue();
             taken++;
         }
         assertThat(taken).isBetween(30, 200);
         assertThat(onDisk()).isLessThanOrEqualTo(DISK / 2);
-        s.over(0);
+        s.complete(0);
         s.flush();
         assertThat(s.fits(1_000)).isTrue();
     }
@@ -276,42 +276,42 @@
         Store s = reopened();
         Files.delete(files().get(0));
         Files.delete(folder);
-        s.taken(message(1, 30_000));
-        s.taken(message(2, 30_000));
-        s.taken(message(3, 30_000));
-        s.taken(message(4, 30_000)); // exceeds the limit of the open file: a new one must be created
+        s.accept(message(1, 30_000));
+        s.accept(message(2, 30_000));
+        s.accept(message(3, 30_000));
+        s.accept(message(4, 30_000)); // exceeds the limit of the open file: a new one must be created
         assertThat(s.flush()).isFalse();
         assertThat(s.fits(1)).isFalse();
-        s.over(2);
-        s.over(3);
-        s.over(4);
+        s.complete(2);
+        s.complete(3);
+        s.complete(4);
         Files.createDirectories(folder);
         assertThat(s.flush()).isTrue();
         assertThat(s.fits(1)).isTrue();
-        assertThat(only(reopened()).taken().id()).isEqualTo(1);
+        assertThat(only(reopened()).message().id()).isEqualTo(1);
     }
 
     @Test
     void anIncompleteTemporaryFileIsIgnored() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 5));
+        s.accept(message(1, 5));
         s.flush();
         Files.write(folder.resolve("messages.tmp"), new byte[100]);
-        assertThat(only(reopened()).taken().id()).isEqualTo(1);
+        assertThat(only(reopened()).message().id()).isEqualTo(1);
         assertThat(files()).hasSize(1);
     }
 
     @Test
     void whereTwoFilesStandTheNewerOneHolds() throws IOException {
         Store s = reopened();
-        s.taken(message(1, 5));
+        s.accept(message(1, 5));
         s.flush();
         byte[] old = Files.readAllBytes(files().get(0));
-        s.over(1);
-        s.taken(message(2, 5));
+        s.complete(1);
+        s.accept(message(2, 5));
         s.close();
         Files.write(
                 folder.resolve("messages-0.log"), old); // killed between renaming the new file and deleting the old one
-        assertThat(only(reopened()).taken().id()).isEqualTo(2);
+        assertThat(only(reopened()).message().id()).isEqualTo(2);
     }
 }
